--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -9,7 +9,7 @@
 
 /// Why an attempt may not start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartBar {
+pub enum StartRefusal {
     /// The router holds no lease.
     NoLease,
     /// The key is not, or no longer, the tenant's.
@@ -26,7 +26,7 @@
 
 /// Why work that is under way must end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkBar {
+pub enum StopReason {
     /// The router has held no lease for longer than the grace.
     NoLease,
     /// The key is no longer the tenant's.
@@ -35,7 +35,7 @@
 
 /// What an attempt was chosen on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ground {
+pub struct AttemptBasis {
     /// The hash of the key the request came with.
     pub key_hash: String,
     /// Whose key that was.
@@ -60,34 +60,39 @@
 }
 
 /// The last look before the first byte of an attempt.
-pub fn may_start(sight: &FleetSight, lease_until: Instant, ground: &Ground, now: Instant) -> Result<(), StartBar> {
+pub fn may_start(
+    sight: &FleetSight,
+    lease_until: Instant,
+    ground: &AttemptBasis,
+    now: Instant,
+) -> Result<(), StartRefusal> {
     if !is_leased(lease_until, now) {
-        return Err(StartBar::NoLease);
+        return Err(StartRefusal::NoLease);
     }
     if now >= ground.limit {
-        return Err(StartBar::LimitPassed);
+        return Err(StartRefusal::LimitPassed);
     }
-    if may_go_on(sight, lease_until, &ground.key_hash, &ground.tenant, now).is_err() {
-        return Err(StartBar::KeyWithdrawn);
+    if may_continue(sight, lease_until, &ground.key_hash, &ground.tenant, now).is_err() {
+        return Err(StartRefusal::KeyWithdrawn);
     }
     let usable = sight.usable_weights_for(&ground.engine, &ground.model, ground.adapter.as_ref(), now);
     if usable != Some(ground.weights) {
-        return Err(StartBar::EngineMoved);
+        return Err(StartRefusal::EngineMoved);
     }
     if !runs_on_its_adapter(sight, ground) {
-        return Err(StartBar::AdapterMoved);
+        return Err(StartRefusal::AdapterMoved);
     }
     let wall = sight.state.wall_of(&ground.tenant);
     let salt = Salt::of(&ground.model, ground.weights, wall.id, wall.edition);
     if salt.under(ground.adapter.as_ref()) != ground.salt {
-        return Err(StartBar::WallMoved);
+        return Err(StartRefusal::WallMoved);
     }
     Ok(())
 }
 
 /// Whether an attempt is for the adapter that its tenant's requests run on now, if they run on one, and its
 /// engine holds exactly that warm.
-fn runs_on_its_adapter(sight: &FleetSight, ground: &Ground) -> bool {
+fn runs_on_its_adapter(sight: &FleetSight, ground: &AttemptBasis) -> bool {
     if sight.state.adapter_for(&ground.tenant, &ground.model) != ground.adapter {
         return false;
     }
@@ -96,7 +101,7 @@
 }
 
 /// Whether an answer, or a piece of one, names the adapter that its attempt was to run on.
-pub fn is_own_answer(adapter: Option<&AdapterId>, answered_on: Option<&str>) -> bool {
+pub fn names_expected_adapter(adapter: Option<&AdapterId>, answered_on: Option<&str>) -> bool {
     match (adapter, answered_on) {
         (None, None) => true,
         (Some(adapter), Some(named)) => AdapterId::read(named).as_ref() == Some(adapter),
@@ -105,18 +110,18 @@
 }
 
 /// Whether work for a key may go on. A router long without a lease cannot know of withdrawn keys.
-pub fn may_go_on(
+pub fn may_continue(
     sight: &FleetSight,
     lease_until: Instant,
     key_hash: &str,
     tenant: &TenantName,
     now: Instant,
-) -> Result<(), WorkBar> {
+) -> Result<(), StopReason> {
     if sight.tenants_by_key.get(key_hash) != Some(tenant) {
-        return Err(WorkBar::KeyWithdrawn);
+        return Err(StopReason::KeyWithdrawn);
     }
     if now >= lease_until + LEASE_GRACE {
-        return Err(WorkBar::NoLease);
+        return Err(StopReason::NoLease);
     }
     Ok(())
 }
@@ -149,9 +154,9 @@
         state
     }
 
-    fn ground(adapter: Option<AdapterId>) -> Ground {
+    fn ground(adapter: Option<AdapterId>) -> AttemptBasis {
         let salt = Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)).under(adapter.as_ref());
-        Ground {
+        AttemptBasis {
             key_hash: "0".repeat(64),
             tenant: "a".into(),
             model: "m".into(),
@@ -163,7 +168,7 @@
         }
     }
 
-    fn starts(state: FleetState, ground: &Ground) -> Result<(), StartBar> {
+    fn starts(state: FleetState, ground: &AttemptBasis) -> Result<(), StartRefusal> {
         let sight = FleetSight::default().following(state, None, NOW);
         may_start(&sight, NOW + Span::seconds(1), ground, NOW)
     }
@@ -173,20 +178,20 @@
         let own = AdapterId::new("x", 1);
         assert_eq!(starts(fleet(), &ground(Some(own.clone()))), Ok(()));
         for foreign in [None, Some(AdapterId::new("x", 2)), Some(AdapterId::new("y", 1))] {
-            assert_eq!(starts(fleet(), &ground(foreign)), Err(StartBar::AdapterMoved));
+            assert_eq!(starts(fleet(), &ground(foreign)), Err(StartRefusal::AdapterMoved));
         }
         let mut cold = fleet();
         cold.adapters.copies.clear();
-        assert_eq!(starts(cold, &ground(Some(own.clone()))), Err(StartBar::AdapterMoved));
+        assert_eq!(starts(cold, &ground(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
         let mut leaving = fleet();
         leaving.adapters.copies.get_mut(&"e".into()).unwrap()[0].stage = CopyStage::Leaving;
-        assert_eq!(starts(leaving, &ground(Some(own.clone()))), Err(StartBar::AdapterMoved));
+        assert_eq!(starts(leaving, &ground(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
         let mut unbound = fleet();
         unbound.desired.tenants.get_mut(&"a".into()).unwrap().adapters.clear();
-        assert_eq!(starts(unbound.clone(), &ground(Some(own.clone()))), Err(StartBar::AdapterMoved));
+        assert_eq!(starts(unbound.clone(), &ground(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
         assert_eq!(starts(unbound, &ground(None)), Ok(()));
-        let bare_salt = Ground { salt: ground(None).salt, ..ground(Some(own)) };
-        assert_eq!(starts(fleet(), &bare_salt), Err(StartBar::WallMoved));
+        let bare_salt = AttemptBasis { salt: ground(None).salt, ..ground(Some(own)) };
+        assert_eq!(starts(fleet(), &bare_salt), Err(StartRefusal::WallMoved));
     }
 
     /// The fleet's engine holds a second model `n` besides, on other weights than the first, with an adapter
@@ -207,10 +212,10 @@
     }
 
     /// An attempt for the second model, on weights of it or on others.
-    fn second_ground(weights: u64, adapter: Option<AdapterId>) -> Ground {
+    fn second_ground(weights: u64, adapter: Option<AdapterId>) -> AttemptBasis {
         let (model, weights) = (ModelName::from("n"), WeightsEdition(weights));
         let salt = Salt::of(&model, weights, WallId(0), WallEdition(0)).under(adapter.as_ref());
-        Ground { model, weights, adapter, salt, ..ground(None) }
+        AttemptBasis { model, weights, adapter, salt, ..ground(None) }
     }
 
     #[test]
@@ -219,13 +224,13 @@
         assert_eq!(starts(fleet_of_two_models(), &second_ground(3, own.clone())), Ok(()));
         assert_eq!(
             starts(fleet_of_two_models(), &second_ground(1, own.clone())),
-            Err(StartBar::EngineMoved),
+            Err(StartRefusal::EngineMoved),
             "those of the first model"
         );
         let mut unbound = fleet_of_two_models();
         unbound.desired.tenants.get_mut(&"a".into()).unwrap().adapters.clear();
         assert_eq!(starts(unbound, &second_ground(3, None)), Ok(()));
-        assert_eq!(starts(fleet(), &second_ground(3, own)), Err(StartBar::EngineMoved), "no such model there");
+        assert_eq!(starts(fleet(), &second_ground(3, own)), Err(StartRefusal::EngineMoved), "no such model there");
         assert_eq!(starts(fleet_of_two_models(), &ground(Some(AdapterId::new("x", 1)))), Ok(()));
     }
 
@@ -235,20 +240,20 @@
         let mut leaving = fleet();
         leaving.listing.engines.get_mut(&"e".into()).unwrap().listed = Listed::Leaving;
         let sight = before.following(leaving, None, NOW).heard_under(&before.state, NOW + Span::millis(900));
-        let start = |ground: &Ground, now: Instant| may_start(&sight, NOW + Span::seconds(2), ground, now);
+        let start = |ground: &AttemptBasis, now: Instant| may_start(&sight, NOW + Span::seconds(2), ground, now);
         let own = ground(Some(AdapterId::new("x", 1)));
         assert_eq!(start(&own, NOW), Ok(()));
-        assert_eq!(start(&own, NOW + Span::millis(900)), Err(StartBar::EngineMoved));
-        assert_eq!(start(&ground(None), NOW), Err(StartBar::EngineMoved), "not the bare model");
+        assert_eq!(start(&own, NOW + Span::millis(900)), Err(StartRefusal::EngineMoved));
+        assert_eq!(start(&ground(None), NOW), Err(StartRefusal::EngineMoved), "not the bare model");
     }
 
     #[test]
     fn an_answer_is_own_if_it_names_exactly_the_adapter() {
         let own = AdapterId::new("x", 1);
-        assert!(is_own_answer(Some(&own), Some("x@1")) && is_own_answer(None, None));
+        assert!(names_expected_adapter(Some(&own), Some("x@1")) && names_expected_adapter(None, None));
         for named in [None, Some("x@2"), Some("y@1"), Some("x")] {
-            assert!(!is_own_answer(Some(&own), named));
+            assert!(!names_expected_adapter(Some(&own), named));
         }
-        assert!(!is_own_answer(None, Some("x@1")));
+        assert!(!names_expected_adapter(None, Some("x@1")));
     }
 }
--- a/crates/attempts/src/held.rs
+++ b/crates/attempts/src/held.rs
@@ -4,9 +4,9 @@
 use crate::prelude::*;
 
 /// Events of one run that are held at the most.
-pub const MOST_EVENTS: usize = 8192;
+pub const MAX_HELD_EVENTS: usize = 8192;
 /// Bytes of one run that are held at the most.
-pub const MOST_BYTES: usize = 4 << 20;
+pub const MAX_HELD_BYTES: usize = 4 << 20;
 /// How long a run is held after its end.
 pub const HELD_AFTER_END: Span = Span::seconds(30);
 
@@ -16,7 +16,7 @@
     /// With its end mark.
     Whole,
     /// Before its end mark.
-    Cut(Reason),
+    Cut(CutReason),
 }
 
 /// The events of a held run.
@@ -36,7 +36,7 @@
 impl<E: Clone> HeldEvents<E> {
     /// Holds an event; false if there is no more room.
     pub fn hold(&mut self, event: E, bytes: usize) -> bool {
-        if self.events.len() >= MOST_EVENTS || self.bytes + bytes > MOST_BYTES {
+        if self.events.len() >= MAX_HELD_EVENTS || self.bytes + bytes > MAX_HELD_BYTES {
             return false;
         }
         self.bytes += bytes;
@@ -74,7 +74,7 @@
 
 /// An event id, taken apart: router, run, piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EventName {
+pub struct EventId {
     /// The router that holds the run.
     pub router: NodeId,
     /// The run's number there.
@@ -83,9 +83,9 @@
     pub piece: Option<u64>,
 }
 
-impl EventName {
+impl EventId {
     /// Reads `ROUTER.RUN` or `ROUTER.RUN.PIECE`, strictly.
-    pub fn read(text: &str) -> Option<EventName> {
+    pub fn read(text: &str) -> Option<EventId> {
         if text.len() > 64 {
             return None;
         }
@@ -97,7 +97,7 @@
             Some(part) => Some(part.parse().ok()?),
             None => None,
         };
-        parts.next().is_none().then_some(EventName { router, run, piece })
+        parts.next().is_none().then_some(EventId { router, run, piece })
     }
 }
 
@@ -107,9 +107,9 @@
 
     #[test]
     fn event_names_are_read_strictly() {
-        let named = EventName::read("00000000000000ab.7.12").unwrap();
+        let named = EventId::read("00000000000000ab.7.12").unwrap();
         assert_eq!((named.router, named.run, named.piece), (NodeId(0xab), 7, Some(12)));
-        assert_eq!(EventName::read("00000000000000ab.7").unwrap().piece, None);
+        assert_eq!(EventId::read("00000000000000ab.7").unwrap().piece, None);
         let long_name = format!("00000000000000ab.7.{}", "1".repeat(80));
         for forged in [
             "",
@@ -120,17 +120,17 @@
             "zz.1.1",
             &long_name,
         ] {
-            assert_eq!(EventName::read(forged), None, "{forged}");
+            assert_eq!(EventId::read(forged), None, "{forged}");
         }
     }
 
     #[test]
     fn a_held_run_has_bounds_and_goes_on_where_its_caller_left_off() {
         let mut held = HeldEvents::default();
-        assert!(held.hold("a", MOST_BYTES - 1) && held.hold("b", 1));
+        assert!(held.hold("a", MAX_HELD_BYTES - 1) && held.hold("b", 1));
         assert!(!held.hold("c", 1), "no more room");
         assert_eq!(held.from(1), (vec!["b"], None));
-        let late = HeldEnd::Cut(Reason { kind: "cut", told: "late".into() });
+        let late = HeldEnd::Cut(CutReason { kind: "cut", message: "late".into() });
         held.end(late.clone(), Instant(5));
         held.end(HeldEnd::Whole, Instant(6));
         assert_eq!(held.from(2), (vec![], Some(late)), "the first end stands");
--- a/crates/attempts/src/machine.rs
+++ b/crates/attempts/src/machine.rs
@@ -5,7 +5,7 @@
 use crate::prelude::*;
 
 /// Attempts of one request at the most.
-pub const MOST_ATTEMPTS: u64 = 3;
+pub const MAX_ATTEMPTS: u64 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
@@ -22,8 +22,8 @@
 
 /// A request's attempts, as a pure state machine.
 #[derive(Clone, Debug)]
-pub struct Carriage<P> {
-    terms: Terms,
+pub struct AttemptMachine<P> {
+    terms: RequestTerms,
     stage: Stage,
     attempt_number: u64,
     engine: Option<EngineName>,
@@ -32,13 +32,13 @@
     may_have_run: bool,
     holds_claim: bool,
     last_reason: String,
-    plan: Vec<CarriageEffect<P>>,
+    plan: Vec<AttemptEffect<P>>,
 }
 
-impl<P> Carriage<P> {
+impl<P> AttemptMachine<P> {
     /// A request of which nothing has been tried yet.
-    pub fn new(terms: Terms) -> Carriage<P> {
-        Carriage {
+    pub fn new(terms: RequestTerms) -> AttemptMachine<P> {
+        AttemptMachine {
             terms,
             stage: Stage::New,
             attempt_number: 0,
@@ -73,50 +73,50 @@
     }
 
     /// Takes an input; what is to be done about it, in order.
-    pub fn step(&mut self, input: CarriageInput<P>) -> Vec<CarriageEffect<P>> {
+    pub fn step(&mut self, input: AttemptInput<P>) -> Vec<AttemptEffect<P>> {
         if !self.is_done() {
             self.take(input);
         }
         std::mem::take(&mut self.plan)
     }
 
-    fn take(&mut self, input: CarriageInput<P>) {
+    fn take(&mut self, input: AttemptInput<P>) {
         match (input, self.stage) {
-            (CarriageInput::Begin, Stage::New) => self.begin(),
-            (CarriageInput::ClaimSettled(claimed), Stage::Claiming) => self.take_claim(claimed),
-            (CarriageInput::Picked(outcome), Stage::Picking) => self.take_pick(outcome),
-            (CarriageInput::Connected, Stage::Connecting) => {
+            (AttemptInput::Begin, Stage::New) => self.begin(),
+            (AttemptInput::ClaimSettled(claimed), Stage::Claiming) => self.take_claim(claimed),
+            (AttemptInput::Picked(outcome), Stage::Picking) => self.take_pick(outcome),
+            (AttemptInput::Connected, Stage::Connecting) => {
                 self.stage = Stage::Sent;
-                self.plan.push(CarriageEffect::Write);
+                self.plan.push(AttemptEffect::Write);
             }
-            (CarriageInput::ConnectFault(reason), Stage::Connecting) => {
+            (AttemptInput::ConnectFault(reason), Stage::Connecting) => {
                 self.lose_attempt(Ran::No, format!("connect: {reason}"));
             }
-            (CarriageInput::Barred(bar), Stage::Sent) => self.take_bar(bar),
-            (CarriageInput::SendFault { byte_left, reason }, Stage::Sent) => {
+            (AttemptInput::StartRefused(bar), Stage::Sent) => self.take_bar(bar),
+            (AttemptInput::SendFault { byte_left, reason }, Stage::Sent) => {
                 self.lose_attempt(if byte_left { Ran::Perhaps } else { Ran::No }, reason);
             }
-            (CarriageInput::Head { head, told }, Stage::Sent) => self.take_head(head, told),
-            (CarriageInput::Piece { attempt, finished, piece }, stage) => {
+            (AttemptInput::Head { head, detail }, Stage::Sent) => self.take_head(head, detail),
+            (AttemptInput::Piece { attempt, finished, piece }, stage) => {
                 self.take_piece(stage, &attempt, finished, piece)
             }
-            (CarriageInput::EndMark, Stage::Streaming) => self.stage = Stage::Marked,
-            (CarriageInput::EndMark, stage) => self.take_broken(stage, "an end mark out of place".into()),
-            (CarriageInput::Closed, Stage::Marked) => {
+            (AttemptInput::EndMark, Stage::Streaming) => self.stage = Stage::Marked,
+            (AttemptInput::EndMark, stage) => self.take_broken(stage, "an end mark out of place".into()),
+            (AttemptInput::Closed, Stage::Marked) => {
                 self.end_attempt();
-                self.plan.push(CarriageEffect::EndWhole);
+                self.plan.push(AttemptEffect::EndWhole);
                 self.stage = Stage::Done;
             }
-            (CarriageInput::Closed, stage) => {
+            (AttemptInput::Closed, stage) => {
                 self.take_broken(stage, "the engine's stream ended without its end mark".into());
             }
-            (CarriageInput::Broken(reason), stage) => self.take_broken(stage, reason),
-            (CarriageInput::BookFull, Stage::Streaming | Stage::Marked) => {
+            (AttemptInput::Broken(reason), stage) => self.take_broken(stage, reason),
+            (AttemptInput::BufferFull, Stage::Streaming | Stage::Marked) => {
                 self.cut("cut", "the run is too large to be held".into());
             }
-            (CarriageInput::CallerGone, stage) => self.lose_caller(stage),
-            (CarriageInput::LimitPassed, stage) => self.pass_limit(stage),
-            (CarriageInput::WorkBarred(bar), stage) => self.bar_work(stage, bar),
+            (AttemptInput::CallerGone, stage) => self.lose_caller(stage),
+            (AttemptInput::LimitPassed, stage) => self.pass_limit(stage),
+            (AttemptInput::WorkStopped(bar), stage) => self.bar_work(stage, bar),
             _ => {}
         }
     }
@@ -124,28 +124,28 @@
     fn begin(&mut self) {
         if self.terms.claims && !self.terms.repeatable {
             self.stage = Stage::Claiming;
-            self.plan.push(CarriageEffect::Claim);
+            self.plan.push(AttemptEffect::Claim);
             return;
         }
         self.pick();
     }
 
-    fn take_claim(&mut self, claimed: Claimed) {
+    fn take_claim(&mut self, claimed: ClaimOutcome) {
         match claimed {
-            Claimed::Taken => {
+            ClaimOutcome::Taken => {
                 self.holds_claim = true;
                 self.pick();
             }
-            Claimed::Held(run) => {
+            ClaimOutcome::Held(run) => {
                 self.stage = Stage::Done;
-                self.plan.push(CarriageEffect::GiveUp(GivenUp {
+                self.plan.push(AttemptEffect::GiveUp(GivenUp {
                     kind: GivenUpKind::Claimed,
                     ran: Ran::Perhaps,
                     reason: run,
                 }));
             }
-            Claimed::Full => self.give_up(GivenUpKind::NotServed, "too many idempotency keys are held".into()),
-            Claimed::Unknown => {
+            ClaimOutcome::Full => self.give_up(GivenUpKind::NotServed, "too many idempotency keys are held".into()),
+            ClaimOutcome::Unknown => {
                 self.holds_claim = true;
                 self.give_up(GivenUpKind::NotServed, "the claim could not be settled".into());
             }
@@ -154,7 +154,7 @@
 
     fn pick(&mut self) {
         self.stage = Stage::Picking;
-        self.plan.push(CarriageEffect::Pick { tried: self.tried.clone(), is_retry: self.is_retry });
+        self.plan.push(AttemptEffect::Pick { tried: self.tried.clone(), is_retry: self.is_retry });
     }
 
     fn take_pick(&mut self, outcome: PickOutcome) {
@@ -163,7 +163,7 @@
                 self.engine = Some(engine);
                 self.attempt_number += 1;
                 self.stage = Stage::Connecting;
-                self.plan.push(CarriageEffect::Connect { attempt: self.attempt() });
+                self.plan.push(AttemptEffect::Connect { attempt: self.attempt() });
             }
             PickOutcome::Overloaded => self.give_up(GivenUpKind::NotServed, "the router is overloaded".into()),
             PickOutcome::NoAdapter => {
@@ -178,13 +178,13 @@
         }
     }
 
-    fn take_bar(&mut self, bar: StartBar) {
+    fn take_bar(&mut self, bar: StartRefusal) {
         let reason = format!("{bar:?}");
         match bar {
-            StartBar::NoLease => self.stop_attempt(Ran::No, reason, GivenUpKind::NoLease),
-            StartBar::KeyWithdrawn => self.stop_attempt(Ran::No, reason, GivenUpKind::KeyWithdrawn),
-            StartBar::LimitPassed => self.stop_attempt(Ran::No, reason, GivenUpKind::LimitPassed),
-            StartBar::EngineMoved | StartBar::WallMoved | StartBar::AdapterMoved => {
+            StartRefusal::NoLease => self.stop_attempt(Ran::No, reason, GivenUpKind::NoLease),
+            StartRefusal::KeyWithdrawn => self.stop_attempt(Ran::No, reason, GivenUpKind::KeyWithdrawn),
+            StartRefusal::LimitPassed => self.stop_attempt(Ran::No, reason, GivenUpKind::LimitPassed),
+            StartRefusal::EngineMoved | StartRefusal::WallMoved | StartRefusal::AdapterMoved => {
                 self.note_fault(Ran::No, reason, false);
                 self.is_retry = false;
                 self.try_again();
@@ -192,12 +192,12 @@
         }
     }
 
-    fn take_head(&mut self, head: Head, told: String) {
+    fn take_head(&mut self, head: ResponseClass, detail: String) {
         match head {
-            Head::NotStarted => self.lose_attempt(Ran::No, told),
-            Head::OutOfTime => self.stop_attempt(Ran::Perhaps, told, GivenUpKind::LimitPassed),
-            Head::Refused => self.lose_attempt(Ran::Perhaps, told),
-            Head::Good => self.stage = Stage::Headed,
+            ResponseClass::NotStarted => self.lose_attempt(Ran::No, detail),
+            ResponseClass::OutOfTime => self.stop_attempt(Ran::Perhaps, detail, GivenUpKind::LimitPassed),
+            ResponseClass::Failure => self.lose_attempt(Ran::Perhaps, detail),
+            ResponseClass::Success => self.stage = Stage::Headed,
         }
     }
 
@@ -208,17 +208,17 @@
         match stage {
             Stage::Headed if self.terms.streams => {
                 self.stage = Stage::Streaming;
-                self.plan.push(CarriageEffect::Began);
-                self.plan.push(CarriageEffect::SendPiece(piece));
+                self.plan.push(AttemptEffect::FirstPieceReceived);
+                self.plan.push(AttemptEffect::SendPiece(piece));
             }
             Stage::Headed if !finished => self.lose_attempt(Ran::Perhaps, "the answer is not whole".into()),
             Stage::Headed => {
-                self.plan.push(CarriageEffect::Began);
+                self.plan.push(AttemptEffect::FirstPieceReceived);
                 self.end_attempt();
                 self.stage = Stage::Done;
-                self.plan.push(CarriageEffect::AnswerWhole(piece));
+                self.plan.push(AttemptEffect::AnswerWhole(piece));
             }
-            Stage::Streaming => self.plan.push(CarriageEffect::SendPiece(piece)),
+            Stage::Streaming => self.plan.push(AttemptEffect::SendPiece(piece)),
             Stage::Marked => self.cut("cut", "something came after the end mark".into()),
             _ => {}
         }
@@ -238,7 +238,7 @@
         }
         self.end_attempt();
         if self.holds_claim && !self.may_have_run && matches!(stage, Stage::Picking | Stage::Connecting) {
-            self.plan.push(CarriageEffect::ReleaseClaim);
+            self.plan.push(AttemptEffect::ReleaseClaim);
         }
         self.stage = Stage::Done;
     }
@@ -256,10 +256,10 @@
         }
     }
 
-    fn bar_work(&mut self, stage: Stage, bar: WorkBar) {
+    fn bar_work(&mut self, stage: Stage, bar: StopReason) {
         let (kind, word, reason) = match bar {
-            WorkBar::NoLease => (GivenUpKind::NoLease, "no_lease", "this router has long held no lease"),
-            WorkBar::KeyWithdrawn => (GivenUpKind::KeyWithdrawn, "key_withdrawn", "the key was withdrawn"),
+            StopReason::NoLease => (GivenUpKind::NoLease, "no_lease", "this router has long held no lease"),
+            StopReason::KeyWithdrawn => (GivenUpKind::KeyWithdrawn, "key_withdrawn", "the key was withdrawn"),
         };
         match stage {
             Stage::New | Stage::Claiming | Stage::Picking | Stage::Connecting => {
@@ -285,7 +285,7 @@
     }
 
     fn try_again(&mut self) {
-        if self.attempt_number >= MOST_ATTEMPTS {
+        if self.attempt_number >= MAX_ATTEMPTS {
             return self.give_up(GivenUpKind::NotServed, self.last_reason.clone());
         }
         self.pick();
@@ -293,7 +293,7 @@
 
     fn note_fault(&mut self, ran: Ran, reason: String, rests: bool) {
         self.may_have_run |= ran == Ran::Perhaps;
-        self.plan.push(CarriageEffect::AttemptFault { reason, ran, rests });
+        self.plan.push(AttemptEffect::AttemptFault { reason, ran, rests });
         self.end_attempt();
     }
 
@@ -305,21 +305,21 @@
     }
 
     fn end_attempt(&mut self) {
-        self.plan.push(CarriageEffect::EndAttempt);
+        self.plan.push(AttemptEffect::EndAttempt);
     }
 
     fn give_up(&mut self, kind: GivenUpKind, reason: String) {
         let ran = if self.may_have_run { Ran::Perhaps } else { Ran::No };
         if self.holds_claim && ran == Ran::No {
-            self.plan.push(CarriageEffect::ReleaseClaim);
+            self.plan.push(AttemptEffect::ReleaseClaim);
         }
-        self.plan.push(CarriageEffect::GiveUp(GivenUp { kind, ran, reason }));
+        self.plan.push(AttemptEffect::GiveUp(GivenUp { kind, ran, reason }));
         self.stage = Stage::Done;
     }
 
-    fn cut(&mut self, kind: &'static str, told: String) {
+    fn cut(&mut self, kind: &'static str, message: String) {
         self.end_attempt();
-        self.plan.push(CarriageEffect::EndCut(Reason { kind, told }));
+        self.plan.push(AttemptEffect::EndCut(CutReason { kind, message }));
         self.stage = Stage::Done;
     }
 }
--- a/crates/attempts/src/messages.rs
+++ b/crates/attempts/src/messages.rs
@@ -4,7 +4,7 @@
 
 /// What a request asks of its attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct RequestTerms {
     /// The name under which its attempts go: attempt n is `run.n`.
     pub run: String,
     /// It may run more than once.
@@ -19,7 +19,7 @@
 
 /// What became of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// The key is this run's.
     Taken,
     /// Another run has the key.
@@ -30,18 +30,18 @@
     Unknown,
 }
 
-impl Claimed {
+impl ClaimOutcome {
     /// What the core's settlement means; none came in time if there is none.
-    pub fn of(settled: Option<Settled>) -> Claimed {
+    pub fn of(settled: Option<Settled>) -> ClaimOutcome {
         let complaint = match settled {
-            Some(Settled::Taken(_)) => return Claimed::Taken,
+            Some(Settled::Taken(_)) => return ClaimOutcome::Taken,
             Some(Settled::Refused(complaints)) => complaints.into_iter().next(),
             Some(Settled::Stale { .. }) | None => None,
         };
         match complaint {
-            None => Claimed::Unknown,
-            Some(complaint) if complaint.reason == CLAIMS_FULL => Claimed::Full,
-            Some(complaint) => Claimed::Held(complaint.path),
+            None => ClaimOutcome::Unknown,
+            Some(complaint) if complaint.reason == CLAIMS_FULL => ClaimOutcome::Full,
+            Some(complaint) => ClaimOutcome::Held(complaint.path),
         }
     }
 }
@@ -63,24 +63,24 @@
 
 /// Why an engine says that a request did not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Head {
+pub enum ResponseClass {
     /// Success: an answer or a stream follows.
-    Good,
+    Success,
     /// An answer that means by contract that nothing was started.
     NotStarted,
     /// The engine ended the attempt at the limit it was given, a moment before its router did.
     OutOfTime,
     /// Any other answer than success.
-    Refused,
+    Failure,
 }
 
 /// What the state machine is told.
 #[derive(Clone, Debug)]
-pub enum CarriageInput<P> {
+pub enum AttemptInput<P> {
     /// The request was taken; said first.
     Begin,
     /// What became of the claim.
-    ClaimSettled(Claimed),
+    ClaimSettled(ClaimOutcome),
     /// What came of the pick.
     Picked(PickOutcome),
     /// The engine is reached.
@@ -88,7 +88,7 @@
     /// The engine is not reached, and why.
     ConnectFault(String),
     /// The gate refused in the first write: no byte left.
-    Barred(StartBar),
+    StartRefused(StartRefusal),
     /// The question could not be sent whole.
     SendFault {
         /// Whether any of it may have reached the engine.
@@ -99,9 +99,9 @@
     /// The beginning of the engine's answer.
     Head {
         /// What it means.
-        head: Head,
+        head: ResponseClass,
         /// What the engine said, for logs.
-        told: String,
+        detail: String,
     },
     /// A piece of a stream, or a whole answer; `finished` says it is one to its end.
     Piece {
@@ -119,18 +119,18 @@
     /// The engine's stream broke, and why.
     Broken(String),
     /// There is no more room to hold the run in.
-    BookFull,
+    BufferFull,
     /// The caller closed its connection.
     CallerGone,
     /// The request's own limit has passed.
     LimitPassed,
     /// What is under way must end.
-    WorkBarred(WorkBar),
+    WorkStopped(StopReason),
 }
 
 /// What the state machine orders.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CarriageEffect<P> {
+pub enum AttemptEffect<P> {
     /// Claim the idempotency key.
     Claim,
     /// Give the claim back: nothing ran.
@@ -150,7 +150,7 @@
     /// Write the question, through the gate.
     Write,
     /// The engine has the prompt's blocks: the first piece came.
-    Began,
+    FirstPieceReceived,
     /// Send a piece of a stream to the caller.
     SendPiece(P),
     /// Send the whole answer to the caller.
@@ -158,7 +158,7 @@
     /// End the caller's stream with its end mark.
     EndWhole,
     /// Cut the caller's stream, and say why.
-    EndCut(Reason),
+    EndCut(CutReason),
     /// Answer the caller that the request was not served.
     GiveUp(GivenUp),
     /// Drop the stream to the engine and give its occupancy back.
@@ -213,9 +213,9 @@
 
 /// Why a stream was cut.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reason {
+pub struct CutReason {
     /// The reason as a word of the interface.
     pub kind: &'static str,
     /// The reason in words.
-    pub told: String,
+    pub message: String,
 }
--- a/crates/attempts/tests/machine.rs
+++ b/crates/attempts/tests/machine.rs
@@ -2,11 +2,11 @@
 
 use attempts::prelude::*;
 
-type Input = CarriageInput<u64>;
-type Effect = CarriageEffect<u64>;
+type Input = AttemptInput<u64>;
+type Effect = AttemptEffect<u64>;
 
-fn terms() -> Terms {
-    Terms { run: "r.1".into(), repeatable: false, streams: true, claims: false, resumes: false }
+fn terms() -> RequestTerms {
+    RequestTerms { run: "r.1".into(), repeatable: false, streams: true, claims: false, resumes: false }
 }
 
 fn placed(engine: &str) -> Input {
@@ -14,7 +14,7 @@
 }
 
 fn good_head() -> Input {
-    Input::Head { head: Head::Good, told: String::new() }
+    Input::Head { head: ResponseClass::Success, detail: String::new() }
 }
 
 fn piece(attempt: &str, number: u64) -> Input {
@@ -22,8 +22,8 @@
 }
 
 /// Steps through all inputs; the effects of the last.
-fn after(terms: Terms, inputs: Vec<Input>) -> Vec<Effect> {
-    let mut carriage = Carriage::new(terms);
+fn after(terms: RequestTerms, inputs: Vec<Input>) -> Vec<Effect> {
+    let mut carriage = AttemptMachine::new(terms);
     let mut last = carriage.step(Input::Begin);
     for input in inputs {
         last = carriage.step(input);
@@ -42,7 +42,7 @@
 fn an_uncertain_shot_is_followed_by_another_only_if_repeatable() {
     let lost = || vec![placed("a"), Input::Connected, Input::SendFault { byte_left: true, reason: "x".into() }];
     assert_eq!(given_up(&after(terms(), lost())), Some((GivenUpKind::NotServed, Ran::Perhaps)));
-    let again = after(Terms { repeatable: true, ..terms() }, lost());
+    let again = after(RequestTerms { repeatable: true, ..terms() }, lost());
     assert!(again.contains(&Effect::Pick { tried: vec!["a".into()], is_retry: true }), "{again:?}");
     let refused = after(terms(), vec![placed("a"), Input::ConnectFault("no".into())]);
     assert!(refused.contains(&Effect::Pick { tried: vec!["a".into()], is_retry: true }), "{refused:?}");
@@ -50,18 +50,18 @@
 
 #[test]
 fn a_bar_after_an_uncertain_shot_does_not_say_that_nothing_ran() {
-    for bar in [StartBar::NoLease, StartBar::KeyWithdrawn, StartBar::LimitPassed] {
+    for bar in [StartRefusal::NoLease, StartRefusal::KeyWithdrawn, StartRefusal::LimitPassed] {
         let inputs = vec![
             placed("a"),
             Input::Connected,
             Input::Broken("lost".into()),
             placed("b"),
             Input::Connected,
-            Input::Barred(bar),
+            Input::StartRefused(bar),
         ];
-        let effects = after(Terms { repeatable: true, ..terms() }, inputs);
+        let effects = after(RequestTerms { repeatable: true, ..terms() }, inputs);
         assert_eq!(given_up(&effects).map(|(_, ran)| ran), Some(Ran::Perhaps), "{bar:?}: {effects:?}");
-        let at_once = after(terms(), vec![placed("a"), Input::Connected, Input::Barred(bar)]);
+        let at_once = after(terms(), vec![placed("a"), Input::Connected, Input::StartRefused(bar)]);
         assert_eq!(given_up(&at_once).map(|(_, ran)| ran), Some(Ran::No), "{bar:?}");
     }
 }
@@ -79,8 +79,8 @@
         vec![Input::EndMark, Input::Broken("reset".into())],
         vec![Input::EndMark, Input::EndMark],
         vec![Input::LimitPassed],
-        vec![Input::BookFull],
-        vec![Input::WorkBarred(WorkBar::KeyWithdrawn)],
+        vec![Input::BufferFull],
+        vec![Input::WorkStopped(StopReason::KeyWithdrawn)],
     ] {
         let told = format!("{more:?}");
         let effects = with(more);
@@ -91,10 +91,10 @@
 
 #[test]
 fn an_engine_that_keeps_the_limit_is_no_fault() {
-    let out_of_time = Input::Head { head: Head::OutOfTime, told: "limit_passed".into() };
+    let out_of_time = Input::Head { head: ResponseClass::OutOfTime, detail: "limit_passed".into() };
     for repeatable in [false, true] {
         let inputs = vec![placed("a"), Input::Connected, out_of_time.clone()];
-        let effects = after(Terms { repeatable, ..terms() }, inputs);
+        let effects = after(RequestTerms { repeatable, ..terms() }, inputs);
         assert_eq!(given_up(&effects), Some((GivenUpKind::LimitPassed, Ran::Perhaps)), "{effects:?}");
         assert!(!effects.iter().any(|effect| matches!(effect, Effect::AttemptFault { .. })), "{effects:?}");
     }
@@ -102,7 +102,7 @@
 
 #[test]
 fn foreign_and_partial_answers_never_pass() {
-    let whole = Terms { streams: false, ..terms() };
+    let whole = RequestTerms { streams: false, ..terms() };
     let begun = || vec![placed("a"), Input::Connected];
     let with = |more: Vec<Input>| after(whole.clone(), begun().into_iter().chain(more).collect());
     let finished = |attempt: &str| Input::Piece { attempt: attempt.into(), finished: true, piece: 1 };
@@ -117,15 +117,15 @@
 
 #[test]
 fn a_claim_is_given_back_only_if_nothing_can_have_run() {
-    let claims = Terms { claims: true, ..terms() };
-    let taken = Input::ClaimSettled(Claimed::Taken);
+    let claims = RequestTerms { claims: true, ..terms() };
+    let taken = Input::ClaimSettled(ClaimOutcome::Taken);
     let refused = after(claims.clone(), vec![taken.clone(), Input::Picked(PickOutcome::NoEngine)]);
     assert!(refused.contains(&Effect::ReleaseClaim), "{refused:?}");
     let uncertain = vec![taken, placed("a"), Input::Connected, Input::LimitPassed];
     assert!(!after(claims.clone(), uncertain).contains(&Effect::ReleaseClaim));
-    let full = after(claims.clone(), vec![Input::ClaimSettled(Claimed::Full)]);
+    let full = after(claims.clone(), vec![Input::ClaimSettled(ClaimOutcome::Full)]);
     assert_eq!(given_up(&full), Some((GivenUpKind::NotServed, Ran::No)));
-    let held = after(claims, vec![Input::ClaimSettled(Claimed::Held("r.9".into()))]);
+    let held = after(claims, vec![Input::ClaimSettled(ClaimOutcome::Held("r.9".into()))]);
     assert_eq!(given_up(&held), Some((GivenUpKind::Claimed, Ran::Perhaps)));
 }
 
@@ -133,7 +133,7 @@
 fn only_a_held_run_goes_on_without_its_caller() {
     let inputs = || vec![placed("a"), Input::Connected, good_head(), piece("r.1.1", 0), Input::CallerGone];
     assert_eq!(after(terms(), inputs()), [Effect::EndAttempt]);
-    assert_eq!(after(Terms { resumes: true, ..terms() }, inputs()), []);
+    assert_eq!(after(RequestTerms { resumes: true, ..terms() }, inputs()), []);
 }
 
 /// Whatever comes in whatever order: one final word at most, never more attempts than allowed, no attempt
@@ -151,14 +151,14 @@
     draw: &mut arbtest::arbitrary::Unstructured<'_>,
     ended: &std::cell::Cell<u32>,
 ) -> arbtest::arbitrary::Result<()> {
-    let terms = Terms {
+    let terms = RequestTerms {
         run: "r.1".into(),
         repeatable: draw.arbitrary()?,
         streams: draw.arbitrary()?,
         claims: draw.arbitrary()?,
         resumes: draw.arbitrary()?,
     };
-    let mut carriage = Carriage::new(terms.clone());
+    let mut carriage = AttemptMachine::new(terms.clone());
     let (mut writes, mut finals, mut pieces) = (0, 0, 0);
     let mut effects = carriage.step(Input::Begin);
     for _ in 0..100 {
@@ -180,12 +180,12 @@
         }
         let attempt = carriage.attempt();
         let input = match draw.int_in_range(0..=15)? {
-            0 => Input::ClaimSettled(Claimed::Taken),
-            1 => Input::ClaimSettled(Claimed::Unknown),
+            0 => Input::ClaimSettled(ClaimOutcome::Taken),
+            1 => Input::ClaimSettled(ClaimOutcome::Unknown),
             2 | 3 => placed("a"),
             4 => Input::Picked(PickOutcome::NoEngine),
             5 | 6 => Input::Connected,
-            7 => Input::Barred(StartBar::EngineMoved),
+            7 => Input::StartRefused(StartRefusal::EngineMoved),
             8 => Input::SendFault { byte_left: draw.arbitrary()?, reason: "x".into() },
             9 | 10 => good_head(),
             11 | 12 => Input::Piece { attempt, finished: draw.arbitrary()?, piece: 1 },
@@ -195,7 +195,7 @@
         };
         effects = carriage.step(input);
     }
-    assert!(writes <= MOST_ATTEMPTS as usize);
+    assert!(writes <= MAX_ATTEMPTS as usize);
     ended.set(ended.get() + u32::from(finals > 0));
     Ok(())
 }
--- a/crates/router/src/forward/answer.rs
+++ b/crates/router/src/forward/answer.rs
@@ -76,13 +76,13 @@
     }
 
     /// Ends the stream; whole only once every piece and the end mark have been taken.
-    pub(super) fn end_stream(&mut self, cut: Option<Reason>) {
+    pub(super) fn end_stream(&mut self, cut: Option<CutReason>) {
         let Some(sink) = self.sink.clone() else { return };
         let counts = &self.run.shared.counts;
         let (counter, outcome) = if cut.is_some() { (&counts.cut, "cut") } else { (&counts.whole, "whole") };
         Counts::add(counter, 1);
         let end_event = format!("id: {}.{}\ndata: {STREAM_END}\n\n", self.run.plan.run, self.piece_count);
-        self.log_end(outcome, cut.as_ref().map_or("", |reason| &reason.told));
+        self.log_end(outcome, cut.as_ref().map_or("", |reason| &reason.message));
         if let (None, Some(first_ms), true) = (&cut, self.first_ms, self.piece_count > 1) {
             let streamed = boot_now().since(self.run.plan.began).as_millis().saturating_sub(first_ms);
             let pace = streamed as f64 / (self.piece_count - 1) as f64;
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -48,9 +48,9 @@
     }
 
     /// What the gate looks at when the first byte is written.
-    fn ground(&self, plan: &Plan, salt: Salt) -> Ground {
+    fn ground(&self, plan: &Plan, salt: Salt) -> AttemptBasis {
         let chosen = &self.placement.chosen;
-        Ground {
+        AttemptBasis {
             key_hash: plan.key_hash.clone(),
             tenant: plan.tenant.clone(),
             model: plan.model.clone(),
@@ -165,7 +165,7 @@
         match stream.send_gated(question, gate).await {
             Ok(replied) => self.read_head(replied).await,
             Err(SendFault { reason, byte_left }) => match *bar.lock().expect("no holder of this lock panics") {
-                Some(found) => Input::Barred(found),
+                Some(found) => Input::StartRefused(found),
                 None => Input::SendFault { byte_left, reason },
             },
         }
@@ -180,7 +180,7 @@
             attempt.replied = Some(replied);
         }
         self.awaited = Awaited::Pieces;
-        Input::Head { head: Head::Good, told: String::new() }
+        Input::Head { head: ResponseClass::Success, detail: String::new() }
     }
 
     async fn read_refusal(&self, mut replied: Replied) -> Input {
@@ -188,14 +188,14 @@
         let told: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let told_kind = told["error"]["type"].as_str().unwrap_or("");
         let head = match told_kind {
-            "not_accepting" | "other_weights" | NOT_RESIDENT => Head::NotStarted,
-            "limit_passed" => Head::OutOfTime,
-            _ => Head::Refused,
+            "not_accepting" | "other_weights" | NOT_RESIDENT => ResponseClass::NotStarted,
+            "limit_passed" => ResponseClass::OutOfTime,
+            _ => ResponseClass::Failure,
         };
         if told_kind == NOT_RESIDENT {
             self.note_cold();
         }
-        Input::Head { head, told: format!("engine answered {} {told_kind}", replied.status.as_u16()) }
+        Input::Head { head, detail: format!("engine answered {} {told_kind}", replied.status.as_u16()) }
     }
 
     /// The next of the engine's answer.
@@ -254,7 +254,7 @@
 /// A piece, or a whole answer, if it was made on the adapter of its attempt.
 fn read_piece(data: &str, adapter: Option<&AdapterId>) -> Input {
     match serde_json::from_str::<Completion>(data) {
-        Ok(completion) if !is_own_answer(adapter, completion.adapter.as_deref()) => {
+        Ok(completion) if !names_expected_adapter(adapter, completion.adapter.as_deref()) => {
             Input::Broken("an answer of another adapter".into())
         }
         Ok(completion) => {
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -14,8 +14,8 @@
 pub use run::Run;
 use sink::Sink;
 
-type Input = CarriageInput<Box<Completion>>;
-type Effect = CarriageEffect<Box<Completion>>;
+type Input = AttemptInput<Box<Completion>>;
+type Effect = AttemptEffect<Box<Completion>>;
 
 /// What the machine waits for.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
 /// A run and the machine of its attempts.
 struct Forwarder {
     run: Run,
-    carriage: Carriage<Box<Completion>>,
+    carriage: AttemptMachine<Box<Completion>>,
     awaited: Awaited,
     attempt: Option<Attempt>,
     engine: EngineName,
@@ -54,7 +54,7 @@
 impl Forwarder {
     fn new(run: Run) -> Forwarder {
         let plan = &run.plan;
-        let terms = Terms {
+        let terms = RequestTerms {
             run: plan.run.clone(),
             repeatable: plan.repeatable,
             streams: plan.streams,
@@ -63,7 +63,7 @@
         };
         Forwarder {
             run,
-            carriage: Carriage::new(terms),
+            carriage: AttemptMachine::new(terms),
             awaited: Awaited::Nothing,
             attempt: None,
             engine: EngineName::from(""),
@@ -121,7 +121,7 @@
         };
         tokio::select! {
             biased;
-            bar = shared.work_barred(&key_hash, &tenant) => Input::WorkBarred(bar),
+            bar = shared.work_barred(&key_hash, &tenant) => Input::WorkStopped(bar),
             () = tokio::time::sleep(limit_left) => Input::LimitPassed,
             () = caller_gone => Input::CallerGone,
             input = self.next_input() => input,
@@ -133,7 +133,7 @@
         while let Some(event) = self.outbox.front().cloned() {
             let Some(sink) = self.sink.clone() else { break };
             if !sink.send(event).await {
-                return if sink.is_book() { Input::BookFull } else { Input::CallerGone };
+                return if sink.is_book() { Input::BufferFull } else { Input::CallerGone };
             }
             self.outbox.pop_front();
         }
@@ -160,7 +160,7 @@
                     self.awaited = Awaited::Stream;
                 }
                 Effect::Write => self.awaited = Awaited::Head,
-                Effect::Began => answered = self.begin_answer(),
+                Effect::FirstPieceReceived => answered = self.begin_answer(),
                 Effect::SendPiece(completion) => self.send_piece(*completion),
                 Effect::AnswerWhole(completion) => answered = Some(self.answer_whole(*completion)),
                 Effect::EndWhole => self.end_stream(None),
@@ -183,9 +183,9 @@
     /// Claims the idempotency key in the core.
     async fn claim(&mut self) -> Input {
         let (router, run) = (self.run.router, self.run.plan.run_number);
-        let Some(claim) = self.run.plan.claim else { return Input::ClaimSettled(Claimed::Unknown) };
+        let Some(claim) = self.run.plan.claim else { return Input::ClaimSettled(ClaimOutcome::Unknown) };
         let settled = self.run.core_line.submit(Command::Claim { claim, router, run }).await;
-        Input::ClaimSettled(Claimed::of(settled))
+        Input::ClaimSettled(ClaimOutcome::of(settled))
     }
 
     /// Gives the claim back, since the run surely did not run.
--- a/crates/router/src/forward/prefill.rs
+++ b/crates/router/src/forward/prefill.rs
@@ -6,7 +6,7 @@
 impl Run {
     /// In a split pool, asks for the prefill first, through the gate as any work. If it fails, the
     /// decoding engine prefills itself.
-    pub(super) async fn prefill(&self, prefill_place: &PrefillPlace, attempt_name: &str, ground: &Ground) {
+    pub(super) async fn prefill(&self, prefill_place: &PrefillPlace, attempt_name: &str, ground: &AttemptBasis) {
         let (prompt, cache_salt) = ((*self.plan.prompt_text).clone(), ground.salt.0.clone());
         let half_left = Span(self.plan.limit.since(boot_now()).0 / 2);
         let allowance = Allowance::under(self.shared.lease_until(), self.plan.limit);
@@ -18,7 +18,7 @@
                 .header(LIMIT_HEADER, allowed_ms.to_string());
         let question = name_adapter(question, ground.adapter.as_ref());
         let shared = Arc::clone(&self.shared);
-        let ground = Ground { engine: prefill_place.engine.clone(), ..ground.clone() };
+        let ground = AttemptBasis { engine: prefill_place.engine.clone(), ..ground.clone() };
         let gate = Box::new(move || shared.may_start(&ground).map_err(|found| format!("{found:?}")));
         let asking = async {
             let stream = open_stream(&prefill_place.address, CONNECT_LIMIT).await?;
--- a/crates/router/src/forward/sink.rs
+++ b/crates/router/src/forward/sink.rs
@@ -31,7 +31,7 @@
     }
 
     /// Ends the stream with an error.
-    pub(super) fn cut(&self, reason: Reason) {
+    pub(super) fn cut(&self, reason: CutReason) {
         match self {
             Sink::Caller(pieces) => pieces.cut(cut_words(&reason)),
             Sink::Book(held_run) => held_run.end(HeldEnd::Cut(reason)),
@@ -54,7 +54,7 @@
             Sink::Caller(_) => {}
             Sink::Book(held_run) if all_sent => held_run.end(HeldEnd::Whole),
             Sink::Book(_) => {
-                self.cut(Reason { kind: "cut", told: "the run is too large to be held".into() });
+                self.cut(CutReason { kind: "cut", message: "the run is too large to be held".into() });
             }
         }
     }
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/request_site.rs
@@ -49,10 +49,10 @@
     async fn resume(&self, asked: &Asked, run: &str, last_event: Option<&str>) -> WebOutcome {
         let bad = |reason: &str| refuse(StatusCode::BAD_REQUEST, "bad_request", reason);
         let gone = || refuse(StatusCode::GONE, "gone", "this run is not held any more; it is not begun anew");
-        let Some(named) = EventName::read(run).filter(|named| named.piece.is_none()) else {
+        let Some(named) = EventId::read(run).filter(|named| named.piece.is_none()) else {
             return bad("a run is ROUTER.NUMBER, as told in x-haremount-run");
         };
-        let last_piece = match last_event.map(EventName::read) {
+        let last_piece = match last_event.map(EventId::read) {
             None => None,
             Some(Some(last)) if (last.router, last.run) == (named.router, named.run) && last.piece.is_some() => {
                 last.piece
--- a/crates/router/src/runs.rs
+++ b/crates/router/src/runs.rs
@@ -97,8 +97,8 @@
 }
 
 /// The last words of a stream that is not whole.
-pub fn cut_words(reason: &Reason) -> Bytes {
-    let told = json!({"error": {"type": reason.kind, "message": reason.told}});
+pub fn cut_words(reason: &CutReason) -> Bytes {
+    let told = json!({"error": {"type": reason.kind, "message": reason.message}});
     Bytes::from(format!("event: error\ndata: {told}\n\n"))
 }
 
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -177,17 +177,17 @@
     }
 
     /// The last look before the first byte of an attempt.
-    pub fn may_start(&self, ground: &Ground) -> Result<(), StartBar> {
+    pub fn may_start(&self, ground: &AttemptBasis) -> Result<(), StartRefusal> {
         may_start(&self.sight(), self.lease_until(), ground, boot_now())
     }
 
     /// Resolves when work for this key must end here.
-    pub async fn work_barred(&self, key_hash: &str, tenant: &TenantName) -> WorkBar {
+    pub async fn work_barred(&self, key_hash: &str, tenant: &TenantName) -> StopReason {
         let mut news = self.news.subscribe();
         loop {
             news.borrow_and_update();
             let now = boot_now();
-            if let Err(bar) = may_go_on(&self.sight(), self.lease_until(), key_hash, tenant, now) {
+            if let Err(bar) = may_continue(&self.sight(), self.lease_until(), key_hash, tenant, now) {
                 return bar;
             }
             tokio::select! {
--- a/crates/simulator/src/bounds.rs
+++ b/crates/simulator/src/bounds.rs
@@ -17,10 +17,10 @@
         let mut ended = Vec::new();
         for (number, run) in router.runs.iter().filter(|(_, run)| !run.attempts.is_done()) {
             let (key_hash, tenant) = (&run.request.key_hash, &run.request.tenant);
-            if let Err(bar) = may_go_on(&router.sight, router.lease_until, key_hash, tenant, local_now) {
-                ended.push((*number, CarriageInput::WorkBarred(bar)));
+            if let Err(bar) = may_continue(&router.sight, router.lease_until, key_hash, tenant, local_now) {
+                ended.push((*number, AttemptInput::WorkStopped(bar)));
             } else if local_now >= run.limit {
-                ended.push((*number, CarriageInput::LimitPassed));
+                ended.push((*number, AttemptInput::LimitPassed));
             }
         }
         for (number, input) in ended {
--- a/crates/simulator/src/callers.rs
+++ b/crates/simulator/src/callers.rs
@@ -153,7 +153,7 @@
 
     /// The caller's end of the stream is closed; the run hears of it.
     fn leave(&mut self, caller: usize) {
-        let Some(named) = EventName::read(&self.callers[caller].line.run) else { return };
+        let Some(named) = EventId::read(&self.callers[caller].line.run) else { return };
         let holds = |node: &SimNode| node.router.as_ref().is_some_and(|router| router.id == named.router);
         let Some(node) = self.nodes.iter().position(holds) else { return };
         let delay = self.net.delay(&mut self.draw);
@@ -173,7 +173,7 @@
             return;
         }
         left_run.caller = None;
-        self.drive(left.node, left.router, left.run, CarriageInput::CallerGone);
+        self.drive(left.node, left.router, left.run, AttemptInput::CallerGone);
     }
 
     pub fn caller_gets(&mut self, number: usize, news: CallerNews) {
--- a/crates/simulator/src/claims.rs
+++ b/crates/simulator/src/claims.rs
@@ -37,7 +37,7 @@
         }
         if self.now >= until {
             if let Some((_, _, run)) = self.tickets.remove(&ticket) {
-                self.drive(node, router, run, CarriageInput::ClaimSettled(Claimed::Unknown));
+                self.drive(node, router, run, AttemptInput::ClaimSettled(ClaimOutcome::Unknown));
             }
             return;
         }
@@ -50,6 +50,6 @@
 
     pub fn settle_claim(&mut self, node: usize, ticket: u64, outcome: Settled) {
         let Some((_, router, run)) = self.tickets.remove(&ticket) else { return };
-        self.drive(node, router, run, CarriageInput::ClaimSettled(Claimed::of(Some(outcome))));
+        self.drive(node, router, run, AttemptInput::ClaimSettled(ClaimOutcome::of(Some(outcome))));
     }
 }
--- a/crates/simulator/src/effects.rs
+++ b/crates/simulator/src/effects.rs
@@ -8,28 +8,28 @@
         node: usize,
         router_id: NodeId,
         run: &mut SimRun,
-        effect: CarriageEffect<SimPiece>,
-        inputs: &mut VecDeque<CarriageInput<SimPiece>>,
+        effect: AttemptEffect<SimPiece>,
+        inputs: &mut VecDeque<AttemptInput<SimPiece>>,
     ) {
         let now = self.now;
         let local_now = self.nodes[node].clock.read(now);
         match effect {
-            CarriageEffect::Claim => {
+            AttemptEffect::Claim => {
                 let Some(claim) = run.claim else { return };
                 let command = Command::Claim { claim, router: router_id, run: run.number };
                 self.ask_core(node, router_id, run.number, command, true);
             }
-            CarriageEffect::ReleaseClaim => {
+            AttemptEffect::ReleaseClaim => {
                 let Some(claim) = run.claim else { return };
                 let command = Command::Release { claim, router: router_id, run: run.number };
                 self.ask_core(node, router_id, run.number, command, false);
             }
-            CarriageEffect::Pick { tried, is_retry } => {
-                inputs.push_back(CarriageInput::Picked(self.pick(node, run, tried, is_retry, local_now)));
+            AttemptEffect::Pick { tried, is_retry } => {
+                inputs.push_back(AttemptInput::Picked(self.pick(node, run, tried, is_retry, local_now)));
             }
-            CarriageEffect::Connect { attempt } => self.connect_attempt(node, router_id, run, attempt),
-            CarriageEffect::Write => self.write(node, router_id, run, local_now, inputs),
-            CarriageEffect::Began => {
+            AttemptEffect::Connect { attempt } => self.connect_attempt(node, router_id, run, attempt),
+            AttemptEffect::Write => self.write(node, router_id, run, local_now, inputs),
+            AttemptEffect::FirstPieceReceived => {
                 if let (Some(router), Some(attempt)) = (self.nodes[node].router.as_mut(), &run.attempt) {
                     router.picker.note_kept(&attempt.ground.engine, &attempt.names, local_now);
                 }
@@ -37,23 +37,23 @@
                     run.held = Some(HeldEvents::default());
                 }
             }
-            CarriageEffect::SendPiece(piece) => {
+            AttemptEffect::SendPiece(piece) => {
                 if let Some(held) = &mut run.held
                     && !held.hold(piece.clone(), 64)
                 {
-                    inputs.push_back(CarriageInput::BookFull);
+                    inputs.push_back(AttemptInput::BufferFull);
                     return;
                 }
                 self.feed_caller(run, CallerNews::Piece(piece));
             }
-            CarriageEffect::AnswerWhole(piece) => self.feed_caller(run, CallerNews::Whole(piece)),
-            CarriageEffect::EndWhole => {
+            AttemptEffect::AnswerWhole(piece) => self.feed_caller(run, CallerNews::Whole(piece)),
+            AttemptEffect::EndWhole => {
                 if let Some(held) = &mut run.held {
                     held.end(HeldEnd::Whole, local_now);
                 }
                 self.feed_caller(run, CallerNews::End);
             }
-            CarriageEffect::EndCut(reason) => {
+            AttemptEffect::EndCut(reason) => {
                 let kind = reason.kind;
                 run.cut_kind = kind;
                 if let Some(held) = &mut run.held {
@@ -61,11 +61,11 @@
                 }
                 self.feed_caller(run, CallerNews::Cut(kind));
             }
-            CarriageEffect::GiveUp(given_up) => {
+            AttemptEffect::GiveUp(given_up) => {
                 self.feed_caller(run, final_news(&given_up));
             }
-            CarriageEffect::EndAttempt => self.end_attempt(node, run),
-            CarriageEffect::AttemptFault { rests, .. } => {
+            AttemptEffect::EndAttempt => self.end_attempt(node, run),
+            AttemptEffect::AttemptFault { rests, .. } => {
                 if let (Some(router), Some(attempt), true) = (self.nodes[node].router.as_mut(), &run.attempt, rests) {
                     router.picker.note_fault(&attempt.ground.engine, local_now);
                 }
@@ -79,11 +79,11 @@
         let to = AttemptPlaceName { node, router: router_id, run: run.number, attempt };
         let (span, input) = match self.engines[under_way.engine].up {
             true if self.net.slow && self.draw.chance(30) => {
-                (Span::millis(self.draw.between(100, 690)), CarriageInput::Connected)
+                (Span::millis(self.draw.between(100, 690)), AttemptInput::Connected)
             }
-            true => (self.net.delay(&mut self.draw), CarriageInput::Connected),
-            false if self.draw.chance(30) => (Span::millis(700), CarriageInput::ConnectFault("late".into())),
-            false => (Span::millis(2), CarriageInput::ConnectFault("refused".into())),
+            true => (self.net.delay(&mut self.draw), AttemptInput::Connected),
+            false if self.draw.chance(30) => (Span::millis(700), AttemptInput::ConnectFault("late".into())),
+            false => (Span::millis(2), AttemptInput::ConnectFault("refused".into())),
         };
         let prefiller = under_way.placement.prefill.iter().map(|prefill| prefill.engine.clone());
         let engines = prefiller.chain([under_way.ground.engine.clone()]).collect();
--- a/crates/simulator/src/engine_work.rs
+++ b/crates/simulator/src/engine_work.rs
@@ -9,20 +9,20 @@
     pub fn engine_gets(&mut self, number: usize, ask: EngineAsk) {
         let now = self.now;
         let answer_at = now + self.net.delay(&mut self.draw);
-        let head = |head, told: &str| CarriageInput::Head { head, told: told.into() };
+        let head = |head, told: &str| AttemptInput::Head { head, detail: told.into() };
         let engine = &self.engines[number];
         if !engine.up {
-            let input = CarriageInput::SendFault { byte_left: true, reason: "reset".into() };
+            let input = AttemptInput::SendFault { byte_left: true, reason: "reset".into() };
             return self.tell_run(&ask.to, answer_at, input);
         }
         if !engine.accepting {
-            return self.tell_run(&ask.to, answer_at, head(Head::NotStarted, "not_accepting"));
+            return self.tell_run(&ask.to, answer_at, head(ResponseClass::NotStarted, "not_accepting"));
         }
         if engine.weights != ask.weights {
-            return self.tell_run(&ask.to, answer_at, head(Head::NotStarted, "other_weights"));
+            return self.tell_run(&ask.to, answer_at, head(ResponseClass::NotStarted, "other_weights"));
         }
         if !engine.holds(ask.adapter.as_ref()) {
-            return self.tell_run(&ask.to, answer_at, head(Head::NotStarted, NOT_RESIDENT));
+            return self.tell_run(&ask.to, answer_at, head(ResponseClass::NotStarted, NOT_RESIDENT));
         }
         let (at, manner) = (self.millis(), if engine.manner_until > now { engine.manner } else { Manner::Good });
         let own_count = engine.memory.overlap(&ask.names);
@@ -176,19 +176,19 @@
     fn breaks_off(&mut self, attempt: &mut EngineAttempt, told_at: Instant) -> bool {
         if attempt.manner == Manner::Refuses {
             let told = "engine answered 500".into();
-            self.tell_run(&attempt.to, told_at, CarriageInput::Head { head: Head::Refused, told });
+            self.tell_run(&attempt.to, told_at, AttemptInput::Head { head: ResponseClass::Failure, detail: told });
             return true;
         }
         if !attempt.headed && (attempt.streams || attempt.place == attempt.tokens) {
             attempt.headed = true;
-            let input = CarriageInput::Head { head: Head::Good, told: String::new() };
+            let input = AttemptInput::Head { head: ResponseClass::Success, detail: String::new() };
             self.tell_run(&attempt.to, told_at, input);
         }
         let early_end = match attempt.manner {
-            Manner::Breaks(after) => (attempt.place >= after).then(|| CarriageInput::Broken("reset".into())),
-            Manner::EndsEarly(after) => (attempt.place >= after).then_some(CarriageInput::Closed),
+            Manner::Breaks(after) => (attempt.place >= after).then(|| AttemptInput::Broken("reset".into())),
+            Manner::EndsEarly(after) => (attempt.place >= after).then_some(AttemptInput::Closed),
             Manner::Partial if attempt.streams => {
-                (attempt.place >= attempt.tokens / 2).then_some(CarriageInput::Closed)
+                (attempt.place >= attempt.tokens / 2).then_some(AttemptInput::Closed)
             }
             _ => None,
         };
@@ -206,7 +206,7 @@
     /// A stream's end mark and end, or the whole answer.
     fn tell_end(&mut self, attempt: &EngineAttempt, told_at: Instant) {
         if attempt.streams {
-            self.tell_run(&attempt.to, told_at, CarriageInput::EndMark);
+            self.tell_run(&attempt.to, told_at, AttemptInput::EndMark);
             if attempt.manner == Manner::GoesOn {
                 self.tell_run(
                     &attempt.to,
@@ -214,7 +214,7 @@
                     piece_of(&attempt.to.attempt, attempt.place, true, attempt.names()),
                 );
             }
-            return self.tell_run(&attempt.to, told_at, CarriageInput::Closed);
+            return self.tell_run(&attempt.to, told_at, AttemptInput::Closed);
         }
         let finished = attempt.manner != Manner::Partial;
         let is_foreign = matches!(attempt.manner, Manner::Foreign | Manner::ForeignPiece(_));
@@ -229,23 +229,23 @@
         self.record.engines.push(EngineLine::End { at, engine, attempt: attempt_name, pieces: attempt.place, whole });
     }
 
-    pub(crate) fn tell_run(&mut self, to: &AttemptPlaceName, at: Instant, input: CarriageInput<SimPiece>) {
+    pub(crate) fn tell_run(&mut self, to: &AttemptPlaceName, at: Instant, input: AttemptInput<SimPiece>) {
         self.at(at, SimEvent::RunInput { to: to.clone(), input });
     }
 }
 
 /// How an attempt is told that its limit has passed.
-fn out_of_time(attempt: &EngineAttempt) -> CarriageInput<SimPiece> {
+fn out_of_time(attempt: &EngineAttempt) -> AttemptInput<SimPiece> {
     let told = String::from("limit_passed");
     match attempt.headed {
-        true => CarriageInput::Broken(told),
-        false => CarriageInput::Head { head: Head::OutOfTime, told },
+        true => AttemptInput::Broken(told),
+        false => AttemptInput::Head { head: ResponseClass::OutOfTime, detail: told },
     }
 }
 
-fn piece_of(attempt: &str, place: u64, finished: bool, adapter: Option<AdapterId>) -> CarriageInput<SimPiece> {
+fn piece_of(attempt: &str, place: u64, finished: bool, adapter: Option<AdapterId>) -> AttemptInput<SimPiece> {
     let piece = SimPiece { attempt: attempt.into(), place, adapter };
-    CarriageInput::Piece { attempt: attempt.into(), finished, piece }
+    AttemptInput::Piece { attempt: attempt.into(), finished, piece }
 }
 
 fn start_line(at: u64, engine: &SimEngine, ask: &EngineAsk, own_count: usize) -> StartLine {
--- a/crates/simulator/src/engines.rs
+++ b/crates/simulator/src/engines.rs
@@ -154,7 +154,7 @@
         let attempts = std::mem::take(&mut engine.attempts);
         for attempt in attempts.into_values().filter(|_| !with_machine) {
             let at = attempt.told_until.max(self.now + Span::millis(2));
-            self.tell_run(&attempt.to, at, CarriageInput::Broken("reset".into()));
+            self.tell_run(&attempt.to, at, AttemptInput::Broken("reset".into()));
         }
     }
 
--- a/crates/simulator/src/events.rs
+++ b/crates/simulator/src/events.rs
@@ -63,7 +63,7 @@
     },
     RunInput {
         to: AttemptPlaceName,
-        input: CarriageInput<SimPiece>,
+        input: AttemptInput<SimPiece>,
     },
     EngineGets {
         engine: usize,
--- a/crates/simulator/src/placing.rs
+++ b/crates/simulator/src/placing.rs
@@ -49,7 +49,7 @@
         let weights = placement.chosen.weights;
         let engine_name = placement.chosen.engine.clone();
         let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
-        let ground = Ground {
+        let ground = AttemptBasis {
             key_hash: run.request.key_hash.clone(),
             tenant: run.request.tenant.clone(),
             model: model.clone(),
@@ -84,7 +84,7 @@
         router_id: NodeId,
         run: &mut SimRun,
         local_now: Instant,
-        inputs: &mut VecDeque<CarriageInput<SimPiece>>,
+        inputs: &mut VecDeque<AttemptInput<SimPiece>>,
     ) {
         if self.ask_prefill(node, router_id, run, local_now) {
             return;
@@ -93,7 +93,7 @@
         let to = AttemptPlaceName { node, router: router_id, run: run.number, attempt: attempt.name.clone() };
         attempt.prefilled = Prefilled::Over;
         if let Err(bar) = may_start(&router.sight, router.lease_until, &attempt.ground, local_now) {
-            inputs.push_back(CarriageInput::Barred(bar));
+            inputs.push_back(AttemptInput::StartRefused(bar));
             return;
         }
         let bound = router.sight.state.adapter_for(&run.request.tenant, &attempt.ground.model);
@@ -128,7 +128,7 @@
             return false;
         };
         attempt.prefilled = Prefilled::Asked;
-        let ground = Ground { engine: prefill.engine.clone(), ..attempt.ground.clone() };
+        let ground = AttemptBasis { engine: prefill.engine.clone(), ..attempt.ground.clone() };
         let place = self.engines.iter().position(|engine| engine.name == prefill.engine);
         let may_prefill = may_start(&router.sight, router.lease_until, &ground, local_now).is_ok();
         let Some(engine) = place.filter(|_| may_prefill) else { return false };
--- a/crates/simulator/src/resuming.rs
+++ b/crates/simulator/src/resuming.rs
@@ -20,7 +20,7 @@
         let Some(tenant) = router.sight.tenants_by_key.get(&line.key).cloned() else {
             return self.caller_gets(caller, CallerNews::Gone);
         };
-        let Some(named) = EventName::read(&line.run) else { return self.caller_gets(caller, CallerNews::Gone) };
+        let Some(named) = EventId::read(&line.run) else { return self.caller_gets(caller, CallerNews::Gone) };
         if named.router != router.id {
             let is_listed = !carried && router.routers.iter().any(|listed| listed.router == named.router);
             let holds = |other: &SimNode| other.router.as_ref().is_some_and(|known| known.id == named.router);
--- a/crates/simulator/src/runs.rs
+++ b/crates/simulator/src/runs.rs
@@ -15,7 +15,7 @@
 
 pub struct SimRun {
     pub number: u64,
-    pub attempts: Carriage<SimPiece>,
+    pub attempts: AttemptMachine<SimPiece>,
     pub request: SimRequest,
     /// The caller whose stream this run feeds now, and which of its streams that is.
     pub caller: Option<(usize, u64)>,
@@ -47,7 +47,7 @@
     pub(crate) engine: usize,
     pub(crate) blocks: BlockCount,
     pub(crate) placement: Box<Placement>,
-    pub(crate) ground: Ground,
+    pub(crate) ground: AttemptBasis,
     pub(crate) names: Vec<BlockHash>,
     /// When its question reaches the engine; a close of the stream comes after that.
     pub(crate) arrives_at: Option<Instant>,
@@ -96,7 +96,7 @@
             .idempotency_key
             .filter(|_| !request.repeatable)
             .map(|key| BlockHash::over(&[b"claim", tenant.as_str().as_bytes(), &key.to_le_bytes()]));
-        let terms = Terms {
+        let terms = RequestTerms {
             run: run_name,
             repeatable: request.repeatable,
             streams: request.streams,
@@ -105,7 +105,7 @@
         };
         let run = SimRun {
             number,
-            attempts: Carriage::new(terms),
+            attempts: AttemptMachine::new(terms),
             limit: local_now + request.limit,
             request: SimRequest { tenant, ..request },
             caller: Some((caller, 0)),
@@ -115,11 +115,11 @@
             cut_kind: "",
         };
         router.runs.insert(number, run);
-        self.drive(node, router_id, number, CarriageInput::Begin);
+        self.drive(node, router_id, number, AttemptInput::Begin);
     }
 
     /// News from an engine for an attempt; void if that attempt is over.
-    pub fn hear_engine(&mut self, to: AttemptPlaceName, input: CarriageInput<SimPiece>) {
+    pub fn hear_engine(&mut self, to: AttemptPlaceName, input: AttemptInput<SimPiece>) {
         let woken_at = self.nodes[to.node].frozen_until;
         if woken_at > self.now {
             return self.defer(woken_at, SimEvent::RunInput { to, input });
@@ -132,11 +132,11 @@
         // A router woken looks at its key and lease before it reads what has come meanwhile.
         let local_now = self.nodes[to.node].clock.read(self.now);
         let (key_hash, tenant) = (&run.request.key_hash, &run.request.tenant);
-        let input = match may_go_on(&router.sight, router.lease_until, key_hash, tenant, local_now) {
-            Err(bar) => CarriageInput::WorkBarred(bar),
+        let input = match may_continue(&router.sight, router.lease_until, key_hash, tenant, local_now) {
+            Err(bar) => AttemptInput::WorkStopped(bar),
             Ok(()) => own_answer(run, input),
         };
-        let is_cold = matches!(&input, CarriageInput::Head { told, .. } if told == NOT_RESIDENT);
+        let is_cold = matches!(&input, AttemptInput::Head { detail, .. } if detail == NOT_RESIDENT);
         let adapter = run
             .attempt
             .as_ref()
@@ -149,7 +149,7 @@
     }
 
     /// Steps a run's attempts, and whatever follows from its effects at once.
-    pub fn drive(&mut self, node: usize, router_id: NodeId, number: u64, input: CarriageInput<SimPiece>) {
+    pub fn drive(&mut self, node: usize, router_id: NodeId, number: u64, input: AttemptInput<SimPiece>) {
         self.drive_on(node, router_id, number, Some(input));
     }
 
@@ -159,12 +159,12 @@
         node: usize,
         router_id: NodeId,
         number: u64,
-        input: Option<CarriageInput<SimPiece>>,
+        input: Option<AttemptInput<SimPiece>>,
     ) {
         let Some(router) = self.nodes[node].router.as_mut().filter(|router| router.id == router_id) else { return };
         let Some(mut run) = router.runs.remove(&number) else { return };
         let writes = input.is_none();
-        let mut inputs: VecDeque<CarriageInput<SimPiece>> = input.into_iter().collect();
+        let mut inputs: VecDeque<AttemptInput<SimPiece>> = input.into_iter().collect();
         if writes {
             let local_now = self.nodes[node].clock.read(self.now);
             self.write(node, router_id, &mut run, local_now, &mut inputs);
@@ -182,12 +182,12 @@
 }
 
 /// What an engine tells, if it names the adapter that the attempt was to run on.
-fn own_answer(run: &SimRun, input: CarriageInput<SimPiece>) -> CarriageInput<SimPiece> {
-    let CarriageInput::Piece { piece, .. } = &input else { return input };
+fn own_answer(run: &SimRun, input: AttemptInput<SimPiece>) -> AttemptInput<SimPiece> {
+    let AttemptInput::Piece { piece, .. } = &input else { return input };
     let adapter = run.attempt.as_ref().and_then(|attempt| attempt.ground.adapter.as_ref());
     let named = piece.adapter.as_ref().map(AdapterId::to_string);
-    match is_own_answer(adapter, named.as_deref()) {
+    match names_expected_adapter(adapter, named.as_deref()) {
         true => input,
-        false => CarriageInput::Broken("an answer of another adapter".into()),
+        false => AttemptInput::Broken("an answer of another adapter".into()),
     }
 }
