--- a/crates/adapters/src/closing.rs
+++ b/crates/adapters/src/closing.rs
@@ -47,7 +47,7 @@
     pub fn may_close(
         &mut self,
         state: &FleetState,
-        seen: &BTreeMap<EngineName, SeenEngine>,
+        seen: &BTreeMap<EngineName, AdapterReport>,
         engine: &EngineName,
         now: Instant,
     ) -> bool {
@@ -78,7 +78,7 @@
     fn count_elsewhere(
         &self,
         state: &FleetState,
-        seen: &BTreeMap<EngineName, SeenEngine>,
+        seen: &BTreeMap<EngineName, AdapterReport>,
         engine: &EngineName,
         adapter: &AdapterId,
         now: Instant,
@@ -99,7 +99,7 @@
     pub fn may_do_step(
         &mut self,
         state: &FleetState,
-        seen: &BTreeMap<EngineName, SeenEngine>,
+        seen: &BTreeMap<EngineName, AdapterReport>,
         plan: Edition,
         now: Instant,
     ) -> bool {
--- a/crates/adapters/src/demand.rs
+++ b/crates/adapters/src/demand.rs
@@ -29,14 +29,14 @@
 
 /// Rates by adapter and region, and since when each counts.
 #[derive(Clone, Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     reports: BTreeMap<NodeId, (DemandReport, Instant)>,
     regions: BTreeMap<(AdapterName, Region), RegionDemand>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     /// Takes what the tail has heard; the latest report of a router counts.
-    pub fn hear(&mut self, heard: Vec<HeardDemand>, now: Instant) {
+    pub fn record(&mut self, heard: Vec<HeardDemand>, now: Instant) {
         for HeardDemand { report, age } in heard {
             let said = Instant(now.0.saturating_sub(age.0));
             let is_newer = self.reports.get(&report.router).is_none_or(|(_, known)| *known < said);
--- a/crates/adapters/src/meter.rs
+++ b/crates/adapters/src/meter.rs
@@ -41,14 +41,14 @@
 
 impl DemandMeter {
     /// Counts a request that arrived.
-    pub fn note(&mut self, adapter: &AdapterName, span: Span, now: Instant) {
+    pub fn record(&mut self, adapter: &AdapterName, span: Span, now: Instant) {
         let rate = self.rates.entry(adapter.clone()).or_default();
         rate.value = decayed(rate.value, now.since(rate.at), span) + weight_of_one(span);
         rate.at = now;
     }
 
     /// The rates as they are told now; adapters long without a request are forgotten.
-    pub fn tell(&mut self, span: Span, now: Instant) -> BTreeMap<AdapterName, u64> {
+    pub fn rates(&mut self, span: Span, now: Instant) -> BTreeMap<AdapterName, u64> {
         self.rates.retain(|_, rate| decayed(rate.value, now.since(rate.at), span) >= LEAST_TOLD);
         let told = self.rates.iter().map(|(adapter, rate)| {
             let value = decayed(rate.value, now.since(rate.at), span);
--- a/crates/adapters/src/planner.rs
+++ b/crates/adapters/src/planner.rs
@@ -14,7 +14,7 @@
 
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WarmingAct {
+pub enum WarmingAction {
     /// Put a copy's stage into the fleet state, or take the copy out of it.
     Place {
         engine: EngineName,
@@ -42,7 +42,7 @@
 /// The planner's own memory, which a new conductor begins without.
 #[derive(Clone, Debug, Default)]
 pub struct WarmingPlanner {
-    pub demand: DemandBook,
+    pub demand: DemandTracker,
     pub closings: ClosingGuard,
     began: Option<Instant>,
     /// Since when a copy has stood in its present stage here.
@@ -58,22 +58,22 @@
 /// One round of planning.
 struct Round<'a> {
     state: &'a FleetState,
-    seen: &'a BTreeMap<EngineName, SeenEngine>,
+    seen: &'a BTreeMap<EngineName, AdapterReport>,
     now: Instant,
     /// The engines that may serve now, of all pools.
     serving: BTreeSet<EngineName>,
     /// Loads that may still begin.
     room: usize,
-    acts: Vec<WarmingAct>,
+    acts: Vec<WarmingAction>,
 }
 
 impl Round<'_> {
     fn place(&mut self, engine: &EngineName, adapter: &AdapterId, stage: Option<CopyStage>) {
-        self.acts.push(WarmingAct::Place { engine: engine.clone(), adapter: adapter.clone(), stage });
+        self.acts.push(WarmingAction::Place { engine: engine.clone(), adapter: adapter.clone(), stage });
     }
 
     /// What an engine told lately.
-    fn told(&self, engine: &EngineName) -> Option<&SeenEngine> {
+    fn told(&self, engine: &EngineName) -> Option<&AdapterReport> {
         self.seen.get(engine).filter(|told| self.now.since(told.at) < SILENT_AFTER)
     }
 
@@ -150,12 +150,12 @@
     }
 
     /// What to do now. What comes of it shows in the state and in what engines tell.
-    pub fn direct(
+    pub fn next_actions(
         &mut self,
         state: &FleetState,
-        seen: &BTreeMap<EngineName, SeenEngine>,
+        seen: &BTreeMap<EngineName, AdapterReport>,
         now: Instant,
-    ) -> Vec<WarmingAct> {
+    ) -> Vec<WarmingAction> {
         let began = *self.began.get_or_insert(now);
         self.note_weights(state, now);
         self.demand.settle(state, now);
@@ -250,7 +250,7 @@
                 }
                 CopyStage::Loading => {
                     let (engine, adapter, address) = (engine.clone(), adapter.clone(), address.clone());
-                    round.acts.push(WarmingAct::Load { engine, address, adapter });
+                    round.acts.push(WarmingAction::Load { engine, address, adapter });
                 }
                 CopyStage::Warm { boot } if *boot != told.boot || !told.holds(adapter) => {
                     round.place(engine, adapter, None);
@@ -261,7 +261,7 @@
                 CopyStage::Leaving if is_target && is_wanted => round.place(engine, adapter, warm()),
                 CopyStage::Leaving if waited >= LEAVE_PAUSE => {
                     let (engine, adapter, address) = (engine.clone(), adapter.clone(), address.clone());
-                    round.acts.push(WarmingAct::Unload { engine, address, adapter });
+                    round.acts.push(WarmingAction::Unload { engine, address, adapter });
                 }
                 CopyStage::Leaving => {}
             }
@@ -277,7 +277,7 @@
         engine: &EngineName,
         model: &ModelName,
         allotment: &Allotment,
-        told: &SeenEngine,
+        told: &AdapterReport,
     ) {
         for adapter in &told.resident {
             if round.state.adapters.copy(engine, adapter).is_some() {
@@ -288,7 +288,7 @@
                 continue;
             }
             let (address, adapter) = (round.address(engine), adapter.clone());
-            round.acts.push(WarmingAct::Unload { engine: engine.clone(), address, adapter });
+            round.acts.push(WarmingAction::Unload { engine: engine.clone(), address, adapter });
         }
     }
 
@@ -379,7 +379,7 @@
             let holders: Vec<&EngineName> = own.flat_map(|(_, allotment)| allotment.engines_of(&next)).collect();
             let is_warm = !holders.is_empty() && holders.iter().all(|holder| round.is_warm(holder, &next));
             if is_warm {
-                round.acts.push(WarmingAct::UseRevision { adapter: next });
+                round.acts.push(WarmingAction::UseRevision { adapter: next });
             }
         }
     }
--- a/crates/adapters/src/pool.rs
+++ b/crates/adapters/src/pool.rs
@@ -7,7 +7,7 @@
 
 /// What an engine said of the adapters it holds, and when it was asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenEngine {
+pub struct AdapterReport {
     /// The life of its process.
     pub boot: String,
     pub resident: Vec<AdapterId>,
@@ -15,7 +15,7 @@
     pub at: Instant,
 }
 
-impl SeenEngine {
+impl AdapterReport {
     pub(crate) fn holds(&self, adapter: &AdapterId) -> bool {
         self.resident.contains(adapter)
     }
@@ -38,7 +38,7 @@
 /// The engines that serve, on weights not given up, and were heard lately, by model and role.
 pub(crate) fn pools(
     state: &FleetState,
-    seen: &BTreeMap<EngineName, SeenEngine>,
+    seen: &BTreeMap<EngineName, AdapterReport>,
     old_weights: &OldWeights,
     now: Instant,
 ) -> BTreeMap<PoolName, Vec<PoolEngine>> {
--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    fn seen(&self) -> BTreeMap<EngineName, SeenEngine> {
-        let told = |engine: &SimEngine| SeenEngine {
+    fn seen(&self) -> BTreeMap<EngineName, AdapterReport> {
+        let told = |engine: &SimEngine| AdapterReport {
             boot: engine.boot.to_string(),
             resident: engine.resident.iter().cloned().collect(),
             places: self.places as u64,
@@ -91,7 +91,7 @@
     fn request(&mut self, zone: &'static str, adapter: &str) {
         let span = self.state.desired.warming.demand_span;
         let now = self.now;
-        self.meters.get_mut(zone).unwrap().note(&adapter.into(), span, now);
+        self.meters.get_mut(zone).unwrap().record(&adapter.into(), span, now);
     }
 
     /// One look of the conductor and what follows from it; the bounds hold after each.
@@ -100,29 +100,29 @@
         self.steps += 1;
         let span = self.state.desired.warming.demand_span;
         for (number, zone) in ZONES.into_iter().enumerate() {
-            let rates = self.meters.get_mut(zone).unwrap().tell(span, self.now);
+            let rates = self.meters.get_mut(zone).unwrap().rates(span, self.now);
             let report = DemandReport { router: NodeId(number as u64 + 1), zone: zone.into(), rates };
-            self.planner.demand.hear(vec![HeardDemand { report, age: Span(0) }], self.now);
+            self.planner.demand.record(vec![HeardDemand { report, age: Span(0) }], self.now);
         }
         let seen = self.seen();
-        for act in self.planner.direct(&self.state, &seen, self.now) {
+        for act in self.planner.next_actions(&self.state, &seen, self.now) {
             self.carry_out(act);
         }
         self.finish_loads();
         self.check_bounds();
     }
 
-    fn carry_out(&mut self, act: WarmingAct) {
+    fn carry_out(&mut self, act: WarmingAction) {
         match act {
-            WarmingAct::Place { engine, adapter, stage } => {
+            WarmingAction::Place { engine, adapter, stage } => {
                 self.moves += usize::from(!matches!(stage, None | Some(CopyStage::Warm { .. })));
                 let settled = submit(&mut self.state, Command::PlaceCopy { term: Term(1), engine, adapter, stage });
                 assert!(matches!(settled, Settled::Taken(_)), "the planner keeps to the bounds: {settled:?}");
             }
-            WarmingAct::UseRevision { adapter } => {
+            WarmingAction::UseRevision { adapter } => {
                 submit(&mut self.state, Command::UseRevision { term: Term(1), adapter });
             }
-            WarmingAct::Load { engine, adapter, .. } => {
+            WarmingAction::Load { engine, adapter, .. } => {
                 let loads_to = self.steps + LOAD_STEPS;
                 let engine = self.engines.get_mut(&engine).unwrap();
                 if engine.up && !engine.loading.contains_key(&adapter) {
@@ -130,7 +130,7 @@
                     self.loads += 1;
                 }
             }
-            WarmingAct::Unload { engine, adapter, .. } => {
+            WarmingAction::Unload { engine, adapter, .. } => {
                 self.engines.get_mut(&engine).unwrap().resident.remove(&adapter);
             }
         }
--- a/crates/conductor/src/bringing.rs
+++ b/crates/conductor/src/bringing.rs
@@ -31,25 +31,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
     /// It is being done.
-    Taken,
+    Accepted,
     /// It held already.
-    Holds,
+    AlreadyHeld,
     /// Another order is under way, or this one taken before.
     Busy,
     /// Another holder has given orders since.
-    Overtaken,
+    Superseded,
     /// There is no such order, or not yet.
     Refused,
     /// It was not given: nothing waits at the engine.
-    Unneeded,
+    NotNeeded,
     /// Nothing came back; it may have been taken.
-    Nothing,
+    NoAnswer,
 }
 
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Bringing {
-    Stand {
+pub enum RolloutStep {
+    SetStanding {
         engine: EngineName,
         standing: Standing,
     },
@@ -66,7 +66,7 @@
         model: ModelName,
         weights: WeightsEdition,
     },
-    Look {
+    QueryWeights {
         engine: EngineName,
         address: String,
         model: ModelName,
@@ -100,7 +100,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Bringer {
+pub struct WeightsRollout {
     ways: BTreeMap<EngineName, Way>,
     due: Option<Instant>,
     /// How long after new weights were first seen orders are given out of turn; never if there is no span.
@@ -111,10 +111,10 @@
     disturbed: Instant,
 }
 
-impl Bringer {
+impl WeightsRollout {
     /// A bringer that gives orders out of turn once new weights have been wanted for so long.
-    pub fn hurrying_after(span: Span) -> Bringer {
-        Bringer { hurry_after: Some(span), ..Bringer::default() }
+    pub fn expediting_after(span: Span) -> WeightsRollout {
+        WeightsRollout { hurry_after: Some(span), ..WeightsRollout::default() }
     }
 
     /// Drops what was known of engines under an earlier term.
@@ -148,9 +148,9 @@
         Some((*since).max(self.disturbed) + self.hurry_after?)
     }
 
-    /// What to do now. Whatever is answered is told by `hear_order` and `hear_report`; a standing shows in
+    /// What to do now. Whatever is answered is told by `record_answer` and `record_report`; a standing shows in
     /// the state. While the holder before may still have orders on their way, none is given.
-    pub fn direct(&mut self, state: &FleetState, may_order: bool, now: Instant) -> Vec<Bringing> {
+    pub fn next_steps(&mut self, state: &FleetState, may_order: bool, now: Instant) -> Vec<RolloutStep> {
         self.ways.retain(|engine, _| state.listing.engines.contains_key(engine));
         self.note_wanted(state, now);
         self.due = None;
@@ -186,7 +186,7 @@
         listed: &ListedEngine,
         room: &mut Room,
         now: Instant,
-    ) -> Option<Bringing> {
+    ) -> Option<RolloutStep> {
         let standing = state.standings.get(engine).cloned().unwrap_or_default();
         let Some(load) = self.next_load(state, engine, listed, &standing) else {
             if !standing.closed {
@@ -194,7 +194,7 @@
                 return None;
             }
             let opened = self.opened(engine, listed, &standing);
-            return Some(Bringing::Stand { engine: engine.clone(), standing: opened });
+            return Some(RolloutStep::SetStanding { engine: engine.clone(), standing: opened });
         };
         let held = self.held(engine, listed, &standing, &load.model);
         let hurry_from = self.hurry_from(&load.model, held);
@@ -212,7 +212,7 @@
                 return None;
             }
             let closed = Standing { closed: true, ..standing };
-            return Some(Bringing::Stand { engine: engine.clone(), standing: closed });
+            return Some(RolloutStep::SetStanding { engine: engine.clone(), standing: closed });
         }
         let fresh_way = Way { next: now + CLOSE_PAUSE, ..Way::default() };
         let way = self.ways.entry(engine.clone()).or_insert(fresh_way);
@@ -226,7 +226,7 @@
             let model = ordered.model.clone();
             way.next = now + LOOK_EVERY;
             self.note_due(now + LOOK_EVERY);
-            return Some(Bringing::Look { engine: engine.clone(), address, model });
+            return Some(RolloutStep::QueryWeights { engine: engine.clone(), address, model });
         }
         if !room.may_order {
             return None;
@@ -244,8 +244,8 @@
         self.note_due(now + FIRST_LOOK);
         let (engine, Load { model, weights }) = (engine.clone(), load);
         Some(match has_place {
-            true => Bringing::Order { engine, address, model, weights },
-            false => Bringing::OrderIfWaiting { engine, address, model, weights },
+            true => RolloutStep::Order { engine, address, model, weights },
+            false => RolloutStep::OrderIfWaiting { engine, address, model, weights },
         })
     }
 
@@ -257,7 +257,7 @@
         engine: &EngineName,
         listed: &ListedEngine,
         now: Instant,
-    ) -> Option<Bringing> {
+    ) -> Option<RolloutStep> {
         let standing = state.standings.get(engine).cloned().unwrap_or_default();
         let load = self.next_load(state, engine, listed, &standing)?;
         let held = self.held(engine, listed, &standing, &load.model);
@@ -275,7 +275,12 @@
         way.ordered = Some(load.clone());
         self.note_due(now + FIRST_LOOK);
         let address = listed.address.clone();
-        Some(Bringing::OrderIfWaiting { engine: engine.clone(), address, model: load.model, weights: load.weights })
+        Some(RolloutStep::OrderIfWaiting {
+            engine: engine.clone(),
+            address,
+            model: load.model,
+            weights: load.weights,
+        })
     }
 
     /// The first of an engine's models whose wanted weights it is not known to hold.
@@ -317,22 +322,22 @@
         }
     }
 
-    pub fn hear_order(&mut self, engine: &EngineName, answer: OrderAnswer, now: Instant) {
+    pub fn record_answer(&mut self, engine: &EngineName, answer: OrderAnswer, now: Instant) {
         let Some(way) = self.ways.get_mut(engine) else { return };
         let (pause, stays_ordered) = match answer {
-            OrderAnswer::Taken => (FIRST_LOOK, true),
-            OrderAnswer::Holds => {
+            OrderAnswer::Accepted => (FIRST_LOOK, true),
+            OrderAnswer::AlreadyHeld => {
                 if let Some(load) = way.ordered.clone() {
                     way.note_told(&load.model, load.weights);
                 }
                 (LOOK_EVERY, false)
             }
             OrderAnswer::Busy => (BUSY_PAUSE, true),
-            OrderAnswer::Overtaken | OrderAnswer::Refused => (REFUSED_PAUSE, false),
-            OrderAnswer::Unneeded => (WAITING_PAUSE, false),
-            OrderAnswer::Nothing => (FAULT_PAUSE, true),
+            OrderAnswer::Superseded | OrderAnswer::Refused => (REFUSED_PAUSE, false),
+            OrderAnswer::NotNeeded => (WAITING_PAUSE, false),
+            OrderAnswer::NoAnswer => (FAULT_PAUSE, true),
         };
-        way.faults = if answer == OrderAnswer::Nothing { way.faults + 1 } else { 0 };
+        way.faults = if answer == OrderAnswer::NoAnswer { way.faults + 1 } else { 0 };
         way.next = now + pause;
         if !stays_ordered {
             way.ordered = None;
@@ -341,7 +346,7 @@
 
     /// What an engine told of the model it was looked at for: its weights, and whether it loads. Nothing if
     /// it did not answer.
-    pub fn hear_report(&mut self, engine: &EngineName, report: Option<(WeightsEdition, bool)>, now: Instant) {
+    pub fn record_report(&mut self, engine: &EngineName, report: Option<(WeightsEdition, bool)>, now: Instant) {
         let Some(way) = self.ways.get_mut(engine) else { return };
         match report {
             Some((weights, is_loading)) => {
--- a/crates/conductor/src/mind.rs
+++ b/crates/conductor/src/mind.rs
@@ -9,7 +9,7 @@
 
 /// What an engine said of itself, and when.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Observed {
+pub struct EngineObservation {
     pub boot: String,
     pub weights: WeightsEdition,
     pub running: u64,
@@ -18,9 +18,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum ConductorAction {
     /// Put the engine's standing into the fleet state.
-    Stand {
+    SetStanding {
         engine: EngineName,
         standing: Standing,
     },
@@ -57,12 +57,12 @@
 pub const WAIT_LIMIT: Span = Span::seconds(120);
 
 impl Conductor {
-    pub fn direct(
+    pub fn next_actions(
         &mut self,
         state: &FleetState,
-        observed: &BTreeMap<EngineName, Observed>,
+        observed: &BTreeMap<EngineName, EngineObservation>,
         now: Instant,
-    ) -> Vec<Act> {
+    ) -> Vec<ConductorAction> {
         self.closed_since.retain(|engine, _| state.standings.get(engine).is_some_and(|standing| standing.closed));
         let mut room = room(state, observed, now);
         let mut acts = Vec::new();
@@ -80,9 +80,9 @@
     fn tend_plans(
         &mut self,
         state: &FleetState,
-        observed: &BTreeMap<EngineName, Observed>,
+        observed: &BTreeMap<EngineName, EngineObservation>,
         now: Instant,
-    ) -> Vec<Act> {
+    ) -> Vec<ConductorAction> {
         let present_steps: BTreeMap<(Edition, usize), &Plan> = state
             .plans
             .iter()
@@ -95,15 +95,15 @@
             let waited = now.since(*self.plans_since.entry((number, done)).or_insert(now));
             let Some(step) = plan.next_step() else {
                 if waited >= PLAN_LIMIT {
-                    acts.push(Act::EndPlan { plan: number, halted: None });
+                    acts.push(ConductorAction::EndPlan { plan: number, halted: None });
                 }
                 continue;
             };
             if may_do(state, step, observed, now) {
-                acts.push(Act::DoStep { plan: number, step: done });
+                acts.push(ConductorAction::DoStep { plan: number, step: done });
             } else if waited >= WAIT_LIMIT {
                 let reason = format!("step {} waited too long: {}", done + 1, step.words());
-                acts.push(Act::EndPlan { plan: number, halted: Some(reason) });
+                acts.push(ConductorAction::EndPlan { plan: number, halted: Some(reason) });
             }
         }
         acts
@@ -115,20 +115,21 @@
         state: &FleetState,
         engine: &EngineName,
         listed: &ListedEngine,
-        seen: &Observed,
+        seen: &EngineObservation,
         wanted: WeightsEdition,
         room: &mut Room,
         now: Instant,
-    ) -> Option<Act> {
+    ) -> Option<ConductorAction> {
         let standing = state.standings.get(engine).cloned().unwrap_or_default();
         let address = listed.address.clone();
         if seen.weights == wanted {
             if !seen.accepting {
-                return Some(Act::Open { engine: engine.clone(), address });
+                return Some(ConductorAction::Open { engine: engine.clone(), address });
             }
             let confirmed =
                 Standing { confirmed: Some((wanted, seen.boot.clone())), closed: false, ..Standing::default() };
-            return (standing != confirmed).then(|| Act::Stand { engine: engine.clone(), standing: confirmed });
+            return (standing != confirmed)
+                .then(|| ConductorAction::SetStanding { engine: engine.clone(), standing: confirmed });
         }
         let is_in_use = standing.confirmed.is_some() && !standing.closed;
         if is_in_use {
@@ -137,11 +138,11 @@
                 *places_left = places_left.checked_sub(1)?;
             }
             let closed = Standing { closed: true, ..standing };
-            return Some(Act::Stand { engine: engine.clone(), standing: closed });
+            return Some(ConductorAction::SetStanding { engine: engine.clone(), standing: closed });
         }
         let since = *self.closed_since.entry(engine.clone()).or_insert(now);
         let may_load = seen.running == 0 || now.since(since) >= STREAM_LIMIT;
-        may_load.then(|| Act::Load { engine: engine.clone(), address, weights: wanted })
+        may_load.then(|| ConductorAction::Load { engine: engine.clone(), address, weights: wanted })
     }
 }
 
@@ -150,7 +151,7 @@
 
 /// Half of those that serve or would but for being closed, at least one, may be closed at a time. What
 /// is drained, silent or never confirmed serves nobody and bears nothing.
-fn room(state: &FleetState, observed: &BTreeMap<EngineName, Observed>, now: Instant) -> Room {
+fn room(state: &FleetState, observed: &BTreeMap<EngineName, EngineObservation>, now: Instant) -> Room {
     let mut counts: BTreeMap<(ModelName, Role), (usize, usize)> = BTreeMap::new();
     for (engine, listed) in &state.listing.engines {
         let is_seen = observed.get(engine).is_some_and(|seen| now.since(seen.at) < FRESH);
@@ -169,7 +170,7 @@
 }
 
 /// Whether a step's condition holds; steps that change something have none.
-fn may_do(state: &FleetState, step: &Step, observed: &BTreeMap<EngineName, Observed>, now: Instant) -> bool {
+fn may_do(state: &FleetState, step: &Step, observed: &BTreeMap<EngineName, EngineObservation>, now: Instant) -> bool {
     match step {
         Step::Patch(_) | Step::Drain { .. } | Step::Undrain { .. } => true,
         Step::WaitWeights { model, weights } => state
@@ -204,11 +205,11 @@
     /// Plays the acts against engines that load at once, and returns how many rounds it took.
     fn play(
         state: &mut FleetState,
-        engines: &mut BTreeMap<EngineName, Observed>,
+        engines: &mut BTreeMap<EngineName, EngineObservation>,
         conductor: &mut Conductor,
     ) -> usize {
         for round in 1..100 {
-            let acts = conductor.direct(state, engines, Instant(0));
+            let acts = conductor.next_actions(state, engines, Instant(0));
             let closed_count = state.standings.values().filter(|standing| standing.closed).count();
             assert!(closed_count <= engines.len() / 2, "no more than half closed at a time");
             if acts.is_empty() {
@@ -216,15 +217,15 @@
             }
             for act in acts {
                 match act {
-                    Act::Stand { engine, standing } => {
+                    ConductorAction::SetStanding { engine, standing } => {
                         state.standings.insert(engine, standing);
                     }
-                    Act::Load { engine, weights, .. } => {
+                    ConductorAction::Load { engine, weights, .. } => {
                         let confirmed = state.standings.get(&engine).is_some_and(|standing| !standing.closed);
                         assert!(!confirmed, "only a closed engine is loaded");
                         engines.get_mut(&engine).unwrap().weights = weights;
                     }
-                    Act::Open { engine, .. } => engines.get_mut(&engine).unwrap().accepting = true,
+                    ConductorAction::Open { engine, .. } => engines.get_mut(&engine).unwrap().accepting = true,
                     other => panic!("no plan is there for {other:?}"),
                 }
             }
@@ -244,11 +245,11 @@
         for seen in observed.iter_mut().filter(|(name, _)| name.as_str() != "e3").map(|(_, seen)| seen) {
             seen.at = now;
         }
-        let acts = Conductor::default().direct(&state, &observed, now);
+        let acts = Conductor::default().next_actions(&state, &observed, now);
         let closed: Vec<&str> = acts
             .iter()
             .filter_map(|act| match act {
-                Act::Stand { engine, standing } if standing.closed => Some(engine.as_str()),
+                ConductorAction::SetStanding { engine, standing } if standing.closed => Some(engine.as_str()),
                 _ => None,
             })
             .collect();
@@ -268,7 +269,7 @@
     }
 
     /// Six engines of one model, all confirmed on its first weights.
-    fn six_engines() -> (FleetState, BTreeMap<EngineName, Observed>) {
+    fn six_engines() -> (FleetState, BTreeMap<EngineName, EngineObservation>) {
         let mut state = FleetState::default();
         apply(&mut state, Command::Merge { base: None, patch: r#"{"models":{"m":{"weights":1}}}"#.into() });
         let engine_names: Vec<EngineName> = (0..6).map(|number| EngineName(format!("e{number}"))).collect();
@@ -282,9 +283,14 @@
         };
         let engines = engine_names.iter().map(|name| (name.clone(), listed.clone())).collect();
         apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines }));
-        let observed =
-            Observed { boot: "x".into(), weights: WeightsEdition(1), running: 0, accepting: true, at: Instant(0) };
-        let mut observations: BTreeMap<EngineName, Observed> =
+        let observed = EngineObservation {
+            boot: "x".into(),
+            weights: WeightsEdition(1),
+            running: 0,
+            accepting: true,
+            at: Instant(0),
+        };
+        let mut observations: BTreeMap<EngineName, EngineObservation> =
             engine_names.iter().map(|name| (name.clone(), observed.clone())).collect();
         let mut conductor = Conductor::default();
         play(&mut state, &mut observations, &mut conductor);
--- a/crates/conductor/tests/bringing.rs
+++ b/crates/conductor/tests/bringing.rs
@@ -40,43 +40,43 @@
 #[test]
 fn engines_that_hold_the_wanted_weights_are_left_alone() {
     let state = fleet();
-    assert!(Bringer::default().direct(&state, true, at(0)).is_empty());
+    assert!(WeightsRollout::default().next_steps(&state, true, at(0)).is_empty());
 }
 
 /// Engines that load for so long, and never answer if they are dead.
 fn play(dead: &[usize]) -> (FleetState, u64, usize) {
     let mut state = fleet();
     bump(&mut state);
-    let mut bringer = Bringer::default();
+    let mut bringer = WeightsRollout::default();
     let mut ready_at: Vec<Option<u64>> = vec![None; ENGINES];
     let mut looks = 0;
     for now in (0..60_000).step_by(10) {
-        for step in bringer.direct(&state, true, at(now)) {
+        for step in bringer.next_steps(&state, true, at(now)) {
             match step {
-                Bringing::Stand { engine, standing } => {
+                RolloutStep::SetStanding { engine, standing } => {
                     apply(&mut state, Command::Stand { term: Term(1), engine, standing });
                 }
-                Bringing::Order { engine, weights, .. } => {
+                RolloutStep::Order { engine, weights, .. } => {
                     assert_eq!(weights, WeightsEdition(2));
                     assert!(state.standings[&engine].closed, "only a closed engine is ordered");
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     if dead.contains(&number) {
-                        bringer.hear_order(&engine, OrderAnswer::Nothing, at(now));
+                        bringer.record_answer(&engine, OrderAnswer::NoAnswer, at(now));
                         continue;
                     }
                     assert!(ready_at[number].is_none(), "ordered twice");
                     ready_at[number] = Some(now + 1800);
-                    bringer.hear_order(&engine, OrderAnswer::Taken, at(now));
+                    bringer.record_answer(&engine, OrderAnswer::Accepted, at(now));
                 }
-                Bringing::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
-                Bringing::Look { engine, .. } => {
+                RolloutStep::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
+                RolloutStep::QueryWeights { engine, .. } => {
                     looks += 1;
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let report = ready_at[number].map(|ready| {
                         let weights = WeightsEdition(if now >= ready { 2 } else { 1 });
                         (weights, now < ready)
                     });
-                    bringer.hear_report(&engine, report, at(now));
+                    bringer.record_report(&engine, report, at(now));
                 }
             }
         }
@@ -120,10 +120,10 @@
     let mut engines = state.listing.engines.clone();
     engines.insert(name(0), listed(2));
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
-    let steps = Bringer::default().direct(&state, true, at(0));
+    let steps = WeightsRollout::default().next_steps(&state, true, at(0));
     let opened =
         Standing { confirmed: Some((WeightsEdition(2), "e00".into())), closed: false, ..Standing::default() };
-    assert!(steps.contains(&Bringing::Stand { engine: name(0), standing: opened }), "{steps:?}");
+    assert!(steps.contains(&RolloutStep::SetStanding { engine: name(0), standing: opened }), "{steps:?}");
 }
 
 #[test]
@@ -135,9 +135,9 @@
         engines.insert(name(number), ListedEngine { listed: Listed::Leaving, ..listed(1) });
     }
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
-    let steps = Bringer::default().direct(&state, true, at(0));
+    let steps = WeightsRollout::default().next_steps(&state, true, at(0));
     assert_eq!(steps.len(), 1, "one of the two left at a time: {steps:?}");
-    assert!(matches!(&steps[0], Bringing::Stand { engine, .. } if *engine == name(16)));
+    assert!(matches!(&steps[0], RolloutStep::SetStanding { engine, .. } if *engine == name(16)));
 }
 
 #[test]
@@ -151,12 +151,12 @@
     let mut engines = state.listing.engines.clone();
     engines.insert(name(0), listed(2));
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
-    let mut bringer = Bringer::default();
-    let steps = [bringer.direct(&state, false, at(0)), bringer.direct(&state, false, at(1000))].concat();
-    assert!(steps.iter().any(|step| matches!(step, Bringing::Stand { engine, .. } if *engine == name(0))));
-    assert!(!steps.iter().any(|step| matches!(step, Bringing::Order { .. })), "{steps:?}");
-    let steps = bringer.direct(&state, true, at(1001));
-    assert!(steps.iter().any(|step| matches!(step, Bringing::Order { engine, .. } if *engine == name(1))));
+    let mut bringer = WeightsRollout::default();
+    let steps = [bringer.next_steps(&state, false, at(0)), bringer.next_steps(&state, false, at(1000))].concat();
+    assert!(steps.iter().any(|step| matches!(step, RolloutStep::SetStanding { engine, .. } if *engine == name(0))));
+    assert!(!steps.iter().any(|step| matches!(step, RolloutStep::Order { .. })), "{steps:?}");
+    let steps = bringer.next_steps(&state, true, at(1001));
+    assert!(steps.iter().any(|step| matches!(step, RolloutStep::Order { engine, .. } if *engine == name(1))));
 }
 
 /// Long after new weights were named every engine left is closed; one whose turn has not come is ordered
@@ -164,30 +164,30 @@
 #[test]
 fn what_waits_on_weights_too_old_is_turned_away_by_an_order_out_of_turn() {
     let mut state = fleet();
-    let mut bringer = Bringer::hurrying_after(Span::millis(13_500));
-    assert!(bringer.direct(&state, true, at(0)).is_empty());
+    let mut bringer = WeightsRollout::expediting_after(Span::millis(13_500));
+    assert!(bringer.next_steps(&state, true, at(0)).is_empty());
     bump(&mut state);
-    let first_steps = bringer.direct(&state, true, at(1000));
+    let first_steps = bringer.next_steps(&state, true, at(1000));
     assert_eq!(first_steps.len(), ENGINES / 6 + 1, "few are closed in their turn: {first_steps:?}");
     assert_eq!(bringer.next_due(), Some(at(14_500)));
 
-    for step in bringer.direct(&state, true, at(14_500)) {
-        let Bringing::Stand { engine, standing } = step else { panic!("{step:?}") };
+    for step in bringer.next_steps(&state, true, at(14_500)) {
+        let RolloutStep::SetStanding { engine, standing } = step else { panic!("{step:?}") };
         assert!(standing.closed);
         apply(&mut state, Command::Stand { term: Term(1), engine, standing });
     }
     assert!((0..ENGINES).all(|number| state.standings[&name(number)].closed));
-    assert!(bringer.direct(&state, true, at(14_500)).is_empty(), "routers hear of it first");
+    assert!(bringer.next_steps(&state, true, at(14_500)).is_empty(), "routers hear of it first");
 
-    let steps = bringer.direct(&state, true, at(14_700));
-    let in_turn = steps.iter().filter(|step| matches!(step, Bringing::Order { .. })).count();
-    let out_of_turn = steps.iter().filter(|step| matches!(step, Bringing::OrderIfWaiting { .. })).count();
+    let steps = bringer.next_steps(&state, true, at(14_700));
+    let in_turn = steps.iter().filter(|step| matches!(step, RolloutStep::Order { .. })).count();
+    let out_of_turn = steps.iter().filter(|step| matches!(step, RolloutStep::OrderIfWaiting { .. })).count();
     assert_eq!((in_turn, out_of_turn), (ENGINES / 6, ENGINES - ENGINES / 6), "{steps:?}");
-    bringer.hear_order(&name(ENGINES - 1), OrderAnswer::Unneeded, at(14_710));
-    assert!(bringer.direct(&state, true, at(14_900)).is_empty());
-    let again = bringer.direct(&state, true, at(15_010));
+    bringer.record_answer(&name(ENGINES - 1), OrderAnswer::NotNeeded, at(14_710));
+    assert!(bringer.next_steps(&state, true, at(14_900)).is_empty());
+    let again = bringer.next_steps(&state, true, at(15_010));
     assert!(
-        matches!(&again[..], [Bringing::OrderIfWaiting { engine, .. }] if *engine == name(ENGINES - 1)),
+        matches!(&again[..], [RolloutStep::OrderIfWaiting { engine, .. }] if *engine == name(ENGINES - 1)),
         "{again:?}"
     );
 }
@@ -197,10 +197,10 @@
 fn a_new_holder_knows_since_when_weights_are_wanted() {
     let mut state = fleet();
     bump(&mut state);
-    let mut bringer = Bringer::hurrying_after(Span::millis(13_500));
+    let mut bringer = WeightsRollout::expediting_after(Span::millis(13_500));
     bringer.note_wanted(&state, at(1000));
     bringer.forget();
-    let steps = bringer.direct(&state, true, at(14_500));
+    let steps = bringer.next_steps(&state, true, at(14_500));
     assert_eq!(steps.len(), ENGINES, "{steps:?}");
 }
 
@@ -210,30 +210,30 @@
 fn weights_named_in_the_middle_of_a_load_are_brought_to_all() {
     let mut state = fleet();
     bump(&mut state);
-    let mut bringer = Bringer::default();
+    let mut bringer = WeightsRollout::default();
     let mut loading: Vec<Option<(WeightsEdition, u64)>> = vec![None; ENGINES];
     for now in (0..60_000).step_by(10) {
         if now == 3000 {
             apply(&mut state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(3) });
         }
-        for step in bringer.direct(&state, true, at(now)) {
+        for step in bringer.next_steps(&state, true, at(now)) {
             match step {
-                Bringing::Stand { engine, standing } => {
+                RolloutStep::SetStanding { engine, standing } => {
                     apply(&mut state, Command::Stand { term: Term(1), engine, standing });
                 }
-                Bringing::Order { engine, weights, .. } => {
+                RolloutStep::Order { engine, weights, .. } => {
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let is_free = loading[number].is_none_or(|(_, ready)| now >= ready);
                     assert!(is_free, "an engine that loads is not ordered again");
                     loading[number] = Some((weights, now + 1800));
-                    bringer.hear_order(&engine, OrderAnswer::Taken, at(now));
+                    bringer.record_answer(&engine, OrderAnswer::Accepted, at(now));
                 }
-                Bringing::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
-                Bringing::Look { engine, .. } => {
+                RolloutStep::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
+                RolloutStep::QueryWeights { engine, .. } => {
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let (weights, ready) = loading[number].expect("only what was ordered is looked at");
                     let told = if now >= ready { weights } else { WeightsEdition(1) };
-                    bringer.hear_report(&engine, Some((told, now < ready)), at(now));
+                    bringer.record_report(&engine, Some((told, now < ready)), at(now));
                 }
             }
         }
@@ -251,51 +251,54 @@
 #[test]
 fn a_second_naming_puts_off_no_order_out_of_turn() {
     let mut state = fleet();
-    let mut bringer = Bringer::hurrying_after(Span::millis(13_500));
-    bringer.direct(&state, true, at(0));
+    let mut bringer = WeightsRollout::expediting_after(Span::millis(13_500));
+    bringer.next_steps(&state, true, at(0));
     bump(&mut state);
-    bringer.direct(&state, true, at(1000));
+    bringer.next_steps(&state, true, at(1000));
     apply(&mut state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(3) });
-    bringer.direct(&state, true, at(10_000));
-    assert_eq!(bringer.direct(&state, true, at(14_500)).len(), ENGINES);
+    bringer.next_steps(&state, true, at(10_000));
+    assert_eq!(bringer.next_steps(&state, true, at(14_500)).len(), ENGINES);
 }
 
 /// Requests may still wait at an engine that leaves: they are turned away as anywhere.
 #[test]
 fn what_waits_at_a_leaving_engine_is_turned_away_too() {
     let mut state = fleet();
-    let mut bringer = Bringer::hurrying_after(Span::millis(13_500));
+    let mut bringer = WeightsRollout::expediting_after(Span::millis(13_500));
     bump(&mut state);
-    bringer.direct(&state, true, at(1000));
+    bringer.next_steps(&state, true, at(1000));
     let mut engines = state.listing.engines.clone();
     engines.insert(name(17), ListedEngine { listed: Listed::Leaving, ..listed(1) });
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
-    let concerns = |steps: &[Bringing]| {
+    let concerns = |steps: &[RolloutStep]| {
         steps.iter().any(|step| {
             matches!(step,
-        Bringing::OrderIfWaiting { engine, .. } if *engine == name(17))
+        RolloutStep::OrderIfWaiting { engine, .. } if *engine == name(17))
         })
     };
-    assert!(!concerns(&bringer.direct(&state, true, at(14_400))), "routers may still use old weights");
-    assert!(!concerns(&bringer.direct(&state, false, at(14_500))), "the holder before may still order");
-    assert!(concerns(&bringer.direct(&state, true, at(14_500))));
-    assert!(!concerns(&bringer.direct(&state, true, at(14_600))), "one order at a time");
-    bringer.hear_order(&name(17), OrderAnswer::Unneeded, at(14_600));
-    assert!(concerns(&bringer.direct(&state, true, at(14_900))), "asked again");
-    bringer.hear_order(&name(17), OrderAnswer::Taken, at(14_910));
-    assert!(!concerns(&bringer.direct(&state, true, at(20_000))));
+    assert!(!concerns(&bringer.next_steps(&state, true, at(14_400))), "routers may still use old weights");
+    assert!(!concerns(&bringer.next_steps(&state, false, at(14_500))), "the holder before may still order");
+    assert!(concerns(&bringer.next_steps(&state, true, at(14_500))));
+    assert!(!concerns(&bringer.next_steps(&state, true, at(14_600))), "one order at a time");
+    bringer.record_answer(&name(17), OrderAnswer::NotNeeded, at(14_600));
+    assert!(concerns(&bringer.next_steps(&state, true, at(14_900))), "asked again");
+    bringer.record_answer(&name(17), OrderAnswer::Accepted, at(14_910));
+    assert!(!concerns(&bringer.next_steps(&state, true, at(20_000))));
 }
 
 #[test]
 fn a_new_holder_closes_no_engine_before_it_may_order() {
     let mut state = fleet();
     bump(&mut state);
-    let mut bringer = Bringer::default();
-    assert!(bringer.direct(&state, false, at(0)).is_empty(), "the holder before may still have orders on their way");
-    let closings = bringer.direct(&state, true, at(5000));
+    let mut bringer = WeightsRollout::default();
+    assert!(
+        bringer.next_steps(&state, false, at(0)).is_empty(),
+        "the holder before may still have orders on their way"
+    );
+    let closings = bringer.next_steps(&state, true, at(5000));
     assert!(!closings.is_empty());
     for step in closings {
-        assert!(matches!(step, Bringing::Stand { standing: Standing { closed: true, .. }, .. }), "{step:?}");
+        assert!(matches!(step, RolloutStep::SetStanding { standing: Standing { closed: true, .. }, .. }), "{step:?}");
     }
 }
 
@@ -303,11 +306,11 @@
 fn the_time_to_orders_out_of_turn_begins_anew_when_the_core_is_disturbed() {
     let mut state = fleet();
     bump(&mut state);
-    let closed_count = |bringer: &mut Bringer, state: &FleetState, now: u64| {
-        let steps = bringer.direct(state, true, at(now));
-        steps.iter().filter(|step| matches!(step, Bringing::Stand { .. })).count()
+    let closed_count = |bringer: &mut WeightsRollout, state: &FleetState, now: u64| {
+        let steps = bringer.next_steps(state, true, at(now));
+        steps.iter().filter(|step| matches!(step, RolloutStep::SetStanding { .. })).count()
     };
-    let mut bringer = Bringer::hurrying_after(Span::millis(10_000));
+    let mut bringer = WeightsRollout::expediting_after(Span::millis(10_000));
     let in_turn = closed_count(&mut bringer, &state, 0);
     assert!(in_turn < ENGINES, "{in_turn} are closed at first");
     bringer.note_disturbed(at(4000));
--- a/crates/conductor/tests/several_models.rs
+++ b/crates/conductor/tests/several_models.rs
@@ -48,36 +48,36 @@
 
 /// Plays until every engine is open on what is wanted. What each was ordered, in order, and how long it took.
 fn play(state: &mut FleetState) -> (Vec<Vec<Loading>>, u64) {
-    let mut bringer = Bringer::default();
+    let mut bringer = WeightsRollout::default();
     let mut ordered: Vec<Vec<Loading>> = vec![Vec::new(); ENGINES];
     for now in (0..60_000).step_by(10) {
-        for step in bringer.direct(state, true, at(now)) {
+        for step in bringer.next_steps(state, true, at(now)) {
             match step {
-                Bringing::Stand { engine, standing } => {
+                RolloutStep::SetStanding { engine, standing } => {
                     apply(state, Command::Stand { term: Term(1), engine, standing });
                 }
-                Bringing::Order { engine, model, weights, .. } => {
+                RolloutStep::Order { engine, model, weights, .. } => {
                     assert!(state.standings[&engine].closed, "only a closed engine is ordered");
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let is_free = ordered[number].iter().all(|loading| loading.ready_at <= now);
                     assert!(is_free, "one order at a time");
                     ordered[number].push(Loading { model, weights, ready_at: now + 1800 });
-                    bringer.hear_order(&engine, OrderAnswer::Taken, at(now));
+                    bringer.record_answer(&engine, OrderAnswer::Accepted, at(now));
                 }
-                Bringing::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
-                Bringing::Look { engine, model, .. } => {
+                RolloutStep::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
+                RolloutStep::QueryWeights { engine, model, .. } => {
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let loading = ordered[number].iter().rfind(|loading| loading.model == model).unwrap();
                     let is_loading = now < loading.ready_at;
                     let weights = if is_loading { WeightsEdition(1) } else { loading.weights };
-                    bringer.hear_report(&engine, Some((weights, is_loading)), at(now));
+                    bringer.record_report(&engine, Some((weights, is_loading)), at(now));
                 }
             }
         }
         let under_way = ordered.iter().flatten().filter(|loading| loading.ready_at > now).count();
         assert!(under_way <= ENGINES / 6, "{under_way} load at once");
         let closed = state.standings.values().filter(|standing| standing.closed).count();
-        if closed == 0 && bringer.direct(state, true, at(now)).is_empty() {
+        if closed == 0 && bringer.next_steps(state, true, at(now)).is_empty() {
             return (ordered, now);
         }
     }
--- a/crates/conductor/tests/without_models.rs
+++ b/crates/conductor/tests/without_models.rs
@@ -36,22 +36,22 @@
 #[test]
 fn new_weights_of_another_service_do_not_concern_them() {
     let mut state = fleet();
-    let mut bringer = Bringer::hurrying_after(Span::seconds(5));
+    let mut bringer = WeightsRollout::expediting_after(Span::seconds(5));
     for millis in (0..30_000).step_by(50) {
         let now = Instant(0) + Span::millis(millis);
-        for step in bringer.direct(&state, true, now) {
+        for step in bringer.next_steps(&state, true, now) {
             match step {
-                Bringing::Stand { engine, standing } => {
+                RolloutStep::SetStanding { engine, standing } => {
                     assert!(engine.as_str().starts_with("pool"), "{engine} {standing:?}");
                     apply(&mut state, Command::Stand { term: Term(1), engine, standing });
                 }
-                Bringing::Order { engine, .. } | Bringing::OrderIfWaiting { engine, .. } => {
+                RolloutStep::Order { engine, .. } | RolloutStep::OrderIfWaiting { engine, .. } => {
                     assert!(engine.as_str().starts_with("pool"), "{engine} is ordered");
-                    bringer.hear_order(&engine, OrderAnswer::Taken, now);
+                    bringer.record_answer(&engine, OrderAnswer::Accepted, now);
                 }
-                Bringing::Look { engine, .. } => {
+                RolloutStep::QueryWeights { engine, .. } => {
                     assert!(engine.as_str().starts_with("pool"), "{engine} is looked at");
-                    bringer.hear_report(&engine, Some((WeightsEdition(2), false)), now);
+                    bringer.record_report(&engine, Some((WeightsEdition(2), false)), now);
                 }
             }
         }
--- a/crates/keeper/src/bringing.rs
+++ b/crates/keeper/src/bringing.rs
@@ -29,7 +29,7 @@
     me: NodeId,
     timing: Timing,
 ) {
-    let mut bringer = Bringer::hurrying_after(timing.old_weights_span + GIVE_UP_MARGIN);
+    let mut bringer = WeightsRollout::expediting_after(timing.old_weights_span + GIVE_UP_MARGIN);
     let mut present_term = Term(0);
     let mut standing: BTreeSet<EngineName> = BTreeSet::new();
     let mut asked: BTreeSet<EngineName> = BTreeSet::new();
@@ -45,10 +45,10 @@
                     present_term = term;
                 }
                 let may_order = seen.conductor.is_some_and(|(held, _)| held == term);
-                for step in bringer.direct(&seen.state, may_order, now) {
+                for step in bringer.next_steps(&seen.state, may_order, now) {
                     let engine = engine_of(&step).clone();
                     match step {
-                        Bringing::Stand { engine, standing: wanted } => {
+                        RolloutStep::SetStanding { engine, standing: wanted } => {
                             if standing.insert(engine.clone()) {
                                 event!(info, "engine_stands", engine = engine, closed = wanted.closed, term = term);
                                 let command = Command::Stand { term, engine: engine.clone(), standing: wanted };
@@ -56,18 +56,18 @@
                             }
                         }
                         _ if !asked.insert(engine.clone()) => {}
-                        Bringing::Order { engine, address, model, weights } => {
+                        RolloutStep::Order { engine, address, model, weights } => {
                             event!(info, "order_given", engine = engine, weights = weights, term = term);
                             let order = LoadOrder { model, weights, holder: me, term };
                             under_way.spawn(give(Arc::clone(&orders), Arc::clone(&shelf), engine, address, order));
                         }
-                        Bringing::OrderIfWaiting { engine, address, model, weights } => {
+                        RolloutStep::OrderIfWaiting { engine, address, model, weights } => {
                             let order = LoadOrder { model, weights, holder: me, term };
                             let giving =
                                 give_if_waiting(Arc::clone(&orders), Arc::clone(&shelf), engine, address, order);
                             under_way.spawn(giving);
                         }
-                        Bringing::Look { engine, address, model } => {
+                        RolloutStep::QueryWeights { engine, address, model } => {
                             under_way.spawn(look_at(Arc::clone(&orders), engine, address, model));
                         }
                     }
@@ -86,11 +86,11 @@
                 match heard {
                     Ok(Heard::Order(engine, answer)) => {
                         asked.remove(&engine);
-                        bringer.hear_order(&engine, answer, now);
+                        bringer.record_answer(&engine, answer, now);
                     }
                     Ok(Heard::Report(engine, report)) => {
                         asked.remove(&engine);
-                        bringer.hear_report(&engine, report, now);
+                        bringer.record_report(&engine, report, now);
                     }
                     Ok(Heard::Stood(engine)) => {
                         standing.remove(&engine);
@@ -103,12 +103,12 @@
     }
 }
 
-fn engine_of(step: &Bringing) -> &EngineName {
+fn engine_of(step: &RolloutStep) -> &EngineName {
     match step {
-        Bringing::Stand { engine, .. }
-        | Bringing::Order { engine, .. }
-        | Bringing::OrderIfWaiting { engine, .. }
-        | Bringing::Look { engine, .. } => engine,
+        RolloutStep::SetStanding { engine, .. }
+        | RolloutStep::Order { engine, .. }
+        | RolloutStep::OrderIfWaiting { engine, .. }
+        | RolloutStep::QueryWeights { engine, .. } => engine,
     }
 }
 
@@ -138,7 +138,7 @@
     let outcome = tokio::time::timeout(ANSWER_LIMIT.as_duration(), giving).await;
     let answer = outcome.unwrap_or_else(|_| Err("limit passed".into())).unwrap_or_else(|reason| {
         event!(warn, "order_fault", engine = engine, reason = reason);
-        OrderAnswer::Nothing
+        OrderAnswer::NoAnswer
     });
     Heard::Order(engine, answer)
 }
@@ -153,7 +153,7 @@
 ) -> Heard {
     let report = report_of(&orders, &address).await;
     if report.is_some_and(|report| report.waiting == 0) {
-        return Heard::Order(engine, OrderAnswer::Unneeded);
+        return Heard::Order(engine, OrderAnswer::NotNeeded);
     }
     event!(info, "order_given_out_of_turn", engine = engine, weights = order.weights, term = order.term);
     give(orders, shelf, engine, address, order).await
--- a/crates/keeper/src/conducting.rs
+++ b/crates/keeper/src/conducting.rs
@@ -12,8 +12,8 @@
 /// What engines said of themselves, and when.
 #[derive(Default)]
 struct Looks {
-    observed: BTreeMap<EngineName, Observed>,
-    adapters: BTreeMap<EngineName, SeenEngine>,
+    observed: BTreeMap<EngineName, EngineObservation>,
+    adapters: BTreeMap<EngineName, AdapterReport>,
 }
 
 pub async fn conduct(shelf: Shelf, executor: ExecutorClient, me: NodeId) {
@@ -43,12 +43,12 @@
         if has_adapters && now.since(demand_asked) >= DEMAND_EVERY {
             demand_asked = now;
             if let AskOutcome::Demand(heard) = executor.ask(Question::Demand, LOOK_LIMIT).await {
-                planner.demand.hear(heard, boot_now());
+                planner.demand.record(heard, boot_now());
             }
         }
         let seen = look(&shelf);
         ordering.retain(|_, order| !order.is_finished());
-        let warming = planner.direct(&seen.state, &looks.adapters, boot_now());
+        let warming = planner.next_actions(&seen.state, &looks.adapters, boot_now());
         // While the holder before may still have orders on their way, this one looks and gives none.
         if seen.conductor.is_none_or(|(acting, _)| acting != term) {
             continue;
@@ -56,38 +56,38 @@
         for act in warming {
             carry_out_warming(act, &shelf, &executor, &mut ordering, term, me);
         }
-        for act in conductor.direct(&seen.state, &looks.observed, boot_now()) {
+        for act in conductor.next_actions(&seen.state, &looks.observed, boot_now()) {
             match act {
-                Act::Stand { engine, standing }
+                ConductorAction::SetStanding { engine, standing }
                     if standing.closed
                         && !planner.closings.may_close(&seen.state, &looks.adapters, &engine, boot_now()) =>
                 {
                     event!(debug, "engine_waits", engine = engine, reason = "it holds the last copy of an adapter");
                 }
-                Act::Stand { engine, standing } => {
+                ConductorAction::SetStanding { engine, standing } => {
                     event!(info, "engine_stands", engine = engine, closed = standing.closed, term = term);
                     let naming = engine.clone();
                     submit_once(&executor, &mut ordering, naming, Command::Stand { term, engine, standing });
                 }
-                Act::Load { engine, address, weights } => {
+                ConductorAction::Load { engine, address, weights } => {
                     let wish = OrderWish::LoadWeights { weights: weights.0 };
                     give_order(&shelf, &mut ordering, engine, address, term, me, wish);
                 }
-                Act::DoStep { plan, .. }
+                ConductorAction::DoStep { plan, .. }
                     if !planner.closings.may_do_step(&seen.state, &looks.adapters, plan, boot_now()) =>
                 {
                     event!(debug, "plan_waits", plan = plan, reason = "the engine holds the last copy of an adapter");
                 }
-                Act::DoStep { plan, step } => {
+                ConductorAction::DoStep { plan, step } => {
                     event!(info, "plan_step", plan = plan, step = step + 1, term = term);
                     let naming = EngineName(format!("plan {plan}"));
                     submit_once(&executor, &mut ordering, naming, Command::DoStep { term, plan, step });
                 }
-                Act::EndPlan { plan, halted } => {
+                ConductorAction::EndPlan { plan, halted } => {
                     let naming = EngineName(format!("plan {plan}"));
                     submit_once(&executor, &mut ordering, naming, Command::EndPlan { term, plan, halted });
                 }
-                Act::Open { engine, address } => {
+                ConductorAction::Open { engine, address } => {
                     give_order(&shelf, &mut ordering, engine, address, term, me, OrderWish::Open);
                 }
             }
@@ -98,7 +98,7 @@
 /// Does what the planner of adapters wants: the state is asked for one copy at a time, and an engine is
 /// given one order at a time.
 fn carry_out_warming(
-    act: WarmingAct,
+    act: WarmingAction,
     shelf: &Shelf,
     executor: &ExecutorClient,
     ordering: &mut HashMap<EngineName, tokio::task::JoinHandle<()>>,
@@ -106,23 +106,23 @@
     me: NodeId,
 ) {
     match act {
-        WarmingAct::Place { engine, adapter, stage } => {
+        WarmingAction::Place { engine, adapter, stage } => {
             let naming = EngineName(format!("{engine} {adapter}"));
             if !ordering.contains_key(&naming) {
                 event!(info, "adapter_placed", engine = engine, adapter = adapter, stage = format!("{stage:?}"));
             }
             submit_once(executor, ordering, naming, Command::PlaceCopy { term, engine, adapter, stage });
         }
-        WarmingAct::UseRevision { adapter } => {
+        WarmingAction::UseRevision { adapter } => {
             event!(info, "adapter_revision", adapter = adapter, term = term);
             let naming = EngineName(format!("revision {}", adapter.name));
             submit_once(executor, ordering, naming, Command::UseRevision { term, adapter });
         }
-        WarmingAct::Load { engine, address, adapter } => {
+        WarmingAction::Load { engine, address, adapter } => {
             let wish = OrderWish::LoadAdapter { adapter: adapter.to_string() };
             give_order(shelf, ordering, engine, address, term, me, wish);
         }
-        WarmingAct::Unload { engine, address, adapter } => {
+        WarmingAction::Unload { engine, address, adapter } => {
             let wish = OrderWish::UnloadAdapter { adapter: adapter.to_string() };
             give_order(shelf, ordering, engine, address, term, me, wish);
         }
@@ -204,8 +204,8 @@
     }
 }
 
-fn seen_engine(told: &EngineState, at: Instant) -> SeenEngine {
-    SeenEngine {
+fn seen_engine(told: &EngineState, at: Instant) -> AdapterReport {
+    AdapterReport {
         boot: told.boot.clone(),
         resident: told.adapters.iter().filter_map(|text| AdapterId::read(text)).collect(),
         places: told.adapter_places,
@@ -213,8 +213,8 @@
     }
 }
 
-fn observed(told: EngineState, at: Instant) -> Observed {
-    Observed {
+fn observed(told: EngineState, at: Instant) -> EngineObservation {
+    EngineObservation {
         boot: told.boot,
         weights: WeightsEdition(told.weights),
         running: told.running,
--- a/crates/keeper/src/prelude.rs
+++ b/crates/keeper/src/prelude.rs
@@ -15,9 +15,9 @@
 pub use crate::run::*;
 pub use crate::shelf::Seen;
 pub(crate) use crate::shelf::*;
-pub(crate) use adapters::prelude::{RATE_UNIT, SeenEngine, WarmingAct, WarmingPlanner};
+pub(crate) use adapters::prelude::{AdapterReport, RATE_UNIT, WarmingAction, WarmingPlanner};
 pub use conductor::prelude::OrderAnswer;
-pub(crate) use conductor::prelude::{Act, Bringer, Bringing, Conductor, Observed};
+pub(crate) use conductor::prelude::{Conductor, ConductorAction, EngineObservation, RolloutStep, WeightsRollout};
 pub(crate) use contract::prelude::*;
 pub(crate) use coordinator::prelude::*;
 pub(crate) use desired::prelude::{
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -112,13 +112,13 @@
     /// Counts a request for the adapter it runs on, whether it is served or not.
     pub fn note_demand(&self, adapter: &AdapterName, now: Instant) {
         let span = self.sight().state.desired.warming.demand_span;
-        self.demand.lock().expect("no holder of this lock panics").note(adapter, span, now);
+        self.demand.lock().expect("no holder of this lock panics").record(adapter, span, now);
     }
 
     /// The rates of requests for adapters, as the core is told them.
     pub fn demand(&self, now: Instant) -> BTreeMap<AdapterName, u64> {
         let span = self.sight().state.desired.warming.demand_span;
-        self.demand.lock().expect("no holder of this lock panics").tell(span, now)
+        self.demand.lock().expect("no holder of this lock panics").rates(span, now)
     }
 
     pub fn know_routers(&self, routers: Vec<RouterAddress>) {
--- a/crates/simulator/src/adapted.rs
+++ b/crates/simulator/src/adapted.rs
@@ -188,7 +188,7 @@
         else {
             return;
         };
-        let (router_id, rates) = (router.id, router.meter.tell(span, local_now));
+        let (router_id, rates) = (router.id, router.meter.rates(span, local_now));
         if rates.is_empty() || self.draw.chance(15) {
             return;
         }
@@ -212,22 +212,22 @@
         }
         self.ask_demand(number, local_now);
         let seen = self.seen_adapters(local_now);
-        for act in self.keepers[number].planner.direct(state, &seen, local_now) {
+        for act in self.keepers[number].planner.next_actions(state, &seen, local_now) {
             match act {
                 _ if !may_act => {}
-                WarmingAct::Place { engine, adapter, stage } => {
+                WarmingAction::Place { engine, adapter, stage } => {
                     let naming = EngineName(format!("{engine} {adapter}"));
                     self.submit_once(number, naming, Command::PlaceCopy { term, engine, adapter, stage });
                 }
-                WarmingAct::UseRevision { adapter } => {
+                WarmingAction::UseRevision { adapter } => {
                     let naming = EngineName(format!("revision {}", adapter.name));
                     self.submit_once(number, naming, Command::UseRevision { term, adapter });
                 }
-                WarmingAct::Load { engine, adapter, .. } => {
+                WarmingAction::Load { engine, adapter, .. } => {
                     let naming = EngineName(format!("order {engine} {adapter}"));
                     self.order(number, term, engine, naming, SimWish::LoadAdapter(adapter));
                 }
-                WarmingAct::Unload { engine, adapter, .. } => {
+                WarmingAction::Unload { engine, adapter, .. } => {
                     let naming = EngineName(format!("order {engine} {adapter}"));
                     self.order(number, term, engine, naming, SimWish::UnloadAdapter(adapter));
                 }
@@ -235,10 +235,10 @@
         }
     }
 
-    fn seen_adapters(&self, local_now: Instant) -> BTreeMap<EngineName, SeenEngine> {
+    fn seen_adapters(&self, local_now: Instant) -> BTreeMap<EngineName, AdapterReport> {
         let up = self.engines.iter().filter(|engine| engine.up);
         let told = up.map(|engine| {
-            let told = SeenEngine {
+            let told = AdapterReport {
                 boot: engine.memory.boot.to_string(),
                 resident: engine.resident.iter().cloned().collect(),
                 places: ADAPTER_PLACES as u64,
@@ -299,7 +299,7 @@
             && keeper.life == life
         {
             let local_now = keeper.clock.read(self.now);
-            keeper.planner.demand.hear(heard.clone(), local_now);
+            keeper.planner.demand.record(heard.clone(), local_now);
         }
         true
     }
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -240,12 +240,12 @@
     }
 
     pub fn conduct(&mut self, number: usize, term: Term, state: &FleetState, local_now: Instant) {
-        let observed: BTreeMap<EngineName, Observed> = self
+        let observed: BTreeMap<EngineName, EngineObservation> = self
             .engines
             .iter()
             .filter(|engine| engine.up)
             .map(|engine| {
-                let seen = Observed {
+                let seen = EngineObservation {
                     boot: engine.memory.boot.to_string(),
                     weights: engine.weights,
                     running: engine.attempts.len() as u64,
@@ -257,11 +257,12 @@
             .collect();
         let now = self.now;
         self.keepers[number].submitted.retain(|_, until| now < *until);
-        let acts = self.keepers[number].conductor.direct(state, &observed, local_now);
+        let acts = self.keepers[number].conductor.next_actions(state, &observed, local_now);
         for act in acts {
             match act {
-                Act::Stand { engine, standing } if standing.closed && !self.may_close(number, state, &engine) => {}
-                Act::Stand { engine, standing } => {
+                ConductorAction::SetStanding { engine, standing }
+                    if standing.closed && !self.may_close(number, state, &engine) => {}
+                ConductorAction::SetStanding { engine, standing } => {
                     let now = self.now;
                     let waits = self.keepers[number].submitted.get(&engine).is_some_and(|until| now < *until);
                     if waits {
@@ -276,13 +277,17 @@
                         Some(means),
                     );
                 }
-                Act::Load { engine, weights, .. } => {
+                ConductorAction::Load { engine, weights, .. } => {
                     self.order(number, term, engine.clone(), engine, SimWish::LoadWeights(weights));
                 }
-                Act::Open { engine, .. } => self.order(number, term, engine.clone(), engine, SimWish::Open),
-                Act::DoStep { plan, .. } if !self.may_do_step(number, state, plan) => {}
-                Act::DoStep { plan, step } => self.step_plan(number, plan, Command::DoStep { term, plan, step }),
-                Act::EndPlan { plan, halted } => {
+                ConductorAction::Open { engine, .. } => {
+                    self.order(number, term, engine.clone(), engine, SimWish::Open)
+                }
+                ConductorAction::DoStep { plan, .. } if !self.may_do_step(number, state, plan) => {}
+                ConductorAction::DoStep { plan, step } => {
+                    self.step_plan(number, plan, Command::DoStep { term, plan, step })
+                }
+                ConductorAction::EndPlan { plan, halted } => {
                     self.step_plan(number, plan, Command::EndPlan { term, plan, halted });
                 }
             }
--- a/crates/simulator/src/runs.rs
+++ b/crates/simulator/src/runs.rs
@@ -85,7 +85,7 @@
         };
         if let Some(adapter) = router.sight.state.adapter_for(&tenant, &ModelName(MODEL.into())) {
             let span = router.sight.state.desired.warming.demand_span;
-            router.meter.note(&adapter.name, span, local_now);
+            router.meter.record(&adapter.name, span, local_now);
         }
         router.next_run += 1;
         let number = router.next_run;
