--- a/crates/attempts/src/held.rs
+++ b/crates/attempts/src/held.rs
@@ -67,7 +67,7 @@
 }
 
 /// The place to go on from after the last piece that was seen; nothing if that piece was never sent.
-pub fn resume_place(last_piece: Option<u64>, event_count: usize) -> Option<usize> {
+pub fn resume_index(last_piece: Option<u64>, event_count: usize) -> Option<usize> {
     let place = last_piece.map_or(0, |piece| piece + 1) as usize;
     (place <= event_count).then_some(place)
 }
@@ -135,7 +135,7 @@
         held.end(HeldEnd::Whole, Instant(6));
         assert_eq!(held.from(2), (vec![], Some(late)), "the first end stands");
         assert!(held.is_over(Instant(5) + HELD_AFTER_END) && !held.is_over(Instant(6)));
-        let places = [None, Some(0), Some(1), Some(2)].map(|last| resume_place(last, held.count()));
+        let places = [None, Some(0), Some(1), Some(2)].map(|last| resume_index(last, held.count()));
         assert_eq!(places, [Some(0), Some(1), Some(2), None]);
     }
 }
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/request_site.rs
@@ -78,7 +78,7 @@
         let Some(held_run) = self.book.find(named.run).filter(|held_run| held_run.tenant == *tenant) else {
             return gone();
         };
-        let Some(first) = resume_place(last_piece, held_run.event_count()) else {
+        let Some(first) = resume_index(last_piece, held_run.event_count()) else {
             return bad("Last-Event-ID names a piece that was never sent");
         };
         held_run.stream_from(first).with_header(RUN_HEADER, run)
--- a/crates/simulator/src/resuming.rs
+++ b/crates/simulator/src/resuming.rs
@@ -36,7 +36,7 @@
             return self.caller_gets(caller, CallerNews::Gone);
         };
         let Some(held) = &run.held else { return self.caller_gets(caller, CallerNews::Gone) };
-        let Some(place) = resume_place(last_piece, held.count()) else {
+        let Some(place) = resume_index(last_piece, held.count()) else {
             return self.caller_gets(caller, CallerNews::Gone);
         };
         let (pieces, end) = held.from(place);
