--- a/crates/attempts/src/allowance.rs
+++ b/crates/attempts/src/allowance.rs
@@ -1,37 +1,37 @@
-//! How long an engine may work on an attempt without hearing from its router again: no longer than the
-//! router's own work may outlive its lease. A router that is frozen or lost can end nothing; its
-//! engines then end by themselves what it has under way. One that lives asks for more in time.
+//! How long an engine may work on an attempt unless its router extends the time: no longer than the router's
+//! own work may outlive its lease. A frozen or lost router cannot cancel anything, so its engines stop its
+//! attempts by themselves. A live router extends the allowance before it runs out.
 
 use crate::prelude::*;
 
-/// So long before an engine's time is over more is asked for.
-const ASK_AHEAD: Span = Span::seconds(2);
-/// A router that lives ends its attempts first, so that it can say why.
+/// How long before an allowance ends the router asks for an extension.
+const EXTEND_AHEAD: Span = Span::seconds(2);
+/// Lets a live router stop its attempts before the engine does, so that the caller is told the reason.
 const ENGINE_SLACK: Span = Span::millis(300);
 
-/// The time an engine is allowed on an attempt.
+/// The time until which an engine may work on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
     until: Instant,
 }
 
 impl Allowance {
-    /// What a lease and the request's own limit allow.
+    /// The allowance under a router's lease and the request's own time limit.
     pub fn under(lease_until: Instant, limit: Instant) -> Allowance {
         Allowance { until: limit.min(lease_until + LEASE_GRACE + ENGINE_SLACK) }
     }
 
-    /// What is left of it.
+    /// The time left.
     pub fn left(&self, now: Instant) -> Span {
         self.until.since(now)
     }
 
-    /// When to ask for more; never if the request's own limit comes first.
+    /// When to ask for an extension; `None` if the request's own limit comes first.
     pub fn due(&self, limit: Instant) -> Option<Instant> {
-        (self.until < limit).then(|| Instant(self.until.0.saturating_sub(ASK_AHEAD.0)))
+        (self.until < limit).then(|| Instant(self.until.0.saturating_sub(EXTEND_AHEAD.0)))
     }
 
-    /// What the engine is to be allowed next, once that is due and the lease, in force or not, gives more.
+    /// The extended allowance, if an extension is due and the lease, in force or not, allows a later end.
     pub fn more(&self, lease_until: Instant, limit: Instant, now: Instant) -> Option<Allowance> {
         let is_due = self.due(limit).is_some_and(|due| now >= due);
         let next = Allowance::under(lease_until, limit);
@@ -48,7 +48,7 @@
     }
 
     #[test]
-    fn an_engine_is_allowed_no_more_than_its_routers_lease_bears() {
+    fn an_allowance_ends_with_the_routers_lease_and_grace() {
         let limit = at(30);
         let first = Allowance::under(at(2), limit);
         assert_eq!(first.left(at(0)), Span::millis(6300));
--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -1,10 +1,10 @@
-//! The gate: what must hold in the very call that writes an attempt's first byte, and what must go on to
-//! hold while the attempt is worked on.
+//! The conditions for an attempt: those checked in the call that writes its first byte, and those that must
+//! keep holding while it runs.
 
 use crate::prelude::*;
 
-/// How long running work outlives its router's lease. A change is acknowledged at the earliest when
-/// that lease has run out, so a key withdrawn meanwhile works for so long after the acknowledgement.
+/// How long running work may outlive its router's lease. A change that the router missed is acknowledged once
+/// its lease has expired, so a withdrawn key may keep running work for this long after the acknowledgement.
 pub const LEASE_GRACE: Span = Span::seconds(4);
 
 /// Why an attempt may not start now.
@@ -12,95 +12,95 @@
 pub enum StartRefusal {
     /// The router holds no lease.
     NoLease,
-    /// The key is not, or no longer, the tenant's.
+    /// The API key does not, or no longer, belong to the tenant.
     KeyWithdrawn,
-    /// The engine may not be used now, or not with these weights.
+    /// The engine may not be used now, or serves other weights.
     EngineMoved,
-    /// The tenant's wall has changed, and with it the salt.
+    /// The tenant's isolation domain (wall) has changed, and with it the salt.
     WallMoved,
-    /// Requests run on another adapter or revision now, or the engine holds it no more.
+    /// The tenant's requests now run on another adapter or revision, or the engine no longer holds it.
     AdapterMoved,
-    /// The request's own limit has passed.
+    /// The request's own time limit has passed.
     LimitPassed,
 }
 
-/// Why work that is under way must end.
+/// Why running work must stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// The router has held no lease for longer than the grace.
+    /// The router's lease expired longer than `LEASE_GRACE` ago.
     NoLease,
-    /// The key is no longer the tenant's.
+    /// The API key no longer belongs to the tenant.
     KeyWithdrawn,
 }
 
-/// What an attempt was chosen on.
+/// The facts on which an attempt was placed; checked again before it starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptBasis {
-    /// The hash of the key the request came with.
+    /// The hash of the request's API key.
     pub key_hash: String,
-    /// Whose key that was.
+    /// The tenant of that key.
     pub tenant: TenantName,
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelName,
     /// The engine chosen.
     pub engine: EngineName,
-    /// The weights it confirmed.
+    /// The weights that the engine had confirmed.
     pub weights: WeightsEdition,
-    /// The adapter it runs on, alone; none for the bare model.
+    /// The only adapter the attempt may run on; `None` for the base model.
     pub adapter: Option<AdapterId>,
-    /// The salt of the prompt's block names.
+    /// The salt of the prompt's block hashes.
     pub salt: Salt,
-    /// When the request's own limit passes.
+    /// The request's own time limit.
     pub limit: Instant,
 }
 
-/// Whether a router may take anything on now: it knows what is in force only while it holds a lease.
+/// Whether a router may start work: its view of the fleet state is current only while it holds a lease.
 pub fn is_leased(lease_until: Instant, now: Instant) -> bool {
     now < lease_until
 }
 
-/// The last look before the first byte of an attempt.
+/// Checks that an attempt may start; called together with the write of its first byte.
 pub fn may_start(
     sight: &FleetSight,
     lease_until: Instant,
-    ground: &AttemptBasis,
+    basis: &AttemptBasis,
     now: Instant,
 ) -> Result<(), StartRefusal> {
     if !is_leased(lease_until, now) {
         return Err(StartRefusal::NoLease);
     }
-    if now >= ground.limit {
+    if now >= basis.limit {
         return Err(StartRefusal::LimitPassed);
     }
-    if may_continue(sight, lease_until, &ground.key_hash, &ground.tenant, now).is_err() {
+    if may_continue(sight, lease_until, &basis.key_hash, &basis.tenant, now).is_err() {
         return Err(StartRefusal::KeyWithdrawn);
     }
-    let usable = sight.usable_weights_for(&ground.engine, &ground.model, ground.adapter.as_ref(), now);
-    if usable != Some(ground.weights) {
+    let usable = sight.usable_weights_for(&basis.engine, &basis.model, basis.adapter.as_ref(), now);
+    if usable != Some(basis.weights) {
         return Err(StartRefusal::EngineMoved);
     }
-    if !runs_on_its_adapter(sight, ground) {
+    if !is_adapter_current(sight, basis) {
         return Err(StartRefusal::AdapterMoved);
     }
-    let wall = sight.state.wall_of(&ground.tenant);
-    let salt = Salt::of(&ground.model, ground.weights, wall.id, wall.edition);
-    if salt.under(ground.adapter.as_ref()) != ground.salt {
+    let wall = sight.state.wall_of(&basis.tenant);
+    let salt = Salt::of(&basis.model, basis.weights, wall.id, wall.edition);
+    if salt.under(basis.adapter.as_ref()) != basis.salt {
         return Err(StartRefusal::WallMoved);
     }
     Ok(())
 }
 
-/// Whether an attempt is for the adapter that its tenant's requests run on now, if they run on one, and its
-/// engine holds exactly that warm.
-fn runs_on_its_adapter(sight: &FleetSight, ground: &AttemptBasis) -> bool {
-    if sight.state.adapter_for(&ground.tenant, &ground.model) != ground.adapter {
+/// Whether the attempt is for the adapter, or for none, that its tenant's requests run on now, and its engine
+/// holds exactly that adapter warm.
+fn is_adapter_current(sight: &FleetSight, basis: &AttemptBasis) -> bool {
+    if sight.state.adapter_for(&basis.tenant, &basis.model) != basis.adapter {
         return false;
     }
-    let Some(adapter) = &ground.adapter else { return true };
-    sight.state.adapters.is_warm(&ground.engine, adapter)
+    let Some(adapter) = &basis.adapter else { return true };
+    sight.state.adapters.is_warm(&basis.engine, adapter)
 }
 
-/// Whether an answer, or a piece of one, names the adapter that its attempt was to run on.
+/// Whether an answer, or a piece of one, names the adapter that its attempt was meant to run on.
 pub fn names_expected_adapter(adapter: Option<&AdapterId>, answered_on: Option<&str>) -> bool {
     match (adapter, answered_on) {
         (None, None) => true,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Whether work for a key may go on. A router long without a lease cannot know of withdrawn keys.
+/// Checks that running work for a key may continue. A router without a lease does not hear of withdrawn keys.
 pub fn may_continue(
     sight: &FleetSight,
     lease_until: Instant,
@@ -135,7 +135,7 @@
 
     const NOW: Instant = Instant(1_000_000_000_000);
 
-    /// A fleet of one engine, which holds `x@1` warm; tenant `a` is bound to it, `b` to nothing.
+    /// A fleet of one engine that holds `x@1` warm; tenant `a` uses that adapter, `b` uses none.
     fn fleet() -> FleetState {
         let mut state = FleetState::default();
         let document = r#"{"models":{"m":{"adapter_places":1}},"tenants":{"a":{"keys":{"k":"KEY"},"adapters":["x"]},"b":{}},
@@ -154,7 +154,7 @@
         state
     }
 
-    fn ground(adapter: Option<AdapterId>) -> AttemptBasis {
+    fn basis(adapter: Option<AdapterId>) -> AttemptBasis {
         let salt = Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)).under(adapter.as_ref());
         AttemptBasis {
             key_hash: "0".repeat(64),
@@ -168,34 +168,34 @@
         }
     }
 
-    fn starts(state: FleetState, ground: &AttemptBasis) -> Result<(), StartRefusal> {
+    fn starts(state: FleetState, basis: &AttemptBasis) -> Result<(), StartRefusal> {
         let sight = FleetSight::default().following(state, None, NOW);
-        may_start(&sight, NOW + Span::seconds(1), ground, NOW)
+        may_start(&sight, NOW + Span::seconds(1), basis, NOW)
     }
 
     #[test]
-    fn a_shot_starts_only_on_the_adapter_in_force_where_it_is_warm() {
+    fn an_attempt_starts_only_on_the_current_adapter_where_it_is_warm() {
         let own = AdapterId::new("x", 1);
-        assert_eq!(starts(fleet(), &ground(Some(own.clone()))), Ok(()));
-        for foreign in [None, Some(AdapterId::new("x", 2)), Some(AdapterId::new("y", 1))] {
-            assert_eq!(starts(fleet(), &ground(foreign)), Err(StartRefusal::AdapterMoved));
+        assert_eq!(starts(fleet(), &basis(Some(own.clone()))), Ok(()));
+        for other in [None, Some(AdapterId::new("x", 2)), Some(AdapterId::new("y", 1))] {
+            assert_eq!(starts(fleet(), &basis(other)), Err(StartRefusal::AdapterMoved));
         }
         let mut cold = fleet();
         cold.adapters.copies.clear();
-        assert_eq!(starts(cold, &ground(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
+        assert_eq!(starts(cold, &basis(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
         let mut leaving = fleet();
         leaving.adapters.copies.get_mut(&"e".into()).unwrap()[0].stage = CopyStage::Leaving;
-        assert_eq!(starts(leaving, &ground(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
+        assert_eq!(starts(leaving, &basis(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
         let mut unbound = fleet();
         unbound.desired.tenants.get_mut(&"a".into()).unwrap().adapters.clear();
-        assert_eq!(starts(unbound.clone(), &ground(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
-        assert_eq!(starts(unbound, &ground(None)), Ok(()));
-        let bare_salt = AttemptBasis { salt: ground(None).salt, ..ground(Some(own)) };
+        assert_eq!(starts(unbound.clone(), &basis(Some(own.clone()))), Err(StartRefusal::AdapterMoved));
+        assert_eq!(starts(unbound, &basis(None)), Ok(()));
+        let bare_salt = AttemptBasis { salt: basis(None).salt, ..basis(Some(own)) };
         assert_eq!(starts(fleet(), &bare_salt), Err(StartRefusal::WallMoved));
     }
 
-    /// The fleet's engine holds a second model `n` besides, on other weights than the first, with an adapter
-    /// `y@1` of it warm, to which tenant `a` is bound too.
+    /// `fleet()` whose engine also serves a second model `n`, on other weights than the first, and holds its
+    /// adapter `y@1` warm; tenant `a` uses that adapter too.
     fn fleet_of_two_models() -> FleetState {
         let mut state = fleet();
         let patch = r#"{"models":{"n":{"weights":3,"adapter_places":1}},"tenants":{"a":{"adapters":["x","y"]}},
@@ -211,44 +211,48 @@
         state
     }
 
-    /// An attempt for the second model, on weights of it or on others.
-    fn second_ground(weights: u64, adapter: Option<AdapterId>) -> AttemptBasis {
+    /// An attempt for the second model on the given weights.
+    fn second_basis(weights: u64, adapter: Option<AdapterId>) -> AttemptBasis {
         let (model, weights) = (ModelName::from("n"), WeightsEdition(weights));
         let salt = Salt::of(&model, weights, WallId(0), WallEdition(0)).under(adapter.as_ref());
-        AttemptBasis { model, weights, adapter, salt, ..ground(None) }
+        AttemptBasis { model, weights, adapter, salt, ..basis(None) }
     }
 
     #[test]
-    fn a_shot_for_a_second_model_is_judged_by_that_models_weights() {
+    fn an_attempt_for_a_second_model_is_checked_against_that_models_weights() {
         let own = Some(AdapterId::new("y", 1));
-        assert_eq!(starts(fleet_of_two_models(), &second_ground(3, own.clone())), Ok(()));
+        assert_eq!(starts(fleet_of_two_models(), &second_basis(3, own.clone())), Ok(()));
         assert_eq!(
-            starts(fleet_of_two_models(), &second_ground(1, own.clone())),
+            starts(fleet_of_two_models(), &second_basis(1, own.clone())),
             Err(StartRefusal::EngineMoved),
-            "those of the first model"
+            "weights of the first model"
         );
         let mut unbound = fleet_of_two_models();
         unbound.desired.tenants.get_mut(&"a".into()).unwrap().adapters.clear();
-        assert_eq!(starts(unbound, &second_ground(3, None)), Ok(()));
-        assert_eq!(starts(fleet(), &second_ground(3, own)), Err(StartRefusal::EngineMoved), "no such model there");
-        assert_eq!(starts(fleet_of_two_models(), &ground(Some(AdapterId::new("x", 1)))), Ok(()));
+        assert_eq!(starts(unbound, &second_basis(3, None)), Ok(()));
+        assert_eq!(
+            starts(fleet(), &second_basis(3, own)),
+            Err(StartRefusal::EngineMoved),
+            "the engine does not serve this model"
+        );
+        assert_eq!(starts(fleet_of_two_models(), &basis(Some(AdapterId::new("x", 1)))), Ok(()));
     }
 
     #[test]
-    fn a_shot_at_a_leaving_engine_starts_on_its_last_copy_alone_and_within_the_bound() {
+    fn an_attempt_at_a_leaving_engine_starts_only_on_its_last_copy_and_before_the_lease_ends() {
         let before = FleetSight::default().following(fleet(), None, NOW);
         let mut leaving = fleet();
         leaving.listing.engines.get_mut(&"e".into()).unwrap().listed = Listed::Leaving;
         let sight = before.following(leaving, None, NOW).heard_under(&before.state, NOW + Span::millis(900));
-        let start = |ground: &AttemptBasis, now: Instant| may_start(&sight, NOW + Span::seconds(2), ground, now);
-        let own = ground(Some(AdapterId::new("x", 1)));
+        let start = |basis: &AttemptBasis, now: Instant| may_start(&sight, NOW + Span::seconds(2), basis, now);
+        let own = basis(Some(AdapterId::new("x", 1)));
         assert_eq!(start(&own, NOW), Ok(()));
         assert_eq!(start(&own, NOW + Span::millis(900)), Err(StartRefusal::EngineMoved));
-        assert_eq!(start(&ground(None), NOW), Err(StartRefusal::EngineMoved), "not the bare model");
+        assert_eq!(start(&basis(None), NOW), Err(StartRefusal::EngineMoved), "not the base model");
     }
 
     #[test]
-    fn an_answer_is_own_if_it_names_exactly_the_adapter() {
+    fn an_answer_must_name_exactly_the_expected_adapter() {
         let own = AdapterId::new("x", 1);
         assert!(names_expected_adapter(Some(&own), Some("x@1")) && names_expected_adapter(None, None));
         for named in [None, Some("x@2"), Some("y@1"), Some("x")] {
--- a/crates/attempts/src/held.rs
+++ b/crates/attempts/src/held.rs
@@ -1,25 +1,25 @@
-//! A run held for its caller to come back to: its events in order, bounded in number and size, and how
-//! it ended. Whoever goes on with it names the last event it saw and gets the ones after that.
+//! The buffered events of a resumable run: in order, bounded in number and size, with how the run ended. A
+//! caller that resumes names the last event it received and gets those after it.
 
 use crate::prelude::*;
 
-/// Events of one run that are held at the most.
+/// Maximum number of buffered events of a run.
 pub const MAX_HELD_EVENTS: usize = 8192;
-/// Bytes of one run that are held at the most.
+/// Maximum size of a run's buffered events, in bytes.
 pub const MAX_HELD_BYTES: usize = 4 << 20;
-/// How long a run is held after its end.
+/// How long a run's events are kept after its end.
 pub const HELD_AFTER_END: Span = Span::seconds(30);
 
 /// How a held run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeldEnd {
-    /// With its end mark.
+    /// Complete, with its end mark.
     Whole,
     /// Before its end mark.
     Cut(CutReason),
 }
 
-/// The events of a held run.
+/// The buffered events of a run.
 #[derive(Clone, Debug)]
 pub struct HeldEvents<E> {
     events: Vec<E>,
@@ -34,7 +34,7 @@
 }
 
 impl<E: Clone> HeldEvents<E> {
-    /// Holds an event; false if there is no more room.
+    /// Appends an event; false if the buffer is full.
     pub fn hold(&mut self, event: E, bytes: usize) -> bool {
         if self.events.len() >= MAX_HELD_EVENTS || self.bytes + bytes > MAX_HELD_BYTES {
             return false;
@@ -44,47 +44,47 @@
         true
     }
 
-    /// Notes the end; the first one stands.
+    /// Records how the run ended; later calls change nothing.
     pub fn end(&mut self, end: HeldEnd, now: Instant) {
         self.end.get_or_insert((end, now));
     }
 
-    /// How many events are held.
+    /// The number of buffered events.
     pub fn count(&self) -> usize {
         self.events.len()
     }
 
-    /// The events from a place on, as far as they have come, and the end if it has.
-    pub fn from(&self, place: usize) -> (Vec<E>, Option<HeldEnd>) {
-        let rest = self.events.get(place..).map(<[E]>::to_vec).unwrap_or_default();
+    /// The events so far from an index on, and how the run ended if it has.
+    pub fn from(&self, index: usize) -> (Vec<E>, Option<HeldEnd>) {
+        let rest = self.events.get(index..).map(<[E]>::to_vec).unwrap_or_default();
         (rest, self.end.as_ref().map(|(end, _)| end.clone()))
     }
 
-    /// Whether the run need not be held any longer.
+    /// Whether the events need not be kept any longer.
     pub fn is_over(&self, now: Instant) -> bool {
         self.end.as_ref().is_some_and(|(_, ended)| now.since(*ended) >= HELD_AFTER_END)
     }
 }
 
-/// The place to go on from after the last piece that was seen; nothing if that piece was never sent.
+/// The index of the first event after the last piece received; `None` if that piece was never sent.
 pub fn resume_index(last_piece: Option<u64>, event_count: usize) -> Option<usize> {
-    let place = last_piece.map_or(0, |piece| piece + 1) as usize;
-    (place <= event_count).then_some(place)
+    let index = last_piece.map_or(0, |piece| piece + 1) as usize;
+    (index <= event_count).then_some(index)
 }
 
-/// An event id, taken apart: router, run, piece.
+/// A parsed event id: router, run and piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventId {
     /// The router that holds the run.
     pub router: NodeId,
-    /// The run's number there.
+    /// The run's number at that router.
     pub run: u64,
-    /// The last piece seen; none if the run alone is named.
+    /// The last piece received; `None` if the id names only the run.
     pub piece: Option<u64>,
 }
 
 impl EventId {
-    /// Reads `ROUTER.RUN` or `ROUTER.RUN.PIECE`, strictly.
+    /// Parses `ROUTER.RUN` or `ROUTER.RUN.PIECE`; anything else is `None`.
     pub fn read(text: &str) -> Option<EventId> {
         if text.len() > 64 {
             return None;
@@ -106,36 +106,30 @@
     use crate::prelude::*;
 
     #[test]
-    fn event_names_are_read_strictly() {
-        let named = EventId::read("00000000000000ab.7.12").unwrap();
-        assert_eq!((named.router, named.run, named.piece), (NodeId(0xab), 7, Some(12)));
+    fn event_ids_are_parsed_strictly() {
+        let id = EventId::read("00000000000000ab.7.12").unwrap();
+        assert_eq!((id.router, id.run, id.piece), (NodeId(0xab), 7, Some(12)));
         assert_eq!(EventId::read("00000000000000ab.7").unwrap().piece, None);
-        let long_name = format!("00000000000000ab.7.{}", "1".repeat(80));
-        for forged in [
-            "",
-            "ab.7.1",
-            "00000000000000ab",
-            "00000000000000ab.7.1.2",
-            "00000000000000ab.-7.1",
-            "zz.1.1",
-            &long_name,
-        ] {
-            assert_eq!(EventId::read(forged), None, "{forged}");
+        let long_id = format!("00000000000000ab.7.{}", "1".repeat(80));
+        for malformed in
+            ["", "ab.7.1", "00000000000000ab", "00000000000000ab.7.1.2", "00000000000000ab.-7.1", "zz.1.1", &long_id]
+        {
+            assert_eq!(EventId::read(malformed), None, "{malformed}");
         }
     }
 
     #[test]
-    fn a_held_run_has_bounds_and_goes_on_where_its_caller_left_off() {
+    fn a_held_run_is_bounded_and_resumes_after_the_last_piece_received() {
         let mut held = HeldEvents::default();
         assert!(held.hold("a", MAX_HELD_BYTES - 1) && held.hold("b", 1));
-        assert!(!held.hold("c", 1), "no more room");
+        assert!(!held.hold("c", 1), "the buffer is full");
         assert_eq!(held.from(1), (vec!["b"], None));
         let late = HeldEnd::Cut(CutReason { kind: "cut", message: "late".into() });
         held.end(late.clone(), Instant(5));
         held.end(HeldEnd::Whole, Instant(6));
-        assert_eq!(held.from(2), (vec![], Some(late)), "the first end stands");
+        assert_eq!(held.from(2), (vec![], Some(late)), "the first end is kept");
         assert!(held.is_over(Instant(5) + HELD_AFTER_END) && !held.is_over(Instant(6)));
-        let places = [None, Some(0), Some(1), Some(2)].map(|last| resume_index(last, held.count()));
-        assert_eq!(places, [Some(0), Some(1), Some(2), None]);
+        let indexes = [None, Some(0), Some(1), Some(2)].map(|last| resume_index(last, held.count()));
+        assert_eq!(indexes, [Some(0), Some(1), Some(2), None]);
     }
 }
--- a/crates/attempts/src/lib.rs
+++ b/crates/attempts/src/lib.rs
@@ -1,6 +1,6 @@
-//! What becomes of a request after its plan: which attempt is tried, when another may follow, what goes
-//! to the caller and with which final word. A pure machine; the router carries its effects out, the
-//! simulator drives it against engines that answer whole, partial, foreign, late, broken or not at all.
+//! Attempts, retries and the final answer of a planned request, as a state machine without I/O. The router
+//! carries out its effects; the simulator drives it against engines whose answers are complete, partial,
+//! meant for another attempt, late, broken or missing.
 
 #![warn(missing_docs)]
 
--- a/crates/attempts/src/machine.rs
+++ b/crates/attempts/src/machine.rs
@@ -1,26 +1,31 @@
-//! The machine. Before the first piece has gone to the caller a fault may be followed by another attempt:
-//! always if the engine surely did not start, else only if the request may be repeated. After the first
-//! piece there is no second attempt. A final word says that nothing ran only if that is sure.
+//! The state machine of a request's attempts. Until the first piece has been sent to the caller a failed
+//! attempt may be retried: always if the engine certainly did not start it, otherwise only if the request is
+//! repeatable. After the first piece there is no retry. A final answer says that nothing ran only if that is
+//! certain.
 
 use crate::prelude::*;
 
-/// Attempts of one request at the most.
+/// Maximum number of attempts for one request.
 pub const MAX_ATTEMPTS: u64 = 3;
 
+/// How far the request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     New,
     Claiming,
     Picking,
     Connecting,
+    /// The request is being sent, or has been; the response head has not come.
     Sent,
-    Headed,
+    /// The response head was a success.
+    HeadReceived,
     Streaming,
-    Marked,
+    /// The end mark has come; only a clean close may follow.
+    EndMarked,
     Done,
 }
 
-/// A request's attempts, as a pure state machine.
+/// A request's attempts, as a state machine without I/O.
 #[derive(Clone, Debug)]
 pub struct AttemptMachine<P> {
     terms: RequestTerms,
@@ -32,11 +37,11 @@
     may_have_run: bool,
     holds_claim: bool,
     last_reason: String,
-    plan: Vec<AttemptEffect<P>>,
+    effects: Vec<AttemptEffect<P>>,
 }
 
 impl<P> AttemptMachine<P> {
-    /// A request of which nothing has been tried yet.
+    /// A request before its first attempt.
     pub fn new(terms: RequestTerms) -> AttemptMachine<P> {
         AttemptMachine {
             terms,
@@ -47,24 +52,24 @@
             is_retry: false,
             may_have_run: false,
             holds_claim: false,
-            last_reason: "no engine is free to take it".into(),
-            plan: Vec::new(),
+            last_reason: "no engine can take the request now".into(),
+            effects: Vec::new(),
         }
     }
 
-    /// Whether the final word has gone out, or the caller is gone.
+    /// Whether the final answer has been given, or the caller has left.
     pub fn is_done(&self) -> bool {
         self.stage == Stage::Done
     }
 
-    /// Whether a piece has gone to the caller.
+    /// Whether a piece has been sent to the caller.
     pub fn has_begun(&self) -> bool {
-        matches!(self.stage, Stage::Streaming | Stage::Marked)
+        matches!(self.stage, Stage::Streaming | Stage::EndMarked)
     }
 
-    /// Whether the engine's end mark has come, after which nothing more may.
+    /// Whether the engine's end mark has come; no piece may follow it.
     pub fn is_marked(&self) -> bool {
-        self.stage == Stage::Marked
+        self.stage == Stage::EndMarked
     }
 
     /// The name of the current attempt.
@@ -72,51 +77,51 @@
         format!("{}.{}", self.terms.run, self.attempt_number)
     }
 
-    /// Takes an input; what is to be done about it, in order.
+    /// Handles an input and returns the resulting effects in order.
     pub fn step(&mut self, input: AttemptInput<P>) -> Vec<AttemptEffect<P>> {
         if !self.is_done() {
-            self.take(input);
+            self.handle(input);
         }
-        std::mem::take(&mut self.plan)
+        std::mem::take(&mut self.effects)
     }
 
-    fn take(&mut self, input: AttemptInput<P>) {
+    fn handle(&mut self, input: AttemptInput<P>) {
         match (input, self.stage) {
             (AttemptInput::Begin, Stage::New) => self.begin(),
-            (AttemptInput::ClaimSettled(claimed), Stage::Claiming) => self.take_claim(claimed),
-            (AttemptInput::Picked(outcome), Stage::Picking) => self.take_pick(outcome),
+            (AttemptInput::ClaimSettled(claimed), Stage::Claiming) => self.handle_claim(claimed),
+            (AttemptInput::Picked(outcome), Stage::Picking) => self.handle_pick(outcome),
             (AttemptInput::Connected, Stage::Connecting) => {
                 self.stage = Stage::Sent;
-                self.plan.push(AttemptEffect::Write);
+                self.effects.push(AttemptEffect::Write);
             }
             (AttemptInput::ConnectFault(reason), Stage::Connecting) => {
-                self.lose_attempt(Ran::No, format!("connect: {reason}"));
+                self.fail_attempt(Ran::No, format!("connect: {reason}"));
             }
-            (AttemptInput::StartRefused(bar), Stage::Sent) => self.take_bar(bar),
+            (AttemptInput::StartRefused(refusal), Stage::Sent) => self.handle_start_refusal(refusal),
             (AttemptInput::SendFault { byte_left, reason }, Stage::Sent) => {
-                self.lose_attempt(if byte_left { Ran::Perhaps } else { Ran::No }, reason);
+                self.fail_attempt(if byte_left { Ran::Perhaps } else { Ran::No }, reason);
             }
-            (AttemptInput::Head { head, detail }, Stage::Sent) => self.take_head(head, detail),
+            (AttemptInput::Head { head, detail }, Stage::Sent) => self.handle_head(head, detail),
             (AttemptInput::Piece { attempt, finished, piece }, stage) => {
-                self.take_piece(stage, &attempt, finished, piece)
+                self.handle_piece(stage, &attempt, finished, piece)
             }
-            (AttemptInput::EndMark, Stage::Streaming) => self.stage = Stage::Marked,
-            (AttemptInput::EndMark, stage) => self.take_broken(stage, "an end mark out of place".into()),
-            (AttemptInput::Closed, Stage::Marked) => {
+            (AttemptInput::EndMark, Stage::Streaming) => self.stage = Stage::EndMarked,
+            (AttemptInput::EndMark, stage) => self.handle_broken_stream(stage, "unexpected end mark".into()),
+            (AttemptInput::Closed, Stage::EndMarked) => {
                 self.end_attempt();
-                self.plan.push(AttemptEffect::EndWhole);
+                self.effects.push(AttemptEffect::EndWhole);
                 self.stage = Stage::Done;
             }
             (AttemptInput::Closed, stage) => {
-                self.take_broken(stage, "the engine's stream ended without its end mark".into());
+                self.handle_broken_stream(stage, "the engine's stream ended without its end mark".into());
             }
-            (AttemptInput::Broken(reason), stage) => self.take_broken(stage, reason),
-            (AttemptInput::BufferFull, Stage::Streaming | Stage::Marked) => {
-                self.cut("cut", "the run is too large to be held".into());
+            (AttemptInput::Broken(reason), stage) => self.handle_broken_stream(stage, reason),
+            (AttemptInput::BufferFull, Stage::Streaming | Stage::EndMarked) => {
+                self.cut("cut", "the run exceeds the resume buffer".into());
             }
-            (AttemptInput::CallerGone, stage) => self.lose_caller(stage),
-            (AttemptInput::LimitPassed, stage) => self.pass_limit(stage),
-            (AttemptInput::WorkStopped(bar), stage) => self.bar_work(stage, bar),
+            (AttemptInput::CallerGone, stage) => self.handle_caller_gone(stage),
+            (AttemptInput::LimitPassed, stage) => self.handle_limit_passed(stage),
+            (AttemptInput::WorkStopped(stop), stage) => self.stop_work(stage, stop),
             _ => {}
         }
     }
@@ -124,13 +129,13 @@
     fn begin(&mut self) {
         if self.terms.claims && !self.terms.repeatable {
             self.stage = Stage::Claiming;
-            self.plan.push(AttemptEffect::Claim);
+            self.effects.push(AttemptEffect::Claim);
             return;
         }
         self.pick();
     }
 
-    fn take_claim(&mut self, claimed: ClaimOutcome) {
+    fn handle_claim(&mut self, claimed: ClaimOutcome) {
         match claimed {
             ClaimOutcome::Taken => {
                 self.holds_claim = true;
@@ -138,7 +143,7 @@
             }
             ClaimOutcome::Held(run) => {
                 self.stage = Stage::Done;
-                self.plan.push(AttemptEffect::GiveUp(GivenUp {
+                self.effects.push(AttemptEffect::GiveUp(GivenUp {
                     kind: GivenUpKind::Claimed,
                     ran: Ran::Perhaps,
                     reason: run,
@@ -147,30 +152,27 @@
             ClaimOutcome::Full => self.give_up(GivenUpKind::NotServed, "too many idempotency keys are held".into()),
             ClaimOutcome::Unknown => {
                 self.holds_claim = true;
-                self.give_up(GivenUpKind::NotServed, "the claim could not be settled".into());
+                self.give_up(GivenUpKind::NotServed, "the idempotency key could not be claimed in time".into());
             }
         }
     }
 
     fn pick(&mut self) {
         self.stage = Stage::Picking;
-        self.plan.push(AttemptEffect::Pick { tried: self.tried.clone(), is_retry: self.is_retry });
+        self.effects.push(AttemptEffect::Pick { tried: self.tried.clone(), is_retry: self.is_retry });
     }
 
-    fn take_pick(&mut self, outcome: PickOutcome) {
+    fn handle_pick(&mut self, outcome: PickOutcome) {
         match outcome {
             PickOutcome::Placed(engine) => {
                 self.engine = Some(engine);
                 self.attempt_number += 1;
                 self.stage = Stage::Connecting;
-                self.plan.push(AttemptEffect::Connect { attempt: self.attempt() });
+                self.effects.push(AttemptEffect::Connect { attempt: self.attempt() });
             }
             PickOutcome::Overloaded => self.give_up(GivenUpKind::NotServed, "the router is overloaded".into()),
             PickOutcome::NoAdapter => {
-                self.give_up(
-                    GivenUpKind::AdapterCold,
-                    "no engine holds its adapter warm; it is being seen to".into(),
-                );
+                self.give_up(GivenUpKind::AdapterCold, "no engine holds the adapter; it is being loaded".into());
             }
             PickOutcome::NoEngine | PickOutcome::NoBudget => {
                 self.give_up(GivenUpKind::NotServed, self.last_reason.clone());
@@ -178,87 +180,87 @@
         }
     }
 
-    fn take_bar(&mut self, bar: StartRefusal) {
-        let reason = format!("{bar:?}");
-        match bar {
+    fn handle_start_refusal(&mut self, refusal: StartRefusal) {
+        let reason = format!("{refusal:?}");
+        match refusal {
             StartRefusal::NoLease => self.stop_attempt(Ran::No, reason, GivenUpKind::NoLease),
             StartRefusal::KeyWithdrawn => self.stop_attempt(Ran::No, reason, GivenUpKind::KeyWithdrawn),
             StartRefusal::LimitPassed => self.stop_attempt(Ran::No, reason, GivenUpKind::LimitPassed),
             StartRefusal::EngineMoved | StartRefusal::WallMoved | StartRefusal::AdapterMoved => {
-                self.note_fault(Ran::No, reason, false);
+                self.record_fault(Ran::No, reason, false);
                 self.is_retry = false;
-                self.try_again();
+                self.retry();
             }
         }
     }
 
-    fn take_head(&mut self, head: ResponseClass, detail: String) {
+    fn handle_head(&mut self, head: ResponseClass, detail: String) {
         match head {
-            ResponseClass::NotStarted => self.lose_attempt(Ran::No, detail),
+            ResponseClass::NotStarted => self.fail_attempt(Ran::No, detail),
             ResponseClass::OutOfTime => self.stop_attempt(Ran::Perhaps, detail, GivenUpKind::LimitPassed),
-            ResponseClass::Failure => self.lose_attempt(Ran::Perhaps, detail),
-            ResponseClass::Success => self.stage = Stage::Headed,
+            ResponseClass::Failure => self.fail_attempt(Ran::Perhaps, detail),
+            ResponseClass::Success => self.stage = Stage::HeadReceived,
         }
     }
 
-    fn take_piece(&mut self, stage: Stage, attempt: &str, finished: bool, piece: P) {
+    fn handle_piece(&mut self, stage: Stage, attempt: &str, finished: bool, piece: P) {
         if attempt != self.attempt() {
-            return self.take_broken(stage, "a piece of another shot".into());
+            return self.handle_broken_stream(stage, "the piece names another attempt".into());
         }
         match stage {
-            Stage::Headed if self.terms.streams => {
+            Stage::HeadReceived if self.terms.streams => {
                 self.stage = Stage::Streaming;
-                self.plan.push(AttemptEffect::FirstPieceReceived);
-                self.plan.push(AttemptEffect::SendPiece(piece));
+                self.effects.push(AttemptEffect::FirstPieceReceived);
+                self.effects.push(AttemptEffect::SendPiece(piece));
             }
-            Stage::Headed if !finished => self.lose_attempt(Ran::Perhaps, "the answer is not whole".into()),
-            Stage::Headed => {
-                self.plan.push(AttemptEffect::FirstPieceReceived);
+            Stage::HeadReceived if !finished => self.fail_attempt(Ran::Perhaps, "the answer is incomplete".into()),
+            Stage::HeadReceived => {
+                self.effects.push(AttemptEffect::FirstPieceReceived);
                 self.end_attempt();
                 self.stage = Stage::Done;
-                self.plan.push(AttemptEffect::AnswerWhole(piece));
+                self.effects.push(AttemptEffect::AnswerWhole(piece));
             }
-            Stage::Streaming => self.plan.push(AttemptEffect::SendPiece(piece)),
-            Stage::Marked => self.cut("cut", "something came after the end mark".into()),
+            Stage::Streaming => self.effects.push(AttemptEffect::SendPiece(piece)),
+            Stage::EndMarked => self.cut("cut", "data after the end mark".into()),
             _ => {}
         }
     }
 
-    fn take_broken(&mut self, stage: Stage, reason: String) {
+    fn handle_broken_stream(&mut self, stage: Stage, reason: String) {
         match stage {
-            Stage::Sent | Stage::Headed => self.lose_attempt(Ran::Perhaps, reason),
-            Stage::Streaming | Stage::Marked => self.cut("cut", reason),
+            Stage::Sent | Stage::HeadReceived => self.fail_attempt(Ran::Perhaps, reason),
+            Stage::Streaming | Stage::EndMarked => self.cut("cut", reason),
             _ => {}
         }
     }
 
-    fn lose_caller(&mut self, stage: Stage) {
-        if self.terms.resumes && matches!(stage, Stage::Streaming | Stage::Marked) {
+    fn handle_caller_gone(&mut self, stage: Stage) {
+        if self.terms.resumes && matches!(stage, Stage::Streaming | Stage::EndMarked) {
             return;
         }
         self.end_attempt();
         if self.holds_claim && !self.may_have_run && matches!(stage, Stage::Picking | Stage::Connecting) {
-            self.plan.push(AttemptEffect::ReleaseClaim);
+            self.effects.push(AttemptEffect::ReleaseClaim);
         }
         self.stage = Stage::Done;
     }
 
-    fn pass_limit(&mut self, stage: Stage) {
-        let reason = String::from("the limit passed");
+    fn handle_limit_passed(&mut self, stage: Stage) {
+        let reason = String::from("the request's time limit passed");
         match stage {
             Stage::New | Stage::Claiming | Stage::Picking | Stage::Connecting => {
                 self.holds_claim |= stage == Stage::Claiming;
                 self.stop_attempt(Ran::No, reason, GivenUpKind::LimitPassed);
             }
-            Stage::Sent | Stage::Headed => self.stop_attempt(Ran::Perhaps, reason, GivenUpKind::LimitPassed),
-            Stage::Streaming | Stage::Marked => self.cut("cut", reason),
+            Stage::Sent | Stage::HeadReceived => self.stop_attempt(Ran::Perhaps, reason, GivenUpKind::LimitPassed),
+            Stage::Streaming | Stage::EndMarked => self.cut("cut", reason),
             Stage::Done => {}
         }
     }
 
-    fn bar_work(&mut self, stage: Stage, bar: StopReason) {
-        let (kind, word, reason) = match bar {
-            StopReason::NoLease => (GivenUpKind::NoLease, "no_lease", "this router has long held no lease"),
+    fn stop_work(&mut self, stage: Stage, stop: StopReason) {
+        let (kind, error_type, reason) = match stop {
+            StopReason::NoLease => (GivenUpKind::NoLease, "no_lease", "this router has lost its lease"),
             StopReason::KeyWithdrawn => (GivenUpKind::KeyWithdrawn, "key_withdrawn", "the key was withdrawn"),
         };
         match stage {
@@ -266,38 +268,38 @@
                 self.holds_claim |= stage == Stage::Claiming;
                 self.stop_attempt(Ran::No, reason.into(), kind);
             }
-            Stage::Sent | Stage::Headed => self.stop_attempt(Ran::Perhaps, reason.into(), kind),
-            Stage::Streaming | Stage::Marked => self.cut(word, reason.into()),
+            Stage::Sent | Stage::HeadReceived => self.stop_attempt(Ran::Perhaps, reason.into(), kind),
+            Stage::Streaming | Stage::EndMarked => self.cut(error_type, reason.into()),
             Stage::Done => {}
         }
     }
 
-    /// An attempt is lost before its first piece: another one, or the final word.
-    fn lose_attempt(&mut self, ran: Ran, reason: String) {
-        self.note_fault(ran, reason.clone(), true);
+    /// Handles an attempt that failed before its first piece: retries or gives up.
+    fn fail_attempt(&mut self, ran: Ran, reason: String) {
+        self.record_fault(ran, reason.clone(), true);
         self.tried.extend(self.engine.clone());
         self.is_retry = true;
         if ran == Ran::Perhaps && !self.terms.repeatable {
             return self.give_up(GivenUpKind::NotServed, reason);
         }
         self.last_reason = reason;
-        self.try_again();
+        self.retry();
     }
 
-    fn try_again(&mut self) {
+    fn retry(&mut self) {
         if self.attempt_number >= MAX_ATTEMPTS {
             return self.give_up(GivenUpKind::NotServed, self.last_reason.clone());
         }
         self.pick();
     }
 
-    fn note_fault(&mut self, ran: Ran, reason: String, rests: bool) {
+    fn record_fault(&mut self, ran: Ran, reason: String, rests: bool) {
         self.may_have_run |= ran == Ran::Perhaps;
-        self.plan.push(AttemptEffect::AttemptFault { reason, ran, rests });
+        self.effects.push(AttemptEffect::AttemptFault { reason, ran, rests });
         self.end_attempt();
     }
 
-    /// Ends what is under way without another try.
+    /// Ends the attempt under way without a retry.
     fn stop_attempt(&mut self, ran: Ran, reason: String, kind: GivenUpKind) {
         self.may_have_run |= ran == Ran::Perhaps;
         self.end_attempt();
@@ -305,21 +307,21 @@
     }
 
     fn end_attempt(&mut self) {
-        self.plan.push(AttemptEffect::EndAttempt);
+        self.effects.push(AttemptEffect::EndAttempt);
     }
 
     fn give_up(&mut self, kind: GivenUpKind, reason: String) {
         let ran = if self.may_have_run { Ran::Perhaps } else { Ran::No };
         if self.holds_claim && ran == Ran::No {
-            self.plan.push(AttemptEffect::ReleaseClaim);
+            self.effects.push(AttemptEffect::ReleaseClaim);
         }
-        self.plan.push(AttemptEffect::GiveUp(GivenUp { kind, ran, reason }));
+        self.effects.push(AttemptEffect::GiveUp(GivenUp { kind, ran, reason }));
         self.stage = Stage::Done;
     }
 
     fn cut(&mut self, kind: &'static str, message: String) {
         self.end_attempt();
-        self.plan.push(AttemptEffect::EndCut(CutReason { kind, message }));
+        self.effects.push(AttemptEffect::EndCut(CutReason { kind, message }));
         self.stage = Stage::Done;
     }
 }
--- a/crates/attempts/src/messages.rs
+++ b/crates/attempts/src/messages.rs
@@ -1,37 +1,37 @@
-//! What a request's state machine is told, and what it orders.
+//! Inputs and effects of the attempt state machine.
 
 use crate::prelude::*;
 
-/// What a request asks of its attempts.
+/// The properties of a request that govern its attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestTerms {
-    /// The name under which its attempts go: attempt n is `run.n`.
+    /// The name of the run; its attempt n is named `run.n`.
     pub run: String,
-    /// It may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// It is answered piece by piece.
+    /// Whether the answer is streamed piece by piece.
     pub streams: bool,
-    /// An idempotency key is to be claimed before the first attempt.
+    /// Whether an idempotency key must be claimed before the first attempt.
     pub claims: bool,
-    /// The run goes on without its caller, who may come back.
+    /// Whether the run continues without its caller, who may resume it.
     pub resumes: bool,
 }
 
-/// What became of a claim.
+/// The outcome of claiming an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The key is this run's.
+    /// This run holds the key.
     Taken,
-    /// Another run has the key.
+    /// Another run, named here, holds the key.
     Held(String),
-    /// No more keys can be remembered: better not run than forget one early.
+    /// No more keys can be stored: the request is refused, as dropping a key early could run a request twice.
     Full,
-    /// Nobody knows in time.
+    /// The outcome was not known in time.
     Unknown,
 }
 
 impl ClaimOutcome {
-    /// What the core's settlement means; none came in time if there is none.
+    /// Interprets the coordinator's settlement; `None` means that none came in time.
     pub fn of(settled: Option<Settled>) -> ClaimOutcome {
         let complaint = match settled {
             Some(Settled::Taken(_)) => return ClaimOutcome::Taken,
@@ -46,68 +46,68 @@
     }
 }
 
-/// What came of a pick.
+/// The outcome of picking an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PickOutcome {
-    /// This engine is to be tried.
+    /// The engine to try next.
     Placed(EngineName),
-    /// No engine passes.
+    /// No engine qualifies.
     NoEngine,
-    /// Engines serve, but none holds the adapter that the request runs on.
+    /// Engines serve the model, but none holds the request's adapter.
     NoAdapter,
-    /// A second attempt would go over the retry budget.
+    /// A retry would exceed the retry budget.
     NoBudget,
-    /// The router takes nothing more.
+    /// The router accepts no more requests.
     Overloaded,
 }
 
-/// Why an engine says that a request did not start.
+/// What the head of an engine's response means for the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
     /// Success: an answer or a stream follows.
     Success,
-    /// An answer that means by contract that nothing was started.
+    /// A refusal that by contract guarantees that nothing was started.
     NotStarted,
-    /// The engine ended the attempt at the limit it was given, a moment before its router did.
+    /// The engine stopped the attempt at the time limit, just before its router did.
     OutOfTime,
-    /// Any other answer than success.
+    /// Any other response; the attempt may have run.
     Failure,
 }
 
-/// What the state machine is told.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum AttemptInput<P> {
-    /// The request was taken; said first.
+    /// The request was accepted; always the first input.
     Begin,
-    /// What became of the claim.
+    /// The outcome of the claim.
     ClaimSettled(ClaimOutcome),
-    /// What came of the pick.
+    /// The outcome of the pick.
     Picked(PickOutcome),
-    /// The engine is reached.
+    /// The connection to the engine is open.
     Connected,
-    /// The engine is not reached, and why.
+    /// Connecting to the engine failed, with the reason.
     ConnectFault(String),
-    /// The gate refused in the first write: no byte left.
+    /// The check before the first write refused the attempt; no byte was sent.
     StartRefused(StartRefusal),
-    /// The question could not be sent whole.
+    /// The request could not be sent completely.
     SendFault {
-        /// Whether any of it may have reached the engine.
+        /// Whether any byte may have reached the engine.
         byte_left: bool,
         /// What failed.
         reason: String,
     },
-    /// The beginning of the engine's answer.
+    /// The head of the engine's response.
     Head {
-        /// What it means.
+        /// Its class.
         head: ResponseClass,
-        /// What the engine said, for logs.
+        /// The engine's answer in words, for logs.
         detail: String,
     },
-    /// A piece of a stream, or a whole answer; `finished` says it is one to its end.
+    /// A piece of a stream, or a whole answer.
     Piece {
-        /// The attempt that the engine names.
+        /// The attempt named by the engine.
         attempt: String,
-        /// Whether it is one to its end.
+        /// Whether generation has finished.
         finished: bool,
         /// The piece itself.
         piece: P,
@@ -116,40 +116,40 @@
     EndMark,
     /// The engine's stream ended cleanly.
     Closed,
-    /// The engine's stream broke, and why.
+    /// The engine's stream broke, with the reason.
     Broken(String),
-    /// There is no more room to hold the run in.
+    /// The buffer of the resumable run is full.
     BufferFull,
     /// The caller closed its connection.
     CallerGone,
     /// The request's own limit has passed.
     LimitPassed,
-    /// What is under way must end.
+    /// Running work must stop.
     WorkStopped(StopReason),
 }
 
-/// What the state machine orders.
+/// An effect that the state machine requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptEffect<P> {
     /// Claim the idempotency key.
     Claim,
-    /// Give the claim back: nothing ran.
+    /// Release the claim, because nothing ran.
     ReleaseClaim,
     /// Pick an engine.
     Pick {
-        /// Engines that were tried in vain.
+        /// Engines that have failed this request.
         tried: Vec<EngineName>,
         /// Whether it counts against the retry budget.
         is_retry: bool,
     },
-    /// Reach the engine picked.
+    /// Connect to the engine picked.
     Connect {
         /// The name of the attempt.
         attempt: String,
     },
-    /// Write the question, through the gate.
+    /// Check that the attempt may start and write the request, in one call.
     Write,
-    /// The engine has the prompt's blocks: the first piece came.
+    /// The first piece arrived, so the engine now holds the prompt's blocks.
     FirstPieceReceived,
     /// Send a piece of a stream to the caller.
     SendPiece(P),
@@ -161,15 +161,15 @@
     EndCut(CutReason),
     /// Answer the caller that the request was not served.
     GiveUp(GivenUp),
-    /// Drop the stream to the engine and give its occupancy back.
+    /// Close the stream to the engine and release its slot.
     EndAttempt,
-    /// An attempt was lost; the engine is to rest if it was reached in vain.
+    /// An attempt failed.
     AttemptFault {
         /// What failed.
         reason: String,
         /// Whether the engine may have worked on it.
         ran: Ran,
-        /// Whether the engine is to rest.
+        /// Whether to avoid the engine for a while.
         rests: bool,
     },
 }
@@ -177,9 +177,9 @@
 /// Whether an engine may have worked on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// It surely did not.
+    /// It certainly did not.
     No,
-    /// It may have.
+    /// It may have, or did.
     Perhaps,
 }
 
@@ -188,33 +188,33 @@
 pub enum GivenUpKind {
     /// No engine served it.
     NotServed,
-    /// No engine holds its adapter warm.
+    /// No engine holds the request's adapter warm.
     AdapterCold,
-    /// Its own limit passed.
+    /// The request's own time limit passed.
     LimitPassed,
     /// The router holds no lease.
     NoLease,
-    /// Its key was withdrawn.
+    /// The request's API key was withdrawn.
     KeyWithdrawn,
-    /// Another run has its idempotency key.
+    /// Another run holds the idempotency key.
     Claimed,
 }
 
-/// The final word of a request that brought no piece.
+/// The final answer of a request that failed before its first piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GivenUp {
     /// Why it was given up.
     pub kind: GivenUpKind,
     /// Whether any engine may have worked on it.
     pub ran: Ran,
-    /// The reason in words; for a claimed key, the run that has it.
+    /// The reason in words; for a claimed key, the name of the run that holds it.
     pub reason: String,
 }
 
 /// Why a stream was cut.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CutReason {
-    /// The reason as a word of the interface.
+    /// The error type in the API.
     pub kind: &'static str,
     /// The reason in words.
     pub message: String,
--- a/crates/attempts/src/prelude.rs
+++ b/crates/attempts/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files.
+//! The items that every file of this crate imports.
 
 pub use crate::allowance::*;
 pub use crate::gate::*;
--- a/crates/attempts/tests/machine.rs
+++ b/crates/attempts/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of a request's attempts, in chosen and in drawn orders of inputs.
+//! The attempt state machine under chosen and random sequences of inputs.
 
 use attempts::prelude::*;
 
@@ -21,12 +21,12 @@
     Input::Piece { attempt: attempt.into(), finished: false, piece: number }
 }
 
-/// Steps through all inputs; the effects of the last.
+/// Feeds all inputs in turn and returns the effects of the last one.
 fn after(terms: RequestTerms, inputs: Vec<Input>) -> Vec<Effect> {
-    let mut carriage = AttemptMachine::new(terms);
-    let mut last = carriage.step(Input::Begin);
+    let mut machine = AttemptMachine::new(terms);
+    let mut last = machine.step(Input::Begin);
     for input in inputs {
-        last = carriage.step(input);
+        last = machine.step(input);
     }
     last
 }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_uncertain_shot_is_followed_by_another_only_if_repeatable() {
+fn an_attempt_that_may_have_run_is_retried_only_if_repeatable() {
     let lost = || vec![placed("a"), Input::Connected, Input::SendFault { byte_left: true, reason: "x".into() }];
     assert_eq!(given_up(&after(terms(), lost())), Some((GivenUpKind::NotServed, Ran::Perhaps)));
     let again = after(RequestTerms { repeatable: true, ..terms() }, lost());
@@ -49,25 +49,25 @@
 }
 
 #[test]
-fn a_bar_after_an_uncertain_shot_does_not_say_that_nothing_ran() {
-    for bar in [StartRefusal::NoLease, StartRefusal::KeyWithdrawn, StartRefusal::LimitPassed] {
+fn a_start_refusal_after_an_uncertain_attempt_does_not_claim_that_nothing_ran() {
+    for refusal in [StartRefusal::NoLease, StartRefusal::KeyWithdrawn, StartRefusal::LimitPassed] {
         let inputs = vec![
             placed("a"),
             Input::Connected,
             Input::Broken("lost".into()),
             placed("b"),
             Input::Connected,
-            Input::StartRefused(bar),
+            Input::StartRefused(refusal),
         ];
         let effects = after(RequestTerms { repeatable: true, ..terms() }, inputs);
-        assert_eq!(given_up(&effects).map(|(_, ran)| ran), Some(Ran::Perhaps), "{bar:?}: {effects:?}");
-        let at_once = after(terms(), vec![placed("a"), Input::Connected, Input::StartRefused(bar)]);
-        assert_eq!(given_up(&at_once).map(|(_, ran)| ran), Some(Ran::No), "{bar:?}");
+        assert_eq!(given_up(&effects).map(|(_, ran)| ran), Some(Ran::Perhaps), "{refusal:?}: {effects:?}");
+        let at_once = after(terms(), vec![placed("a"), Input::Connected, Input::StartRefused(refusal)]);
+        assert_eq!(given_up(&at_once).map(|(_, ran)| ran), Some(Ran::No), "{refusal:?}");
     }
 }
 
 #[test]
-fn a_stream_is_whole_only_after_its_end_mark_and_its_clean_end() {
+fn a_stream_is_complete_only_after_its_end_mark_and_a_clean_close() {
     let begun = || vec![placed("a"), Input::Connected, good_head(), piece("r.1.1", 0)];
     let with = |more: Vec<Input>| after(terms(), begun().into_iter().chain(more).collect());
     assert!(with(vec![Input::EndMark, Input::Closed]).contains(&Effect::EndWhole));
@@ -82,15 +82,15 @@
         vec![Input::BufferFull],
         vec![Input::WorkStopped(StopReason::KeyWithdrawn)],
     ] {
-        let told = format!("{more:?}");
+        let sequence = format!("{more:?}");
         let effects = with(more);
-        assert!(effects.iter().any(|effect| matches!(effect, Effect::EndCut(_))), "{told}: {effects:?}");
-        assert!(effects.contains(&Effect::EndAttempt), "{told}");
+        assert!(effects.iter().any(|effect| matches!(effect, Effect::EndCut(_))), "{sequence}: {effects:?}");
+        assert!(effects.contains(&Effect::EndAttempt), "{sequence}");
     }
 }
 
 #[test]
-fn an_engine_that_keeps_the_limit_is_no_fault() {
+fn an_engine_that_stops_at_the_time_limit_is_not_at_fault() {
     let out_of_time = Input::Head { head: ResponseClass::OutOfTime, detail: "limit_passed".into() };
     for repeatable in [false, true] {
         let inputs = vec![placed("a"), Input::Connected, out_of_time.clone()];
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn foreign_and_partial_answers_never_pass() {
+fn answers_of_other_attempts_and_partial_answers_are_rejected() {
     let whole = RequestTerms { streams: false, ..terms() };
     let begun = || vec![placed("a"), Input::Connected];
     let with = |more: Vec<Input>| after(whole.clone(), begun().into_iter().chain(more).collect());
@@ -110,13 +110,13 @@
     for more in
         [vec![good_head(), finished("r.1.2")], vec![good_head(), piece("r.1.1", 1)], vec![good_head(), Input::Closed]]
     {
-        let told = format!("{more:?}");
-        assert_eq!(given_up(&with(more)), Some((GivenUpKind::NotServed, Ran::Perhaps)), "{told}");
+        let sequence = format!("{more:?}");
+        assert_eq!(given_up(&with(more)), Some((GivenUpKind::NotServed, Ran::Perhaps)), "{sequence}");
     }
 }
 
 #[test]
-fn a_claim_is_given_back_only_if_nothing_can_have_run() {
+fn a_claim_is_released_only_if_nothing_can_have_run() {
     let claims = RequestTerms { claims: true, ..terms() };
     let taken = Input::ClaimSettled(ClaimOutcome::Taken);
     let refused = after(claims.clone(), vec![taken.clone(), Input::Picked(PickOutcome::NoEngine)]);
@@ -130,16 +130,16 @@
 }
 
 #[test]
-fn only_a_held_run_goes_on_without_its_caller() {
+fn only_a_resumable_run_continues_without_its_caller() {
     let inputs = || vec![placed("a"), Input::Connected, good_head(), piece("r.1.1", 0), Input::CallerGone];
     assert_eq!(after(terms(), inputs()), [Effect::EndAttempt]);
     assert_eq!(after(RequestTerms { resumes: true, ..terms() }, inputs()), []);
 }
 
-/// Whatever comes in whatever order: one final word at most, never more attempts than allowed, no attempt
-/// after an uncertain one unless repeatable, and nothing after the end.
+/// For any sequence of inputs: at most one final answer, never more attempts than allowed, no attempt after the
+/// first piece, and no effect after the end.
 #[test]
-fn no_order_of_inputs_breaks_the_rules() {
+fn random_input_sequences_keep_the_invariants() {
     let ended = std::cell::Cell::new(0);
     for seed in 0..2000u64 {
         arbtest::arbtest(|draw| play(draw, &ended)).seed(seed << 32 | 1024);
@@ -158,16 +158,16 @@
         claims: draw.arbitrary()?,
         resumes: draw.arbitrary()?,
     };
-    let mut carriage = AttemptMachine::new(terms.clone());
+    let mut machine = AttemptMachine::new(terms.clone());
     let (mut writes, mut finals, mut pieces) = (0, 0, 0);
-    let mut effects = carriage.step(Input::Begin);
+    let mut effects = machine.step(Input::Begin);
     for _ in 0..100 {
         for effect in effects.drain(..) {
-            assert_eq!(finals, 0, "something came after the final word: {effect:?}");
+            assert_eq!(finals, 0, "an effect after the final answer: {effect:?}");
             match effect {
                 Effect::Write => {
                     writes += 1;
-                    assert_eq!(pieces, 0, "a shot after a piece");
+                    assert_eq!(pieces, 0, "an attempt after a piece");
                 }
                 Effect::SendPiece(_) => pieces += 1,
                 Effect::EndWhole | Effect::EndCut(_) | Effect::AnswerWhole(_) => finals += 1,
@@ -178,7 +178,7 @@
                 _ => {}
             }
         }
-        let attempt = carriage.attempt();
+        let attempt = machine.attempt();
         let input = match draw.int_in_range(0..=15)? {
             0 => Input::ClaimSettled(ClaimOutcome::Taken),
             1 => Input::ClaimSettled(ClaimOutcome::Unknown),
@@ -193,7 +193,7 @@
             14 => Input::Closed,
             _ => Input::CallerGone,
         };
-        effects = carriage.step(input);
+        effects = machine.step(input);
     }
     assert!(writes <= MAX_ATTEMPTS as usize);
     ended.set(ended.get() + u32::from(finals > 0));
