--- a/crates/conductor/src/mind.rs
+++ b/crates/conductor/src/actions.rs
@@ -1,62 +1,55 @@
-//! What is to be done next for each engine.
+//! The conductor's next action for each engine and each plan.
 
 use crate::prelude::*;
 
-/// Streams may run this long after a close; then the order to load is given all the same, and the
-/// engine refuses it while anything runs.
-pub const STREAM_LIMIT: Span = Span::seconds(10);
-pub const FRESH: Span = Span::millis(1500);
+/// How long streams may run after an engine was closed. After that the order to load is given anyway; the engine
+/// refuses it while requests run.
+pub const DRAIN_LIMIT: Span = Span::seconds(10);
+/// How long an observation of an engine is used.
+pub const OBSERVATION_LIFETIME: Span = Span::millis(1500);
 
-/// What an engine said of itself, and when.
+/// An engine's report of its state, and when it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineObservation {
+    /// Identifies the life of the engine's process.
     pub boot: String,
     pub weights: WeightsEdition,
+    /// Requests under way.
     pub running: u64,
     pub accepting: bool,
     pub at: Instant,
 }
 
+/// An action that the conductor requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConductorAction {
     /// Put the engine's standing into the fleet state.
-    SetStanding {
-        engine: EngineName,
-        standing: Standing,
-    },
-    Load {
-        engine: EngineName,
-        address: String,
-        weights: WeightsEdition,
-    },
-    Open {
-        engine: EngineName,
-        address: String,
-    },
-    DoStep {
-        plan: Edition,
-        step: usize,
-    },
-    /// End a plan: halted with a reason, or expired.
-    EndPlan {
-        plan: Edition,
-        halted: Option<String>,
-    },
+    SetStanding { engine: EngineName, standing: Standing },
+    /// Order the engine to load weights.
+    Load { engine: EngineName, address: String, weights: WeightsEdition },
+    /// Order the engine to accept requests.
+    Open { engine: EngineName, address: String },
+    /// Carry out a step of a plan.
+    DoStep { plan: Edition, step: usize },
+    /// End a plan: halted with a reason, or expired if `None`.
+    EndPlan { plan: Edition, halted: Option<String> },
 }
 
+/// Decides the next actions; remembers only how long engines and plans have waited.
 #[derive(Clone, Debug, Default)]
 pub struct Conductor {
     closed_since: BTreeMap<EngineName, Instant>,
-    /// Since when each plan's present step is known here.
+    /// When this conductor first saw each plan's current step.
     plans_since: BTreeMap<(Edition, usize), Instant>,
 }
 
-/// An unconfirmed plan is dropped after this long with one conductor.
+/// How long one conductor keeps a plan that is not confirmed.
 pub const PLAN_LIMIT: Span = Span::seconds(300);
-/// A step that waits longer halts its plan.
+/// How long a step may wait before its plan is halted.
 pub const WAIT_LIMIT: Span = Span::seconds(120);
 
 impl Conductor {
+    /// The actions to take now. Their outcomes show in the fleet state and in later observations.
     pub fn next_actions(
         &mut self,
         state: &FleetState,
@@ -64,20 +57,22 @@
         now: Instant,
     ) -> Vec<ConductorAction> {
         self.closed_since.retain(|engine, _| state.standings.get(engine).is_some_and(|standing| standing.closed));
-        let mut room = room(state, observed, now);
-        let mut acts = Vec::new();
+        let mut slots = close_slots(state, observed, now);
+        let mut actions = Vec::new();
         for (engine, listed) in &state.listing.engines {
-            let Some(seen) = observed.get(engine).filter(|seen| now.since(seen.at) < FRESH) else { continue };
+            let Some(seen) = observed.get(engine).filter(|seen| now.since(seen.at) < OBSERVATION_LIFETIME) else {
+                continue;
+            };
             let Some(wish) = state.desired.models.get(&listed.model) else { continue };
             if listed.listed == Listed::Open {
-                acts.extend(self.tend(state, engine, listed, seen, wish.weights, &mut room, now));
+                actions.extend(self.advance_engine(state, engine, listed, seen, wish.weights, &mut slots, now));
             }
         }
-        acts.extend(self.tend_plans(state, observed, now));
-        acts
+        actions.extend(self.advance_plans(state, observed, now));
+        actions
     }
 
-    fn tend_plans(
+    fn advance_plans(
         &mut self,
         state: &FleetState,
         observed: &BTreeMap<EngineName, EngineObservation>,
@@ -89,35 +84,35 @@
             .filter(|(_, plan)| !plan.is_over())
             .map(|(number, plan)| ((*number, plan.done), plan))
             .collect();
-        self.plans_since.retain(|naming, _| present_steps.contains_key(naming));
-        let mut acts = Vec::new();
+        self.plans_since.retain(|key, _| present_steps.contains_key(key));
+        let mut actions = Vec::new();
         for ((number, done), plan) in present_steps {
             let waited = now.since(*self.plans_since.entry((number, done)).or_insert(now));
             let Some(step) = plan.next_step() else {
                 if waited >= PLAN_LIMIT {
-                    acts.push(ConductorAction::EndPlan { plan: number, halted: None });
+                    actions.push(ConductorAction::EndPlan { plan: number, halted: None });
                 }
                 continue;
             };
-            if may_do(state, step, observed, now) {
-                acts.push(ConductorAction::DoStep { plan: number, step: done });
+            if may_carry_out(state, step, observed, now) {
+                actions.push(ConductorAction::DoStep { plan: number, step: done });
             } else if waited >= WAIT_LIMIT {
-                let reason = format!("step {} waited too long: {}", done + 1, step.words());
-                acts.push(ConductorAction::EndPlan { plan: number, halted: Some(reason) });
+                let reason = format!("step {} timed out: {}", done + 1, step.words());
+                actions.push(ConductorAction::EndPlan { plan: number, halted: Some(reason) });
             }
         }
-        acts
+        actions
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn tend(
+    fn advance_engine(
         &mut self,
         state: &FleetState,
         engine: &EngineName,
         listed: &ListedEngine,
         seen: &EngineObservation,
         wanted: WeightsEdition,
-        room: &mut Room,
+        slots: &mut CloseSlots,
         now: Instant,
     ) -> Option<ConductorAction> {
         let standing = state.standings.get(engine).cloned().unwrap_or_default();
@@ -134,27 +129,27 @@
         let is_in_use = standing.confirmed.is_some() && !standing.closed;
         if is_in_use {
             if !state.drained.contains(engine) {
-                let places_left = room.get_mut(&(listed.model.clone(), listed.role))?;
-                *places_left = places_left.checked_sub(1)?;
+                let slots_left = slots.get_mut(&(listed.model.clone(), listed.role))?;
+                *slots_left = slots_left.checked_sub(1)?;
             }
             let closed = Standing { closed: true, ..standing };
             return Some(ConductorAction::SetStanding { engine: engine.clone(), standing: closed });
         }
         let since = *self.closed_since.entry(engine.clone()).or_insert(now);
-        let may_load = seen.running == 0 || now.since(since) >= STREAM_LIMIT;
+        let may_load = seen.running == 0 || now.since(since) >= DRAIN_LIMIT;
         may_load.then(|| ConductorAction::Load { engine: engine.clone(), address, weights: wanted })
     }
 }
 
 /// How many more engines of each model and role may be closed.
-type Room = BTreeMap<(ModelName, Role), usize>;
+type CloseSlots = BTreeMap<(ModelName, Role), usize>;
 
-/// Half of those that serve or would but for being closed, at least one, may be closed at a time. What
-/// is drained, silent or never confirmed serves nobody and bears nothing.
-fn room(state: &FleetState, observed: &BTreeMap<EngineName, EngineObservation>, now: Instant) -> Room {
+/// At most half of the engines that serve, or would if they were not closed, may be closed at a time, but at
+/// least one. Engines that are drained, silent or never confirmed serve no requests and are not counted.
+fn close_slots(state: &FleetState, observed: &BTreeMap<EngineName, EngineObservation>, now: Instant) -> CloseSlots {
     let mut counts: BTreeMap<(ModelName, Role), (usize, usize)> = BTreeMap::new();
     for (engine, listed) in &state.listing.engines {
-        let is_seen = observed.get(engine).is_some_and(|seen| now.since(seen.at) < FRESH);
+        let is_seen = observed.get(engine).is_some_and(|seen| now.since(seen.at) < OBSERVATION_LIFETIME);
         let is_open = listed.listed == Listed::Open && !state.drained.contains(engine);
         let standing = state.standings.get(engine).filter(|standing| standing.confirmed.is_some());
         let Some(standing) = standing.filter(|_| is_seen && is_open) else { continue };
@@ -162,15 +157,20 @@
         *serving += 1;
         *closed += usize::from(standing.closed);
     }
-    let rooms = counts.into_iter().map(|(naming, (serving, closed))| {
-        let most_closed = usize::max(serving / 2, 1);
-        (naming, most_closed.saturating_sub(closed))
+    let slots = counts.into_iter().map(|(key, (serving, closed))| {
+        let max_closed = usize::max(serving / 2, 1);
+        (key, max_closed.saturating_sub(closed))
     });
-    rooms.collect()
+    slots.collect()
 }
 
-/// Whether a step's condition holds; steps that change something have none.
-fn may_do(state: &FleetState, step: &Step, observed: &BTreeMap<EngineName, EngineObservation>, now: Instant) -> bool {
+/// Whether a step may be carried out: a waiting step's condition must hold, any other step may go ahead.
+fn may_carry_out(
+    state: &FleetState,
+    step: &Step,
+    observed: &BTreeMap<EngineName, EngineObservation>,
+    now: Instant,
+) -> bool {
     match step {
         Step::Patch(_) | Step::Drain { .. } | Step::Undrain { .. } => true,
         Step::WaitWeights { model, weights } => state
@@ -186,7 +186,7 @@
             }),
         Step::WaitIdle { engine } => {
             let is_gone = !state.listing.engines.contains_key(engine);
-            let seen = observed.get(engine).filter(|seen| now.since(seen.at) < FRESH);
+            let seen = observed.get(engine).filter(|seen| now.since(seen.at) < OBSERVATION_LIFETIME);
             is_gone || seen.is_some_and(|seen| seen.running == 0)
         }
     }
@@ -202,21 +202,21 @@
         assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
     }
 
-    /// Plays the acts against engines that load at once, and returns how many rounds it took.
+    /// Carries out the actions with engines that load instantly; returns the number of rounds until none is left.
     fn play(
         state: &mut FleetState,
         engines: &mut BTreeMap<EngineName, EngineObservation>,
         conductor: &mut Conductor,
     ) -> usize {
         for round in 1..100 {
-            let acts = conductor.next_actions(state, engines, Instant(0));
+            let actions = conductor.next_actions(state, engines, Instant(0));
             let closed_count = state.standings.values().filter(|standing| standing.closed).count();
             assert!(closed_count <= engines.len() / 2, "no more than half closed at a time");
-            if acts.is_empty() {
+            if actions.is_empty() {
                 return round;
             }
-            for act in acts {
-                match act {
+            for action in actions {
+                match action {
                     ConductorAction::SetStanding { engine, standing } => {
                         state.standings.insert(engine, standing);
                     }
@@ -226,38 +226,38 @@
                         engines.get_mut(&engine).unwrap().weights = weights;
                     }
                     ConductorAction::Open { engine, .. } => engines.get_mut(&engine).unwrap().accepting = true,
-                    other => panic!("no plan is there for {other:?}"),
+                    other => panic!("unexpected action without a plan: {other:?}"),
                 }
             }
         }
-        panic!("never settles")
+        panic!("actions never end")
     }
 
     #[test]
-    fn engines_that_serve_nobody_do_not_count_among_those_that_go_on() {
+    fn engines_that_do_not_serve_are_not_counted_as_serving() {
         let (mut state, mut observed) = six_engines();
         for drained in ["e0", "e1", "e2"] {
             state.drained.insert(drained.into());
         }
         observed.get_mut(&EngineName::from("e3")).unwrap().at = Instant(0);
         apply(&mut state, Command::Merge { base: None, patch: r#"{"models":{"m":{"weights":2}}}"#.into() });
-        let now = Instant(0) + FRESH;
+        let now = Instant(0) + OBSERVATION_LIFETIME;
         for seen in observed.iter_mut().filter(|(name, _)| name.as_str() != "e3").map(|(_, seen)| seen) {
             seen.at = now;
         }
-        let acts = Conductor::default().next_actions(&state, &observed, now);
-        let closed: Vec<&str> = acts
+        let actions = Conductor::default().next_actions(&state, &observed, now);
+        let closed: Vec<&str> = actions
             .iter()
-            .filter_map(|act| match act {
+            .filter_map(|action| match action {
                 ConductorAction::SetStanding { engine, standing } if standing.closed => Some(engine.as_str()),
                 _ => None,
             })
             .collect();
-        assert_eq!(closed, ["e0", "e1", "e2", "e4"], "of the two that serve, one goes on");
+        assert_eq!(closed, ["e0", "e1", "e2", "e4"], "one of the two that serve stays open");
     }
 
     #[test]
-    fn new_weights_go_round_in_waves_and_settle() {
+    fn new_weights_roll_out_in_waves_until_nothing_is_left_to_do() {
         let (mut state, mut observations) = six_engines();
         let mut conductor = Conductor::default();
         apply(&mut state, Command::Merge { base: None, patch: r#"{"models":{"m":{"weights":2}}}"#.into() });
--- a/crates/conductor/src/lib.rs
+++ b/crates/conductor/src/lib.rs
@@ -1,9 +1,8 @@
-//! The conductor's mind, as a pure function of the fleet state and of what engines say of themselves.
-//! An engine takes requests once its weights are confirmed in the fleet state. New weights are loaded
-//! wave by wave: close (in force on every router before anything else), wait for what runs, load,
-//! confirm, open.
+//! Decides which orders engines get, from the fleet state and the engines' own reports, without I/O. An engine
+//! serves requests once its weights are confirmed in the fleet state. New weights are loaded in waves: close
+//! the engine (in force on every router before anything else), wait for running requests, load, confirm, open.
 
 pub mod prelude;
 
-mod bringing;
-mod mind;
+mod actions;
+mod rollout;
--- a/crates/conductor/src/prelude.rs
+++ b/crates/conductor/src/prelude.rs
@@ -1,7 +1,7 @@
-//! The one import of this package's files.
+//! The items that every file of this crate imports.
 
-pub use crate::bringing::*;
-pub use crate::mind::*;
+pub use crate::actions::*;
+pub use crate::rollout::*;
 pub(crate) use desired::prelude::{FleetState, Listed, ListedEngine, Plan, Role, Standing, Step};
 pub(crate) use std::collections::BTreeMap;
 pub(crate) use units::prelude::*;
--- a/crates/conductor/tests/bringing.rs
+++ b/crates/conductor/tests/bringing.rs
@@ -1,4 +1,4 @@
-//! Bringing engines to new weights by the listing and their reports.
+//! The rollout of new weights by the platform's listing and the engines' reports.
 
 use conductor::prelude::*;
 use desired::prelude::*;
@@ -19,7 +19,7 @@
     ListedEngine { model: "m".into(), weights: Some(WeightsEdition(weights)), ..ListedEngine::default() }
 }
 
-/// A fleet whose engines all hold the first weights, and the second ones named.
+/// A fleet whose engines all hold the first weights.
 fn fleet() -> FleetState {
     let mut state = FleetState::default();
     apply(&mut state, Command::Merge { base: None, patch: r#"{"models":{"m":{}}}"#.into() });
@@ -29,7 +29,7 @@
     state
 }
 
-fn bump(state: &mut FleetState) {
+fn name_new_weights(state: &mut FleetState) {
     apply(state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(2) });
 }
 
@@ -43,15 +43,16 @@
     assert!(WeightsRollout::default().next_steps(&state, true, at(0)).is_empty());
 }
 
-/// Engines that load for so long, and never answer if they are dead.
+/// Rolls new weights out to engines that take 1.8 s to load; the `dead` ones never answer. Returns the final state,
+/// the time it took in ms and the number of queries.
 fn play(dead: &[usize]) -> (FleetState, u64, usize) {
     let mut state = fleet();
-    bump(&mut state);
-    let mut bringer = WeightsRollout::default();
+    name_new_weights(&mut state);
+    let mut rollout = WeightsRollout::default();
     let mut ready_at: Vec<Option<u64>> = vec![None; ENGINES];
-    let mut looks = 0;
+    let mut queries = 0;
     for now in (0..60_000).step_by(10) {
-        for step in bringer.next_steps(&state, true, at(now)) {
+        for step in rollout.next_steps(&state, true, at(now)) {
             match step {
                 RolloutStep::SetStanding { engine, standing } => {
                     apply(&mut state, Command::Stand { term: Term(1), engine, standing });
@@ -61,22 +62,22 @@
                     assert!(state.standings[&engine].closed, "only a closed engine is ordered");
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     if dead.contains(&number) {
-                        bringer.record_answer(&engine, OrderAnswer::NoAnswer, at(now));
+                        rollout.record_answer(&engine, OrderAnswer::NoAnswer, at(now));
                         continue;
                     }
                     assert!(ready_at[number].is_none(), "ordered twice");
                     ready_at[number] = Some(now + 1800);
-                    bringer.record_answer(&engine, OrderAnswer::Accepted, at(now));
+                    rollout.record_answer(&engine, OrderAnswer::Accepted, at(now));
                 }
-                RolloutStep::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
+                RolloutStep::OrderIfWaiting { .. } => panic!("no order out of turn is expected"),
                 RolloutStep::QueryWeights { engine, .. } => {
-                    looks += 1;
+                    queries += 1;
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let report = ready_at[number].map(|ready| {
                         let weights = WeightsEdition(if now >= ready { 2 } else { 1 });
                         (weights, now < ready)
                     });
-                    bringer.record_report(&engine, report, at(now));
+                    rollout.record_report(&engine, report, at(now));
                 }
             }
         }
@@ -91,30 +92,30 @@
                 .is_some_and(|standing| !standing.closed && standing.confirmed.is_some())
         });
         if done {
-            return (state, now, looks);
+            return (state, now, queries);
         }
     }
-    panic!("never done")
+    panic!("the rollout never ends")
 }
 
 #[test]
-fn new_weights_go_through_a_sliding_window() {
-    let (_, took, looks) = play(&[]);
+fn new_weights_roll_out_in_a_sliding_window() {
+    let (_, took, queries) = play(&[]);
     assert!(took < 13_500, "took {took} ms");
-    assert!(looks <= 4 * ENGINES, "{looks} looks");
+    assert!(queries <= 4 * ENGINES, "{queries} queries");
 }
 
 #[test]
-fn an_engine_that_answers_nothing_holds_up_no_other() {
+fn an_engine_that_does_not_answer_delays_no_other() {
     let (state, took, _) = play(&[0, 1, 2, 3]);
     assert!(took < 25_000, "took {took} ms");
-    assert!(state.standings[&name(0)].closed, "and gets no requests meanwhile");
+    assert!(state.standings[&name(0)].closed, "it stays closed meanwhile");
 }
 
 #[test]
-fn weights_that_the_list_tells_open_an_engine_without_a_look() {
+fn weights_shown_in_the_listing_open_an_engine_without_a_query() {
     let mut state = fleet();
-    bump(&mut state);
+    name_new_weights(&mut state);
     let standing = Standing { confirmed: None, closed: true, ..Standing::default() };
     apply(&mut state, Command::Stand { term: Term(1), engine: name(0), standing });
     let mut engines = state.listing.engines.clone();
@@ -127,9 +128,9 @@
 }
 
 #[test]
-fn a_leaving_engine_is_not_ordered_and_takes_no_place() {
+fn a_leaving_engine_is_not_ordered_and_takes_no_slot() {
     let mut state = fleet();
-    bump(&mut state);
+    name_new_weights(&mut state);
     let mut engines = state.listing.engines.clone();
     for number in 0..16 {
         engines.insert(name(number), ListedEngine { listed: Listed::Leaving, ..listed(1) });
@@ -141,9 +142,9 @@
 }
 
 #[test]
-fn a_new_holder_opens_what_has_loaded_and_orders_nothing_until_it_may() {
+fn a_new_holder_opens_loaded_engines_and_orders_nothing_until_it_may() {
     let mut state = fleet();
-    bump(&mut state);
+    name_new_weights(&mut state);
     for number in [0, 1] {
         let standing = Standing { confirmed: None, closed: true, ..Standing::default() };
         apply(&mut state, Command::Stand { term: Term(1), engine: name(number), standing });
@@ -151,72 +152,72 @@
     let mut engines = state.listing.engines.clone();
     engines.insert(name(0), listed(2));
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
-    let mut bringer = WeightsRollout::default();
-    let steps = [bringer.next_steps(&state, false, at(0)), bringer.next_steps(&state, false, at(1000))].concat();
+    let mut rollout = WeightsRollout::default();
+    let steps = [rollout.next_steps(&state, false, at(0)), rollout.next_steps(&state, false, at(1000))].concat();
     assert!(steps.iter().any(|step| matches!(step, RolloutStep::SetStanding { engine, .. } if *engine == name(0))));
     assert!(!steps.iter().any(|step| matches!(step, RolloutStep::Order { .. })), "{steps:?}");
-    let steps = bringer.next_steps(&state, true, at(1001));
+    let steps = rollout.next_steps(&state, true, at(1001));
     assert!(steps.iter().any(|step| matches!(step, RolloutStep::Order { engine, .. } if *engine == name(1))));
 }
 
-/// Long after new weights were named every engine left is closed; one whose turn has not come is ordered
-/// only if requests wait there, and looked at again if none do.
+/// Some time after new weights were named every remaining engine is closed. One whose turn has not come is ordered
+/// only if requests wait there, and checked again later if none do.
 #[test]
-fn what_waits_on_weights_too_old_is_turned_away_by_an_order_out_of_turn() {
+fn requests_waiting_on_weights_too_old_are_rejected_by_an_order_out_of_turn() {
     let mut state = fleet();
-    let mut bringer = WeightsRollout::expediting_after(Span::millis(13_500));
-    assert!(bringer.next_steps(&state, true, at(0)).is_empty());
-    bump(&mut state);
-    let first_steps = bringer.next_steps(&state, true, at(1000));
+    let mut rollout = WeightsRollout::expediting_after(Span::millis(13_500));
+    assert!(rollout.next_steps(&state, true, at(0)).is_empty());
+    name_new_weights(&mut state);
+    let first_steps = rollout.next_steps(&state, true, at(1000));
     assert_eq!(first_steps.len(), ENGINES / 6 + 1, "few are closed in their turn: {first_steps:?}");
-    assert_eq!(bringer.next_due(), Some(at(14_500)));
+    assert_eq!(rollout.next_due(), Some(at(14_500)));
 
-    for step in bringer.next_steps(&state, true, at(14_500)) {
+    for step in rollout.next_steps(&state, true, at(14_500)) {
         let RolloutStep::SetStanding { engine, standing } = step else { panic!("{step:?}") };
         assert!(standing.closed);
         apply(&mut state, Command::Stand { term: Term(1), engine, standing });
     }
     assert!((0..ENGINES).all(|number| state.standings[&name(number)].closed));
-    assert!(bringer.next_steps(&state, true, at(14_500)).is_empty(), "routers hear of it first");
+    assert!(rollout.next_steps(&state, true, at(14_500)).is_empty(), "routers must learn of the closing first");
 
-    let steps = bringer.next_steps(&state, true, at(14_700));
+    let steps = rollout.next_steps(&state, true, at(14_700));
     let in_turn = steps.iter().filter(|step| matches!(step, RolloutStep::Order { .. })).count();
     let out_of_turn = steps.iter().filter(|step| matches!(step, RolloutStep::OrderIfWaiting { .. })).count();
     assert_eq!((in_turn, out_of_turn), (ENGINES / 6, ENGINES - ENGINES / 6), "{steps:?}");
-    bringer.record_answer(&name(ENGINES - 1), OrderAnswer::NotNeeded, at(14_710));
-    assert!(bringer.next_steps(&state, true, at(14_900)).is_empty());
-    let again = bringer.next_steps(&state, true, at(15_010));
+    rollout.record_answer(&name(ENGINES - 1), OrderAnswer::NotNeeded, at(14_710));
+    assert!(rollout.next_steps(&state, true, at(14_900)).is_empty());
+    let again = rollout.next_steps(&state, true, at(15_010));
     assert!(
         matches!(&again[..], [RolloutStep::OrderIfWaiting { engine, .. }] if *engine == name(ENGINES - 1)),
         "{again:?}"
     );
 }
 
-/// The span counts from the naming, also where another keeper held the duty then.
+/// The time counts from the naming, even if another keeper held the duty then.
 #[test]
-fn a_new_holder_knows_since_when_weights_are_wanted() {
+fn a_new_holder_knows_when_weights_were_first_wanted() {
     let mut state = fleet();
-    bump(&mut state);
-    let mut bringer = WeightsRollout::expediting_after(Span::millis(13_500));
-    bringer.note_wanted(&state, at(1000));
-    bringer.forget();
-    let steps = bringer.next_steps(&state, true, at(14_500));
+    name_new_weights(&mut state);
+    let mut rollout = WeightsRollout::expediting_after(Span::millis(13_500));
+    rollout.note_wanted(&state, at(1000));
+    rollout.forget();
+    let steps = rollout.next_steps(&state, true, at(14_500));
     assert_eq!(steps.len(), ENGINES, "{steps:?}");
 }
 
-/// Weights named while engines load the ones before: what loads is looked at until it is done and ordered
-/// anew, and holds up no other.
+/// Weights named while engines load earlier ones: a loading engine is queried until it is done, then ordered
+/// again, and delays no other engine.
 #[test]
-fn weights_named_in_the_middle_of_a_load_are_brought_to_all() {
+fn weights_named_during_a_load_reach_all_engines() {
     let mut state = fleet();
-    bump(&mut state);
-    let mut bringer = WeightsRollout::default();
+    name_new_weights(&mut state);
+    let mut rollout = WeightsRollout::default();
     let mut loading: Vec<Option<(WeightsEdition, u64)>> = vec![None; ENGINES];
     for now in (0..60_000).step_by(10) {
         if now == 3000 {
             apply(&mut state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(3) });
         }
-        for step in bringer.next_steps(&state, true, at(now)) {
+        for step in rollout.next_steps(&state, true, at(now)) {
             match step {
                 RolloutStep::SetStanding { engine, standing } => {
                     apply(&mut state, Command::Stand { term: Term(1), engine, standing });
@@ -224,16 +225,16 @@
                 RolloutStep::Order { engine, weights, .. } => {
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let is_free = loading[number].is_none_or(|(_, ready)| now >= ready);
-                    assert!(is_free, "an engine that loads is not ordered again");
+                    assert!(is_free, "a loading engine is not ordered again");
                     loading[number] = Some((weights, now + 1800));
-                    bringer.record_answer(&engine, OrderAnswer::Accepted, at(now));
+                    rollout.record_answer(&engine, OrderAnswer::Accepted, at(now));
                 }
-                RolloutStep::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
+                RolloutStep::OrderIfWaiting { .. } => panic!("no order out of turn is expected"),
                 RolloutStep::QueryWeights { engine, .. } => {
                     let number: usize = engine.as_str()[1..].parse().unwrap();
-                    let (weights, ready) = loading[number].expect("only what was ordered is looked at");
-                    let told = if now >= ready { weights } else { WeightsEdition(1) };
-                    bringer.record_report(&engine, Some((told, now < ready)), at(now));
+                    let (weights, ready) = loading[number].expect("only ordered engines are queried");
+                    let reported = if now >= ready { weights } else { WeightsEdition(1) };
+                    rollout.record_report(&engine, Some((reported, now < ready)), at(now));
                 }
             }
         }
@@ -244,29 +245,29 @@
             return;
         }
     }
-    panic!("never done")
+    panic!("the rollout never ends")
 }
 
-/// The bound of old weights counts from the first newer ones, whatever is named since.
+/// The time limit of old weights counts from the first newer edition, whichever are named since.
 #[test]
-fn a_second_naming_puts_off_no_order_out_of_turn() {
+fn a_second_naming_does_not_delay_orders_out_of_turn() {
     let mut state = fleet();
-    let mut bringer = WeightsRollout::expediting_after(Span::millis(13_500));
-    bringer.next_steps(&state, true, at(0));
-    bump(&mut state);
-    bringer.next_steps(&state, true, at(1000));
+    let mut rollout = WeightsRollout::expediting_after(Span::millis(13_500));
+    rollout.next_steps(&state, true, at(0));
+    name_new_weights(&mut state);
+    rollout.next_steps(&state, true, at(1000));
     apply(&mut state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(3) });
-    bringer.next_steps(&state, true, at(10_000));
-    assert_eq!(bringer.next_steps(&state, true, at(14_500)).len(), ENGINES);
+    rollout.next_steps(&state, true, at(10_000));
+    assert_eq!(rollout.next_steps(&state, true, at(14_500)).len(), ENGINES);
 }
 
-/// Requests may still wait at an engine that leaves: they are turned away as anywhere.
+/// Requests may still wait at a leaving engine; they are rejected as at any other.
 #[test]
-fn what_waits_at_a_leaving_engine_is_turned_away_too() {
+fn requests_waiting_at_a_leaving_engine_are_rejected_too() {
     let mut state = fleet();
-    let mut bringer = WeightsRollout::expediting_after(Span::millis(13_500));
-    bump(&mut state);
-    bringer.next_steps(&state, true, at(1000));
+    let mut rollout = WeightsRollout::expediting_after(Span::millis(13_500));
+    name_new_weights(&mut state);
+    rollout.next_steps(&state, true, at(1000));
     let mut engines = state.listing.engines.clone();
     engines.insert(name(17), ListedEngine { listed: Listed::Leaving, ..listed(1) });
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
@@ -276,26 +277,26 @@
         RolloutStep::OrderIfWaiting { engine, .. } if *engine == name(17))
         })
     };
-    assert!(!concerns(&bringer.next_steps(&state, true, at(14_400))), "routers may still use old weights");
-    assert!(!concerns(&bringer.next_steps(&state, false, at(14_500))), "the holder before may still order");
-    assert!(concerns(&bringer.next_steps(&state, true, at(14_500))));
-    assert!(!concerns(&bringer.next_steps(&state, true, at(14_600))), "one order at a time");
-    bringer.record_answer(&name(17), OrderAnswer::NotNeeded, at(14_600));
-    assert!(concerns(&bringer.next_steps(&state, true, at(14_900))), "asked again");
-    bringer.record_answer(&name(17), OrderAnswer::Accepted, at(14_910));
-    assert!(!concerns(&bringer.next_steps(&state, true, at(20_000))));
+    assert!(!concerns(&rollout.next_steps(&state, true, at(14_400))), "routers may still use old weights");
+    assert!(!concerns(&rollout.next_steps(&state, false, at(14_500))), "the previous holder may still give orders");
+    assert!(concerns(&rollout.next_steps(&state, true, at(14_500))));
+    assert!(!concerns(&rollout.next_steps(&state, true, at(14_600))), "one order at a time");
+    rollout.record_answer(&name(17), OrderAnswer::NotNeeded, at(14_600));
+    assert!(concerns(&rollout.next_steps(&state, true, at(14_900))), "checked again");
+    rollout.record_answer(&name(17), OrderAnswer::Accepted, at(14_910));
+    assert!(!concerns(&rollout.next_steps(&state, true, at(20_000))));
 }
 
 #[test]
 fn a_new_holder_closes_no_engine_before_it_may_order() {
     let mut state = fleet();
-    bump(&mut state);
-    let mut bringer = WeightsRollout::default();
+    name_new_weights(&mut state);
+    let mut rollout = WeightsRollout::default();
     assert!(
-        bringer.next_steps(&state, false, at(0)).is_empty(),
-        "the holder before may still have orders on their way"
+        rollout.next_steps(&state, false, at(0)).is_empty(),
+        "orders of the previous holder may still be in flight"
     );
-    let closings = bringer.next_steps(&state, true, at(5000));
+    let closings = rollout.next_steps(&state, true, at(5000));
     assert!(!closings.is_empty());
     for step in closings {
         assert!(matches!(step, RolloutStep::SetStanding { standing: Standing { closed: true, .. }, .. }), "{step:?}");
@@ -303,18 +304,18 @@
 }
 
 #[test]
-fn the_time_to_orders_out_of_turn_begins_anew_when_the_core_is_disturbed() {
+fn the_time_until_orders_out_of_turn_restarts_when_the_coordinator_is_disturbed() {
     let mut state = fleet();
-    bump(&mut state);
-    let closed_count = |bringer: &mut WeightsRollout, state: &FleetState, now: u64| {
-        let steps = bringer.next_steps(state, true, at(now));
+    name_new_weights(&mut state);
+    let closed_count = |rollout: &mut WeightsRollout, state: &FleetState, now: u64| {
+        let steps = rollout.next_steps(state, true, at(now));
         steps.iter().filter(|step| matches!(step, RolloutStep::SetStanding { .. })).count()
     };
-    let mut bringer = WeightsRollout::expediting_after(Span::millis(10_000));
-    let in_turn = closed_count(&mut bringer, &state, 0);
+    let mut rollout = WeightsRollout::expediting_after(Span::millis(10_000));
+    let in_turn = closed_count(&mut rollout, &state, 0);
     assert!(in_turn < ENGINES, "{in_turn} are closed at first");
-    bringer.note_disturbed(at(4000));
-    bringer.note_disturbed(at(3000));
-    assert_eq!(closed_count(&mut bringer, &state, 13_999), in_turn);
-    assert_eq!(closed_count(&mut bringer, &state, 14_000), ENGINES);
+    rollout.note_disturbed(at(4000));
+    rollout.note_disturbed(at(3000));
+    assert_eq!(closed_count(&mut rollout, &state, 13_999), in_turn);
+    assert_eq!(closed_count(&mut rollout, &state, 14_000), ENGINES);
 }
--- a/crates/conductor/tests/several_models.rs
+++ b/crates/conductor/tests/several_models.rs
@@ -1,4 +1,4 @@
-//! Engines that hold several models are brought to the new weights of each.
+//! The rollout of new weights to engines that serve several models.
 
 use conductor::prelude::*;
 use desired::prelude::*;
@@ -19,7 +19,7 @@
     Instant(0) + Span::millis(millis)
 }
 
-/// Engines that hold two models on their first weights, and new weights named for some.
+/// Engines that serve two models on their first weights; new weights are named for the models in `named`.
 fn fleet(named: &[&str]) -> FleetState {
     let mut state = FleetState::default();
     apply(&mut state, Command::Merge { base: None, patch: r#"{"models":{"m0":{},"m1":{}}}"#.into() });
@@ -38,7 +38,7 @@
     state
 }
 
-/// An order that an engine carries out.
+/// A load that an engine was ordered to carry out.
 #[derive(Clone, Debug, PartialEq)]
 struct Loading {
     model: ModelName,
@@ -46,12 +46,13 @@
     ready_at: u64,
 }
 
-/// Plays until every engine is open on what is wanted. What each was ordered, in order, and how long it took.
+/// Runs the rollout until every engine is open on the wanted weights. Returns the orders that each engine got, in
+/// order, and the time it took in ms.
 fn play(state: &mut FleetState) -> (Vec<Vec<Loading>>, u64) {
-    let mut bringer = WeightsRollout::default();
+    let mut rollout = WeightsRollout::default();
     let mut ordered: Vec<Vec<Loading>> = vec![Vec::new(); ENGINES];
     for now in (0..60_000).step_by(10) {
-        for step in bringer.next_steps(state, true, at(now)) {
+        for step in rollout.next_steps(state, true, at(now)) {
             match step {
                 RolloutStep::SetStanding { engine, standing } => {
                     apply(state, Command::Stand { term: Term(1), engine, standing });
@@ -62,30 +63,30 @@
                     let is_free = ordered[number].iter().all(|loading| loading.ready_at <= now);
                     assert!(is_free, "one order at a time");
                     ordered[number].push(Loading { model, weights, ready_at: now + 1800 });
-                    bringer.record_answer(&engine, OrderAnswer::Accepted, at(now));
+                    rollout.record_answer(&engine, OrderAnswer::Accepted, at(now));
                 }
-                RolloutStep::OrderIfWaiting { .. } => panic!("nothing is in a hurry"),
+                RolloutStep::OrderIfWaiting { .. } => panic!("no order out of turn is expected"),
                 RolloutStep::QueryWeights { engine, model, .. } => {
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let loading = ordered[number].iter().rfind(|loading| loading.model == model).unwrap();
                     let is_loading = now < loading.ready_at;
                     let weights = if is_loading { WeightsEdition(1) } else { loading.weights };
-                    bringer.record_report(&engine, Some((weights, is_loading)), at(now));
+                    rollout.record_report(&engine, Some((weights, is_loading)), at(now));
                 }
             }
         }
         let under_way = ordered.iter().flatten().filter(|loading| loading.ready_at > now).count();
         assert!(under_way <= ENGINES / 6, "{under_way} load at once");
         let closed = state.standings.values().filter(|standing| standing.closed).count();
-        if closed == 0 && bringer.next_steps(state, true, at(now)).is_empty() {
+        if closed == 0 && rollout.next_steps(state, true, at(now)).is_empty() {
             return (ordered, now);
         }
     }
-    panic!("never done")
+    panic!("the rollout never ends")
 }
 
 #[test]
-fn a_model_that_is_not_the_first_is_brought_to_its_new_weights() {
+fn new_weights_of_a_model_that_is_not_the_first_are_loaded() {
     let mut state = fleet(&["m1"]);
     let (ordered, took) = play(&mut state);
     assert!(took < 15_000, "took {took} ms");
--- a/crates/conductor/tests/without_models.rs
+++ b/crates/conductor/tests/without_models.rs
@@ -1,5 +1,5 @@
-//! Engines of a service without models are never closed, ordered or waited for while new weights are brought
-//! to the engines of another service.
+//! Engines of a service without models are never closed, ordered or waited for while new weights roll out to the
+//! engines of another service.
 
 use conductor::prelude::*;
 use desired::prelude::*;
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn new_weights_of_another_service_do_not_concern_them() {
+fn a_rollout_of_another_service_leaves_engines_without_models_alone() {
     let mut state = fleet();
-    let mut bringer = WeightsRollout::expediting_after(Span::seconds(5));
+    let mut rollout = WeightsRollout::expediting_after(Span::seconds(5));
     for millis in (0..30_000).step_by(50) {
         let now = Instant(0) + Span::millis(millis);
-        for step in bringer.next_steps(&state, true, now) {
+        for step in rollout.next_steps(&state, true, now) {
             match step {
                 RolloutStep::SetStanding { engine, standing } => {
                     assert!(engine.as_str().starts_with("pool"), "{engine} {standing:?}");
@@ -47,17 +47,17 @@
                 }
                 RolloutStep::Order { engine, .. } | RolloutStep::OrderIfWaiting { engine, .. } => {
                     assert!(engine.as_str().starts_with("pool"), "{engine} is ordered");
-                    bringer.record_answer(&engine, OrderAnswer::Accepted, now);
+                    rollout.record_answer(&engine, OrderAnswer::Accepted, now);
                 }
                 RolloutStep::QueryWeights { engine, .. } => {
-                    assert!(engine.as_str().starts_with("pool"), "{engine} is looked at");
-                    bringer.record_report(&engine, Some((WeightsEdition(2), false)), now);
+                    assert!(engine.as_str().starts_with("pool"), "{engine} is queried");
+                    rollout.record_report(&engine, Some((WeightsEdition(2), false)), now);
                 }
             }
         }
     }
     let is_closed = |engine: &EngineName| state.standings.get(engine).is_some_and(|standing| standing.closed);
     let confirmed = state.standings.values().filter(|standing| standing.confirmed.is_some()).count();
-    assert_eq!(confirmed, ENGINES_OF_EACH, "all of the pool were brought");
+    assert_eq!(confirmed, ENGINES_OF_EACH, "all engines of the pool hold confirmed weights");
     assert!(!state.listing.engines.keys().any(is_closed));
 }
