--- a/crates/adapters/src/closing.rs
+++ b/crates/adapters/src/closing.rs
@@ -1,26 +1,26 @@
-//! Engines that are to be closed for new weights, which takes their adapters from them, or drained: one that
-//! holds a warm copy of an adapter waits until enough others hold it that the loss of one more leaves it warm.
-//! Copies that no router may use, as their engine's weights are given up, neither wait nor count.
+//! Delays the closing of engines for new weights, which unloads their adapters, and their draining: an engine with
+//! a warm copy of an adapter waits until enough others hold it that the loss of one more leaves it warm. Copies
+//! that routers no longer use, because their engine's weights are too old, neither wait nor count.
 
 use crate::prelude::*;
 
-/// After so long one other copy is enough.
-const PATIENT_SPAN: Span = Span::seconds(8);
-/// An engine is held back no longer than this: by then the weights it has are given up, and nothing runs on it.
-const LONGEST_WAIT: Span = Span::seconds(16);
-/// An engine that was not asked about for so long does not wait any more.
+/// After this wait one other copy is enough.
+const FULL_REPLACEMENT_WAIT: Span = Span::seconds(8);
+/// The longest an engine is held back: by then its old weights are no longer used, and nothing runs on it.
+const MAX_WAIT: Span = Span::seconds(16);
+/// A wait is dropped if the engine was not asked about for this long.
 const FORGOTTEN_AFTER: Span = Span::seconds(3);
-/// So many other copies are enough; fewer are where there were not so many to begin with.
+/// How many other copies are enough, or as many as there were in the beginning if that was fewer.
 const ENOUGH_COPIES: usize = 2;
-/// A copy on old weights counts for others only if routers may use it for so much longer.
-const STAYS_AT_LEAST: Span = Span::seconds(3);
-/// How long a closing that was let go counts, until it shows in the state.
+/// A copy on old weights counts as a replacement only if routers may use it for this much longer.
+const MIN_REMAINING_USE: Span = Span::seconds(3);
+/// How long a permitted closing is remembered until it shows in the fleet state.
 const CLOSING_SPAN: Span = Span::seconds(3);
 
-/// Which closings were let go, and which wait.
+/// Decides which engines may be closed or drained, and remembers which are closing or waiting.
 #[derive(Clone, Debug, Default)]
 pub struct ClosingGuard {
-    /// Which weights gave way, and when.
+    /// The recently superseded weights.
     pub old_weights: OldWeights,
     closing: BTreeMap<EngineName, Instant>,
     waiting: BTreeMap<EngineName, Waiting>,
@@ -30,15 +30,15 @@
 #[derive(Clone, Debug)]
 struct Waiting {
     since: Instant,
-    /// When it was asked about last.
-    asked: Instant,
-    /// How many engines served each adapter when it was asked about first, itself included.
+    /// When it was last asked about.
+    last_asked: Instant,
+    /// How many engines, this one included, served each adapter when it was first asked about.
     held_before: BTreeMap<AdapterId, usize>,
 }
 
 impl Waiting {
     fn from(now: Instant) -> Waiting {
-        Waiting { since: now, asked: now, held_before: BTreeMap::new() }
+        Waiting { since: now, last_asked: now, held_before: BTreeMap::new() }
     }
 }
 
@@ -53,11 +53,11 @@
     ) -> bool {
         self.old_weights.follow(state, now);
         self.closing.retain(|_, since| now.since(*since) < CLOSING_SPAN);
-        self.waiting.retain(|_, waiting| now.since(waiting.asked) < FORGOTTEN_AFTER);
+        self.waiting.retain(|_, waiting| now.since(waiting.last_asked) < FORGOTTEN_AFTER);
         let mut waiting = self.waiting.remove(engine).unwrap_or_else(|| Waiting::from(now));
-        waiting.asked = now;
+        waiting.last_asked = now;
         let waited = now.since(waiting.since);
-        let enough = if waited < PATIENT_SPAN { ENOUGH_COPIES } else { 1 };
+        let enough = if waited < FULL_REPLACEMENT_WAIT { ENOUGH_COPIES } else { 1 };
         let copies = state.adapters.copies_at(engine).iter();
         let mut in_use = copies.filter(|copy| copy.is_warm() && state.is_in_force(&copy.adapter));
         let is_replaced = in_use.all(|copy| {
@@ -66,7 +66,7 @@
             elsewhere >= held_before.min(enough)
         });
         let is_in_use = self.is_usable(state, engine, now) && is_serving(state, engine);
-        if is_in_use && !is_replaced && waited < LONGEST_WAIT {
+        if is_in_use && !is_replaced && waited < MAX_WAIT {
             self.waiting.insert(engine.clone(), waiting);
             return false;
         }
@@ -74,7 +74,7 @@
         true
     }
 
-    /// How many other engines of the same role serve the adapter, and stay.
+    /// How many other engines of the same role serve the adapter and will go on doing so.
     fn count_elsewhere(
         &self,
         state: &FleetState,
@@ -87,15 +87,15 @@
         let others = state.adapters.warm_engines(adapter).filter(|other| *other != engine);
         let staying = others.filter(|other| {
             let Some(listed) = state.listing.engines.get(*other) else { return false };
-            let told = seen.get(*other).filter(|told| now.since(told.at) < SILENT_AFTER);
-            let is_heard = told.is_some_and(|told| told.holds(adapter));
-            let stays = serves(state, other, listed) && self.is_usable(state, other, now + STAYS_AT_LEAST);
-            listed.role == own.role && is_heard && stays && !self.closing.contains_key(*other)
+            let report = seen.get(*other).filter(|report| now.since(report.at) < SILENT_AFTER);
+            let is_reported = report.is_some_and(|report| report.holds(adapter));
+            let stays = serves(state, other, listed) && self.is_usable(state, other, now + MIN_REMAINING_USE);
+            listed.role == own.role && is_reported && stays && !self.closing.contains_key(*other)
         });
         staying.count()
     }
 
-    /// Whether a plan's next step may be taken now: a drain waits as a closing does.
+    /// Whether a plan's next step may be carried out now; a drain waits as a closing does.
     pub fn may_do_step(
         &mut self,
         state: &FleetState,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether an engine's weights are not given up by a moment.
+    /// Whether routers may still use an engine's weights at `moment`.
     fn is_usable(&self, state: &FleetState, engine: &EngineName, moment: Instant) -> bool {
         let Some(listed) = state.listing.engines.get(engine) else { return false };
         self.old_weights.is_usable(state, engine, &listed.model, moment)
--- a/crates/adapters/src/demand.rs
+++ b/crates/adapters/src/demand.rs
@@ -1,33 +1,34 @@
-//! Where requests for each adapter arrive, from what routers told. Reports come late and are lost: each
-//! counts for less as it ages, and a router that is silent fades out. A region begins to count with more
-//! than a stray request, and stops counting some time after its last ones.
+//! Where requests for each adapter arrive, aggregated from the routers' reports. Reports may be late or lost: each
+//! decays with its age, so a silent router fades out. A region becomes active only with more than a stray
+//! request, and becomes inactive some time after its last requests.
 
 use crate::prelude::*;
 
-/// A region begins to count at so many requests' worth of the average, and goes on down to the other.
-const BEGINS_AT: f64 = 1.5;
-const GOES_ON_AT: f64 = 0.25;
-/// The count of copies that follows the load falls only when the load is clearly below.
-const FALLS_BELOW: f64 = 0.8;
+/// A region becomes active at this rate, in multiples of what one request adds to the average.
+const ACTIVATION_LEVEL: f64 = 1.5;
+/// An active region stays active down to this rate, in the same unit.
+const DEACTIVATION_LEVEL: f64 = 0.25;
+/// The number of copies is reduced only when the load is below this share of what one copy fewer can take.
+const SCALE_DOWN_SHARE: f64 = 0.8;
 
-/// A report as the tail heard it, and how long ago.
+/// A router's report as received by the chain's tail, with its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeardDemand {
     pub report: DemandReport,
     pub age: Span,
 }
 
-/// What is known of one adapter's requests in one region.
+/// The demand for one adapter in one region.
 #[derive(Clone, Copy, Debug, Default)]
 struct RegionDemand {
     rate: f64,
-    counts: bool,
-    last_counted: Option<Instant>,
-    /// Copies that its load asked for last.
-    scaled: u64,
+    is_active: bool,
+    last_active: Option<Instant>,
+    /// The number of copies for the load, as last decided.
+    load_copies: u64,
 }
 
-/// Rates by adapter and region, and since when each counts.
+/// Tracks the request rate of each adapter in each region.
 #[derive(Clone, Debug, Default)]
 pub struct DemandTracker {
     reports: BTreeMap<NodeId, (DemandReport, Instant)>,
@@ -35,44 +36,45 @@
 }
 
 impl DemandTracker {
-    /// Takes what the tail has heard; the latest report of a router counts.
+    /// Records reports; only the latest of each router is kept.
     pub fn record(&mut self, heard: Vec<HeardDemand>, now: Instant) {
         for HeardDemand { report, age } in heard {
-            let said = Instant(now.0.saturating_sub(age.0));
-            let is_newer = self.reports.get(&report.router).is_none_or(|(_, known)| *known < said);
+            let sent = Instant(now.0.saturating_sub(age.0));
+            let is_newer = self.reports.get(&report.router).is_none_or(|(_, known)| *known < sent);
             if is_newer {
-                self.reports.insert(report.router, (report, said));
+                self.reports.insert(report.router, (report, sent));
             }
         }
     }
 
-    /// Works the rates out anew.
-    pub(crate) fn settle(&mut self, state: &FleetState, now: Instant) {
+    /// Recomputes all rates from the reports.
+    pub(crate) fn recompute_rates(&mut self, state: &FleetState, now: Instant) {
         let warming = state.desired.warming;
         let forgotten_after = Span(warming.demand_span.0.saturating_mul(10));
-        self.reports.retain(|_, (_, said)| now.since(*said) < forgotten_after);
+        self.reports.retain(|_, (_, sent)| now.since(*sent) < forgotten_after);
         for known in self.regions.values_mut() {
             known.rate = 0.0;
         }
-        for (report, said) in self.reports.values() {
+        for (report, sent) in self.reports.values() {
             let region = state.desired.region_of(&report.zone);
-            for (adapter, told) in &report.rates {
-                let rate = decayed(*told as f64 / RATE_UNIT, now.since(*said), warming.demand_span);
+            for (adapter, reported) in &report.rates {
+                let rate = decayed(*reported as f64 / RATE_UNIT, now.since(*sent), warming.demand_span);
                 self.regions.entry((adapter.clone(), region.clone())).or_default().rate += rate;
             }
         }
-        let one = weight_of_one(warming.demand_span);
+        let one_request = rate_of_one_request(warming.demand_span);
         for known in self.regions.values_mut() {
-            known.counts = known.rate >= one * if known.counts { GOES_ON_AT } else { BEGINS_AT };
-            if known.counts {
-                known.last_counted = Some(now);
+            known.is_active =
+                known.rate >= one_request * if known.is_active { DEACTIVATION_LEVEL } else { ACTIVATION_LEVEL };
+            if known.is_active {
+                known.last_active = Some(now);
             }
         }
-        let holds = |known: &RegionDemand| is_held(known, warming, now) || known.rate > 0.0;
-        self.regions.retain(|(adapter, _), known| state.desired.adapters.contains_key(adapter) && holds(known));
+        let is_relevant = |known: &RegionDemand| is_held(known, warming, now) || known.rate > 0.0;
+        self.regions.retain(|(adapter, _), known| state.desired.adapters.contains_key(adapter) && is_relevant(known));
     }
 
-    /// The regions where an adapter's requests arrive or did a short while ago, busiest first.
+    /// The regions where an adapter's requests arrive, or did within the hold span, busiest first.
     pub(crate) fn regions_of(&self, adapter: &AdapterName, warming: WarmingWish, now: Instant) -> Vec<Region> {
         let mut found: Vec<(&Region, f64)> = self
             .regions
@@ -84,30 +86,30 @@
         found.into_iter().map(|(region, _)| region.clone()).collect()
     }
 
-    /// How many copies a region's load asks for.
+    /// How many copies a region needs for its load.
     pub(crate) fn copies_for(&mut self, adapter: &AdapterName, wish: &AdapterWish, region: &Region) -> u64 {
         if wish.copy_requests == 0 {
             return wish.warm_in_region;
         }
-        let naming = (adapter.clone(), region.clone());
-        let Some(known) = self.regions.get_mut(&naming) else { return wish.warm_in_region };
+        let key = (adapter.clone(), region.clone());
+        let Some(known) = self.regions.get_mut(&key) else { return wish.warm_in_region };
         let load = known.rate / wish.copy_requests as f64;
-        let asked = load.ceil() as u64;
-        let is_clearly_less = load < known.scaled.saturating_sub(1) as f64 * FALLS_BELOW;
-        if asked > known.scaled || is_clearly_less {
-            known.scaled = asked;
+        let needed = load.ceil() as u64;
+        let is_clearly_lower = load < known.load_copies.saturating_sub(1) as f64 * SCALE_DOWN_SHARE;
+        if needed > known.load_copies || is_clearly_lower {
+            known.load_copies = needed;
         }
-        known.scaled.max(wish.warm_in_region)
+        known.load_copies.max(wish.warm_in_region)
     }
 
-    /// When an adapter's requests counted last in a region.
+    /// When a region was last active for an adapter.
     pub(crate) fn last_use(&self, adapter: &AdapterName, region: &Region) -> Instant {
         let known = self.regions.get(&(adapter.clone(), region.clone()));
-        known.and_then(|known| known.last_counted).unwrap_or_default()
+        known.and_then(|known| known.last_active).unwrap_or_default()
     }
 }
 
-/// Whether a region counts now or did within the span for which copies are held.
+/// Whether a region is active, or was within the span for which copies are kept.
 fn is_held(known: &RegionDemand, warming: WarmingWish, now: Instant) -> bool {
-    known.last_counted.is_some_and(|last| now.since(last) < warming.hold_span || known.counts)
+    known.last_active.is_some_and(|last| now.since(last) < warming.hold_span || known.is_active)
 }
--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -1,15 +1,15 @@
-//! Which engines keep which tuned adapter warm, as a pure machine. It is told where requests of each
-//! adapter arrive and what engines say they hold, and answers with what to put into the fleet state and
-//! what to order. Its memory holds averages and ages alone: what was decided stands in the fleet state, so
-//! that another conductor goes on from there.
+//! Decides which engines keep which adapter loaded ("warm"), without I/O. Its inputs are where requests for each
+//! adapter arrive and which adapters engines report as resident; its outputs are changes to the fleet state and
+//! orders to engines. It remembers only averages and ages: decisions are kept in the fleet state, so that another
+//! conductor can continue from there.
 //!
-//! A copy is loaded, told warm by its engine, and only then used. Copies that are wanted no more stay until
-//! their place is needed, and go in the order of their last use; none goes before those that are to replace
-//! it are warm.
+//! A copy is used only after it was loaded and its engine reported it. Copies that are no longer wanted stay
+//! until their place is needed and are evicted in the order of their last use, but none before its replacements
+//! are warm.
 
 pub mod prelude;
 
-mod allotment;
+mod assignment;
 mod closing;
 mod demand;
 mod meter;
--- a/crates/adapters/src/planner.rs
+++ b/crates/adapters/src/planner.rs
@@ -1,209 +1,201 @@
-//! The planner: from the fleet state, what engines told and where requests arrive, to what is done next.
+//! Plans the next changes to warm adapters from the fleet state, the engines' reports and the demand.
 
 use crate::prelude::*;
 
-/// What a planner that has just begun waits for before it moves anything: engines to tell what they hold,
-/// routers to tell their requests.
-pub const SETTLE_SPAN: Span = Span::millis(3000);
-/// From when a copy is to leave until its engine is ordered to unload it: routers hear of it meanwhile.
+/// How long a new planner collects the reports of engines and routers before it changes anything.
+pub const WARM_UP_SPAN: Span = Span::millis(3000);
+/// Time from marking a copy as leaving to ordering its unload, in which routers learn of it.
 pub const LEAVE_PAUSE: Span = Span::millis(2500);
-/// A load that has come to nothing for so long is given up at that engine.
+/// A load that takes longer than this is given up at that engine.
 pub const LOAD_LIMIT: Span = Span::seconds(30);
-/// How long such an engine comes last.
-pub const COOLING_SPAN: Span = Span::seconds(60);
+/// How long an engine is avoided for an adapter that failed to load there.
+pub const LOAD_FAILURE_SPAN: Span = Span::seconds(60);
 
-/// What is to be done next.
+/// An action that the planner requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WarmingAction {
     /// Put a copy's stage into the fleet state, or take the copy out of it.
-    Place {
-        engine: EngineName,
-        adapter: AdapterId,
-        stage: Option<CopyStage>,
-    },
-    /// Let requests run on this revision from now on.
-    UseRevision {
-        adapter: AdapterId,
-    },
-    Load {
-        engine: EngineName,
-        address: String,
-        adapter: AdapterId,
-    },
-    Unload {
-        engine: EngineName,
-        address: String,
-        adapter: AdapterId,
-    },
+    Place { engine: EngineName, adapter: AdapterId, stage: Option<CopyStage> },
+    /// Put this revision in force: requests run on it from now on.
+    UseRevision { adapter: AdapterId },
+    /// Order the engine to load the adapter.
+    Load { engine: EngineName, address: String, adapter: AdapterId },
+    /// Order the engine to unload the adapter.
+    Unload { engine: EngineName, address: String, adapter: AdapterId },
 }
 
-type CopyName = (EngineName, AdapterId);
+type CopyKey = (EngineName, AdapterId);
 
-/// The planner's own memory, which a new conductor begins without.
+/// Plans which adapters engines load and unload. A new conductor starts without this memory.
 #[derive(Clone, Debug, Default)]
 pub struct WarmingPlanner {
     pub demand: DemandTracker,
     pub closings: ClosingGuard,
-    began: Option<Instant>,
-    /// Since when a copy has stood in its present stage here.
-    stages: BTreeMap<CopyName, (CopyStage, Instant)>,
-    /// Since when a copy is not wanted.
-    unwanted: BTreeMap<CopyName, Instant>,
-    /// Until when an engine comes last for an adapter.
-    cooling: BTreeMap<CopyName, Instant>,
-    /// Needs that found no place in the last round.
+    started: Option<Instant>,
+    /// The stage of each copy, and since when it has been seen in it.
+    stages: BTreeMap<CopyKey, (CopyStage, Instant)>,
+    /// Since when a copy has not been wanted.
+    unwanted: BTreeMap<CopyKey, Instant>,
+    /// Until when an engine is avoided for an adapter that failed to load there.
+    load_failures: BTreeMap<CopyKey, Instant>,
+    /// The number of needs without a place in the last round.
     unplaced: usize,
 }
 
 /// One round of planning.
-struct Round<'a> {
+struct PlanningRound<'a> {
     state: &'a FleetState,
     seen: &'a BTreeMap<EngineName, AdapterReport>,
     now: Instant,
-    /// The engines that may serve now, of all pools.
+    /// The engines of all pools that may serve now.
     serving: BTreeSet<EngineName>,
-    /// Loads that may still begin.
-    room: usize,
-    acts: Vec<WarmingAction>,
+    /// How many more loads may start.
+    free_loads: usize,
+    actions: Vec<WarmingAction>,
 }
 
-impl Round<'_> {
+impl PlanningRound<'_> {
     fn place(&mut self, engine: &EngineName, adapter: &AdapterId, stage: Option<CopyStage>) {
-        self.acts.push(WarmingAction::Place { engine: engine.clone(), adapter: adapter.clone(), stage });
+        self.actions.push(WarmingAction::Place { engine: engine.clone(), adapter: adapter.clone(), stage });
     }
 
-    /// What an engine told lately.
-    fn told(&self, engine: &EngineName) -> Option<&AdapterReport> {
-        self.seen.get(engine).filter(|told| self.now.since(told.at) < SILENT_AFTER)
+    /// An engine's report, if it is recent.
+    fn report(&self, engine: &EngineName) -> Option<&AdapterReport> {
+        self.seen.get(engine).filter(|report| self.now.since(report.at) < SILENT_AFTER)
     }
 
     fn address(&self, engine: &EngineName) -> String {
         self.state.listing.engines.get(engine).map(|listed| listed.address.clone()).unwrap_or_default()
     }
 
-    /// Whether an adapter is warm at an engine that was heard lately.
+    /// Whether an adapter is warm at an engine that reported recently.
     fn is_warm(&self, engine: &EngineName, adapter: &AdapterId) -> bool {
-        self.state.adapters.is_warm(engine, adapter) && self.told(engine).is_some()
+        self.state.adapters.is_warm(engine, adapter) && self.report(engine).is_some()
     }
 
-    /// Whether no engine that may serve holds an adapter warm: its load goes before all others.
+    /// Whether no engine that may serve holds the adapter warm; its load then precedes all others.
     fn is_urgent(&self, adapter: &AdapterId) -> bool {
         !self.state.adapters.warm_engines(adapter).any(|engine| self.serving.contains(engine))
     }
 }
 
-/// An adapter that an engine is to hold and does not.
-struct Lacking<'a> {
+/// A copy that an engine should hold but does not.
+struct MissingCopy<'a> {
     engine: &'a PoolEngine,
     adapter: &'a AdapterId,
-    allotment: &'a Allotment,
+    assignment: &'a Assignment,
 }
 
-/// What an engine is to hold and neither holds nor is being brought.
-fn lacking_at<'a>(round: &Round<'_>, engine: &'a PoolEngine, allotment: &'a Allotment) -> Vec<Lacking<'a>> {
-    let targets = allotment.targets.get(&engine.name).into_iter().flatten();
+/// The copies that an engine should hold and neither holds nor is loading.
+fn missing_copies<'a>(
+    round: &PlanningRound<'_>,
+    engine: &'a PoolEngine,
+    assignment: &'a Assignment,
+) -> Vec<MissingCopy<'a>> {
+    let targets = assignment.targets.get(&engine.name).into_iter().flatten();
     let is_known = |adapter: &AdapterId| {
-        let told = round.told(&engine.name);
-        round.state.adapters.copy(&engine.name, adapter).is_some() || told.is_none_or(|told| told.holds(adapter))
+        let report = round.report(&engine.name);
+        round.state.adapters.copy(&engine.name, adapter).is_some()
+            || report.is_none_or(|report| report.holds(adapter))
     };
-    let lacking = targets.filter(|adapter| !is_known(adapter));
-    lacking.map(|adapter| Lacking { engine, adapter, allotment }).collect()
+    let missing = targets.filter(|adapter| !is_known(adapter));
+    missing.map(|adapter| MissingCopy { engine, adapter, assignment }).collect()
 }
 
-/// What places an engine has left in this round.
-struct Space {
+/// An engine's adapter places in this round.
+struct PlaceBudget {
     free: usize,
-    /// Places that become free by themselves.
+    /// Places that are being freed.
     leaving: usize,
-    /// A copy was told to leave in this round.
-    is_displacing: bool,
+    /// Whether a copy was evicted in this round.
+    is_evicting: bool,
 }
 
-impl Space {
-    fn at(round: &Round<'_>, engine: &PoolEngine) -> Space {
+impl PlaceBudget {
+    fn of(round: &PlanningRound<'_>, engine: &PoolEngine) -> PlaceBudget {
         let copies = round.state.adapters.copies_at(&engine.name);
         let is_known = |adapter: &AdapterId| copies.iter().any(|copy| copy.adapter == *adapter);
-        let resident = round.told(&engine.name).map(|told| told.resident.as_slice()).unwrap_or_default();
-        let strays = resident.iter().filter(|adapter| !is_known(adapter)).count();
-        let free = engine.places.saturating_sub(copies.len() + strays);
-        let leaving = copies.iter().filter(|copy| copy.stage == CopyStage::Leaving).count() + strays;
-        Space { free, leaving, is_displacing: false }
+        let resident = round.report(&engine.name).map(|report| report.resident.as_slice()).unwrap_or_default();
+        let untracked = resident.iter().filter(|adapter| !is_known(adapter)).count();
+        let free = engine.places.saturating_sub(copies.len() + untracked);
+        let leaving = copies.iter().filter(|copy| copy.stage == CopyStage::Leaving).count() + untracked;
+        PlaceBudget { free, leaving, is_evicting: false }
     }
 }
 
 impl WarmingPlanner {
-    /// Drops what was known under an earlier term, but for when weights gave way.
+    /// Drops what was learned under an earlier term, except when weights were superseded.
     pub fn forget(&mut self) {
         let old_weights = std::mem::take(&mut self.closings.old_weights);
         *self = WarmingPlanner::default();
         self.closings.old_weights = old_weights;
     }
 
-    /// Notes which weights have given way; for every keeper, also while another is the conductor.
+    /// Records which weights were superseded. Called on every keeper, also while another is the conductor.
     pub fn note_weights(&mut self, state: &FleetState, now: Instant) {
         self.closings.old_weights.follow(state, now);
     }
 
-    /// Needs that no engine has a place for, as of the last round.
+    /// The number of needs for which no engine had a place in the last round.
     pub fn unplaced(&self) -> usize {
         self.unplaced
     }
 
-    /// What to do now. What comes of it shows in the state and in what engines tell.
+    /// The actions to take now. Their outcomes show in the fleet state and in the engines' reports.
     pub fn next_actions(
         &mut self,
         state: &FleetState,
         seen: &BTreeMap<EngineName, AdapterReport>,
         now: Instant,
     ) -> Vec<WarmingAction> {
-        let began = *self.began.get_or_insert(now);
+        let started = *self.started.get_or_insert(now);
         self.note_weights(state, now);
-        self.demand.settle(state, now);
+        self.demand.recompute_rates(state, now);
         self.note_stages(state, now);
-        self.cooling.retain(|_, until| now < *until);
+        self.load_failures.retain(|_, until| now < *until);
         let loading = self.stages.values().filter(|(stage, _)| *stage == CopyStage::Loading).count();
-        let room = (state.desired.warming.loads_at_once as usize).saturating_sub(loading);
-        if now.since(began) < SETTLE_SPAN {
+        let free_loads = (state.desired.warming.loads_at_once as usize).saturating_sub(loading);
+        if now.since(started) < WARM_UP_SPAN {
             return Vec::new();
         }
         self.unplaced = 0;
         let pools = pools(state, seen, &self.closings.old_weights, now);
         let serving = pools.values().flatten().map(|engine| engine.name.clone()).collect();
-        let mut round = Round { state, seen, now, serving, room, acts: Vec::new() };
-        let mut allotments = BTreeMap::new();
+        let mut round = PlanningRound { state, seen, now, serving, free_loads, actions: Vec::new() };
+        let mut assignments = BTreeMap::new();
         for (name, engines) in &pools {
             let needs = self.needs(state, name, engines, now);
-            let allotment = Allotter { state, engines, cooling: &self.cooling }.allot(needs);
-            self.unplaced += allotment.unplaced.len();
-            allotments.insert(name.clone(), allotment);
+            let assignment = Assigner { state, engines, load_failures: &self.load_failures }.assign(needs);
+            self.unplaced += assignment.unplaced.len();
+            assignments.insert(name.clone(), assignment);
         }
-        let none = Allotment::default();
+        let none = Assignment::default();
         for (engine, listed) in &state.listing.engines {
-            let allotment = allotments.get(&(listed.model.clone(), listed.role)).unwrap_or(&none);
-            self.tend_copies(&mut round, engine, &listed.model, allotment);
+            let assignment = assignments.get(&(listed.model.clone(), listed.role)).unwrap_or(&none);
+            self.reconcile_copies(&mut round, engine, &listed.model, assignment);
         }
-        self.tend_targets(&mut round, &pools, &allotments);
-        self.take_over(&mut round, &allotments);
-        round.acts
+        self.start_loads(&mut round, &pools, &assignments);
+        self.put_revisions_in_force(&mut round, &assignments);
+        round.actions
     }
 
-    /// Since when each copy stands as it does.
+    /// Records since when each copy has been in its stage.
     fn note_stages(&mut self, state: &FleetState, now: Instant) {
         let mut stages = BTreeMap::new();
         for (engine, copies) in &state.adapters.copies {
             for AdapterCopy { adapter, stage } in copies {
-                let naming = (engine.clone(), adapter.clone());
-                let known = self.stages.get(&naming).filter(|(known, _)| known == stage);
+                let key = (engine.clone(), adapter.clone());
+                let known = self.stages.get(&key).filter(|(known, _)| known == stage);
                 let since = known.map_or(now, |(_, since)| *since);
-                stages.insert(naming, (stage.clone(), since));
+                stages.insert(key, (stage.clone(), since));
             }
         }
-        self.unwanted.retain(|naming, _| stages.contains_key(naming));
+        self.unwanted.retain(|key, _| stages.contains_key(key));
         self.stages = stages;
     }
 
-    /// How many copies of each adapter of a pool's model are to be warm, and where.
-    fn needs(&mut self, state: &FleetState, pool: &PoolName, engines: &[PoolEngine], now: Instant) -> Vec<Need> {
+    /// The copies that must be warm for each adapter of a pool's model.
+    fn needs(&mut self, state: &FleetState, pool: &PoolKey, engines: &[PoolEngine], now: Instant) -> Vec<CopyNeed> {
         let warming = state.desired.warming;
         let mut needs = Vec::new();
         for (name, wish) in state.desired.adapters.iter().filter(|(_, wish)| wish.model == pool.0) {
@@ -223,163 +215,168 @@
                 let is_next = revision != present;
                 needs.extend(places.iter().map(|(round, region)| {
                     let (round, region, adapter) = (*round, region.clone(), adapter.clone());
-                    Need { round, idle, is_next, adapter, region }
+                    CopyNeed { round, idle, is_next, adapter, region }
                 }));
             }
         }
         needs
     }
 
-    /// Moves on what the state says an engine holds or is to hold, by what it told.
-    fn tend_copies(&mut self, round: &mut Round<'_>, engine: &EngineName, model: &ModelName, allotment: &Allotment) {
-        let Some(told) = round.told(engine).cloned() else { return };
+    /// Advances the stages of an engine's copies in the fleet state according to its report.
+    fn reconcile_copies(
+        &mut self,
+        round: &mut PlanningRound<'_>,
+        engine: &EngineName,
+        model: &ModelName,
+        assignment: &Assignment,
+    ) {
+        let Some(report) = round.report(engine).cloned() else { return };
         let address = round.address(engine);
         for AdapterCopy { adapter, stage } in round.state.adapters.copies_at(engine) {
-            let naming = (engine.clone(), adapter.clone());
-            let is_target = allotment.is_target(engine, adapter);
+            let key = (engine.clone(), adapter.clone());
+            let is_target = assignment.is_target(engine, adapter);
             let is_wanted = round.state.is_wanted(adapter, model);
-            let waited = self.stages.get(&naming).map_or(Span(0), |(_, since)| round.now.since(*since));
-            self.note_wanted(&naming, is_target, round.now);
-            let warm = || Some(CopyStage::Warm { boot: told.boot.clone() });
+            let waited = self.stages.get(&key).map_or(Span(0), |(_, since)| round.now.since(*since));
+            self.note_wanted(&key, is_target, round.now);
+            let warm = || Some(CopyStage::Warm { boot: report.boot.clone() });
             match stage {
-                CopyStage::Loading if told.holds(adapter) && is_wanted => round.place(engine, adapter, warm()),
+                CopyStage::Loading if report.holds(adapter) && is_wanted => round.place(engine, adapter, warm()),
                 CopyStage::Loading if !is_target => round.place(engine, adapter, None),
                 CopyStage::Loading if waited >= LOAD_LIMIT => {
-                    self.cooling.insert(naming, round.now + COOLING_SPAN);
+                    self.load_failures.insert(key, round.now + LOAD_FAILURE_SPAN);
                     round.place(engine, adapter, None);
                 }
                 CopyStage::Loading => {
                     let (engine, adapter, address) = (engine.clone(), adapter.clone(), address.clone());
-                    round.acts.push(WarmingAction::Load { engine, address, adapter });
+                    round.actions.push(WarmingAction::Load { engine, address, adapter });
                 }
-                CopyStage::Warm { boot } if *boot != told.boot || !told.holds(adapter) => {
+                CopyStage::Warm { boot } if *boot != report.boot || !report.holds(adapter) => {
                     round.place(engine, adapter, None);
                 }
                 CopyStage::Warm { .. } if !is_wanted => round.place(engine, adapter, Some(CopyStage::Leaving)),
                 CopyStage::Warm { .. } => {}
-                CopyStage::Leaving if !told.holds(adapter) => round.place(engine, adapter, None),
+                CopyStage::Leaving if !report.holds(adapter) => round.place(engine, adapter, None),
                 CopyStage::Leaving if is_target && is_wanted => round.place(engine, adapter, warm()),
                 CopyStage::Leaving if waited >= LEAVE_PAUSE => {
                     let (engine, adapter, address) = (engine.clone(), adapter.clone(), address.clone());
-                    round.acts.push(WarmingAction::Unload { engine, address, adapter });
+                    round.actions.push(WarmingAction::Unload { engine, address, adapter });
                 }
                 CopyStage::Leaving => {}
             }
         }
-        self.tend_strays(round, engine, model, allotment, &told);
+        self.reconcile_untracked(round, engine, model, assignment, &report);
     }
 
-    /// What an engine holds and the state does not know is taken up if it is wanted there, else unloaded:
-    /// no request can go to it.
-    fn tend_strays(
+    /// Handles adapters that an engine holds and the fleet state does not list: adds them to the state if they are
+    /// wanted there, otherwise unloads them, as no request can use them.
+    fn reconcile_untracked(
         &self,
-        round: &mut Round<'_>,
+        round: &mut PlanningRound<'_>,
         engine: &EngineName,
         model: &ModelName,
-        allotment: &Allotment,
-        told: &AdapterReport,
+        assignment: &Assignment,
+        report: &AdapterReport,
     ) {
-        for adapter in &told.resident {
+        for adapter in &report.resident {
             if round.state.adapters.copy(engine, adapter).is_some() {
                 continue;
             }
-            if allotment.is_target(engine, adapter) && round.state.is_wanted(adapter, model) {
-                round.place(engine, adapter, Some(CopyStage::Warm { boot: told.boot.clone() }));
+            if assignment.is_target(engine, adapter) && round.state.is_wanted(adapter, model) {
+                round.place(engine, adapter, Some(CopyStage::Warm { boot: report.boot.clone() }));
                 continue;
             }
             let (address, adapter) = (round.address(engine), adapter.clone());
-            round.acts.push(WarmingAction::Unload { engine: engine.clone(), address, adapter });
+            round.actions.push(WarmingAction::Unload { engine: engine.clone(), address, adapter });
         }
     }
 
-    fn note_wanted(&mut self, naming: &CopyName, is_target: bool, now: Instant) {
+    fn note_wanted(&mut self, key: &CopyKey, is_target: bool, now: Instant) {
         if is_target {
-            self.unwanted.remove(naming);
+            self.unwanted.remove(key);
         } else {
-            self.unwanted.entry(naming.clone()).or_insert(now);
+            self.unwanted.entry(key.clone()).or_insert(now);
         }
     }
 
-    /// Begins loads for what engines are to hold and do not, and makes room for them; first for adapters that
-    /// no engine serves.
-    fn tend_targets(
+    /// Starts loads of missing copies and evicts others to make room, first for adapters that no engine serves.
+    fn start_loads(
         &self,
-        round: &mut Round<'_>,
-        pools: &BTreeMap<PoolName, Vec<PoolEngine>>,
-        allotments: &BTreeMap<PoolName, Allotment>,
+        round: &mut PlanningRound<'_>,
+        pools: &BTreeMap<PoolKey, Vec<PoolEngine>>,
+        assignments: &BTreeMap<PoolKey, Assignment>,
     ) {
-        let mut lacking: Vec<Lacking<'_>> = Vec::new();
+        let mut missing: Vec<MissingCopy<'_>> = Vec::new();
         for (name, engines) in pools {
-            let allotment = &allotments[name];
-            lacking.extend(engines.iter().flat_map(|engine| lacking_at(round, engine, allotment)));
+            let assignment = &assignments[name];
+            missing.extend(engines.iter().flat_map(|engine| missing_copies(round, engine, assignment)));
         }
-        lacking.sort_by_key(|lacking| !round.is_urgent(lacking.adapter));
-        let mut spaces: BTreeMap<&EngineName, Space> = BTreeMap::new();
-        for Lacking { engine, adapter, allotment } in lacking {
-            let space = spaces.entry(&engine.name).or_insert_with(|| Space::at(round, engine));
-            if space.free > 0 && round.room > 0 {
-                space.free -= 1;
-                round.room -= 1;
+        missing.sort_by_key(|missing| !round.is_urgent(missing.adapter));
+        let mut budgets: BTreeMap<&EngineName, PlaceBudget> = BTreeMap::new();
+        for MissingCopy { engine, adapter, assignment } in missing {
+            let budget = budgets.entry(&engine.name).or_insert_with(|| PlaceBudget::of(round, engine));
+            if budget.free > 0 && round.free_loads > 0 {
+                budget.free -= 1;
+                round.free_loads -= 1;
                 round.place(&engine.name, adapter, Some(CopyStage::Loading));
-            } else if space.free > 0 || space.is_displacing {
+            } else if budget.free > 0 || budget.is_evicting {
                 continue;
-            } else if space.leaving > 0 {
-                space.leaving -= 1;
-            } else if let Some(displaced) = self.displaced(round, engine, adapter, allotment) {
-                round.place(&engine.name, &displaced, Some(CopyStage::Leaving));
-                space.is_displacing = true;
+            } else if budget.leaving > 0 {
+                budget.leaving -= 1;
+            } else if let Some(evicted) = self.eviction_candidate(round, engine, adapter, assignment) {
+                round.place(&engine.name, &evicted, Some(CopyStage::Leaving));
+                budget.is_evicting = true;
             }
         }
     }
 
-    /// The copy that makes room for another at an engine: of those not wanted there, the one whose requests
-    /// are longest ago. One that was wanted a short while ago stays, unless the other has no warm copy yet.
-    fn displaced(
+    /// The copy to evict for another at an engine: of those not wanted there, the one least recently used. One that
+    /// was wanted within the hold span stays, unless the other has no warm copy yet.
+    fn eviction_candidate(
         &self,
-        round: &Round<'_>,
+        round: &PlanningRound<'_>,
         engine: &PoolEngine,
         wanted: &AdapterId,
-        allotment: &Allotment,
+        assignment: &Assignment,
     ) -> Option<AdapterId> {
         let is_urgent = round.is_urgent(wanted);
         let hold_span = round.state.desired.warming.hold_span;
         let may_go = |adapter: &AdapterId| {
             let since = self.unwanted.get(&(engine.name.clone(), adapter.clone()));
             let is_held = since.is_none_or(|since| round.now.since(*since) < hold_span);
-            (is_urgent || !is_held) && self.is_replaced(round, &engine.name, adapter, allotment)
+            (is_urgent || !is_held) && self.is_replaced(round, &engine.name, adapter, assignment)
         };
         let copies = round.state.adapters.copies_at(&engine.name).iter();
-        let unwanted = copies.filter(|copy| copy.is_warm() && !allotment.is_target(&engine.name, &copy.adapter));
+        let unwanted = copies.filter(|copy| copy.is_warm() && !assignment.is_target(&engine.name, &copy.adapter));
         let leaving = unwanted.map(|copy| &copy.adapter).filter(|adapter| may_go(adapter));
         leaving.min_by_key(|adapter| (self.demand.last_use(&adapter.name, &engine.region), *adapter)).cloned()
     }
 
-    /// Whether every copy that is to be warm is, so that one that is not wanted may go.
+    /// Whether all wanted copies of the adapter are warm, so that an unwanted one may be evicted.
     fn is_replaced(
         &self,
-        round: &Round<'_>,
+        round: &PlanningRound<'_>,
         engine: &EngineName,
         adapter: &AdapterId,
-        allotment: &Allotment,
+        assignment: &Assignment,
     ) -> bool {
-        let mut holders = allotment.engines_of(adapter).filter(|holder| *holder != engine).peekable();
+        let mut holders = assignment.engines_of(adapter).filter(|holder| *holder != engine).peekable();
         let is_unused = !round.state.is_in_force(adapter);
         let has_holder = holders.peek().is_some();
         is_unused || (has_holder && holders.all(|holder| round.is_warm(holder, adapter)))
     }
 
-    /// Lets requests run on a newer revision once all its copies are warm.
-    fn take_over(&self, round: &mut Round<'_>, allotments: &BTreeMap<PoolName, Allotment>) {
+    /// Puts a newer revision in force once all its copies are warm.
+    fn put_revisions_in_force(&self, round: &mut PlanningRound<'_>, assignments: &BTreeMap<PoolKey, Assignment>) {
         for (name, wish) in &round.state.desired.adapters {
             let next = AdapterId { name: name.clone(), revision: wish.revision };
             if round.state.is_in_force(&next) {
                 continue;
             }
-            let own = allotments.iter().filter(|((model, _), _)| *model == wish.model);
-            let holders: Vec<&EngineName> = own.flat_map(|(_, allotment)| allotment.engines_of(&next)).collect();
+            let own = assignments.iter().filter(|((model, _), _)| *model == wish.model);
+            let holders: Vec<&EngineName> = own.flat_map(|(_, assignment)| assignment.engines_of(&next)).collect();
             let is_warm = !holders.is_empty() && holders.iter().all(|holder| round.is_warm(holder, &next));
             if is_warm {
-                round.acts.push(WarmingAction::UseRevision { adapter: next });
+                round.actions.push(WarmingAction::UseRevision { adapter: next });
             }
         }
     }
--- a/crates/adapters/src/pool.rs
+++ b/crates/adapters/src/pool.rs
@@ -1,14 +1,14 @@
-//! The engines that may hold adapters of one model, in one role, and what they told of themselves.
+//! The engines that may hold adapters of one model in one role, and the reports of what they hold.
 
 use crate::prelude::*;
 
-/// An engine that has told nothing for so long counts as lost.
+/// An engine that has not reported for this long counts as lost.
 pub const SILENT_AFTER: Span = Span::millis(2500);
 
-/// What an engine said of the adapters it holds, and when it was asked.
+/// An engine's report of the adapters it holds, and when it was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdapterReport {
-    /// The life of its process.
+    /// Identifies the life of the engine's process.
     pub boot: String,
     pub resident: Vec<AdapterId>,
     pub places: u64,
@@ -21,31 +21,31 @@
     }
 }
 
-/// An engine that may be given adapters now.
+/// An engine that may be assigned adapters now.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolEngine {
     pub(crate) name: EngineName,
     pub(crate) zone: Zone,
     pub(crate) region: Region,
     pub(crate) places: usize,
-    /// It has other weights than the wanted ones, or is to be drained: its copies will serve nobody.
-    pub(crate) is_going: bool,
+    /// The engine has outdated weights or is about to be drained, so its copies will soon be unused.
+    pub(crate) is_retiring: bool,
 }
 
-/// What engines share that may stand in for each other.
-pub(crate) type PoolName = (ModelName, Role);
+/// The model and role that interchangeable engines share.
+pub(crate) type PoolKey = (ModelName, Role);
 
-/// The engines that serve, on weights not given up, and were heard lately, by model and role.
+/// The engines that serve on usable weights and reported lately, by model and role.
 pub(crate) fn pools(
     state: &FleetState,
     seen: &BTreeMap<EngineName, AdapterReport>,
     old_weights: &OldWeights,
     now: Instant,
-) -> BTreeMap<PoolName, Vec<PoolEngine>> {
+) -> BTreeMap<PoolKey, Vec<PoolEngine>> {
     let draining = to_be_drained(state);
-    let mut pools: BTreeMap<PoolName, Vec<PoolEngine>> = BTreeMap::new();
+    let mut pools: BTreeMap<PoolKey, Vec<PoolEngine>> = BTreeMap::new();
     for (name, listed) in &state.listing.engines {
-        let Some(told) = seen.get(name).filter(|told| now.since(told.at) < SILENT_AFTER) else { continue };
+        let Some(report) = seen.get(name).filter(|report| now.since(report.at) < SILENT_AFTER) else { continue };
         let Some(model) = state.desired.models.get(&listed.model) else { continue };
         if !serves(state, name, listed) || !old_weights.is_usable(state, name, &listed.model, now) {
             continue;
@@ -54,15 +54,15 @@
             name: name.clone(),
             zone: listed.zone.clone(),
             region: state.desired.region_of(&listed.zone),
-            is_going: is_outdated(state, name, model.weights) || draining.contains(name),
-            places: model.adapter_places.min(told.places) as usize,
+            is_retiring: is_outdated(state, name, model.weights) || draining.contains(name),
+            places: model.adapter_places.min(report.places) as usize,
         };
         pools.entry((listed.model.clone(), listed.role)).or_default().push(engine);
     }
     pools
 }
 
-/// Whether an engine is listed open and neither drained nor closed for new weights.
+/// Whether an engine is listed as open, confirmed, and neither drained nor closed for new weights.
 pub(crate) fn serves(state: &FleetState, name: &EngineName, listed: &ListedEngine) -> bool {
     let standing = state.standings.get(name);
     let is_confirmed = standing.is_some_and(|standing| standing.confirmed.is_some() && !standing.closed);
--- a/crates/adapters/src/prelude.rs
+++ b/crates/adapters/src/prelude.rs
@@ -1,6 +1,6 @@
-//! The one import of this package's files.
+//! The items that every file of this crate imports.
 
-pub(crate) use crate::allotment::*;
+pub(crate) use crate::assignment::*;
 pub use crate::closing::*;
 pub use crate::demand::*;
 pub use crate::meter::*;
--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -1,5 +1,5 @@
-//! The planner against engines that load and unload in time, with requests that arrive in two regions:
-//! minimums, bounds, shifts, losses, and peace under noise.
+//! The planner with simulated engines whose loads take time and requests from two regions: minimum numbers of
+//! copies, resource bounds, demand shifts, engine losses, and stability under noisy demand.
 
 use adapters::prelude::*;
 use desired::prelude::*;
@@ -25,7 +25,7 @@
     meters: BTreeMap<&'static str, DemandMeter>,
     now: Instant,
     steps: u64,
-    /// Stages put into the state, but for those that tell what an engine told.
+    /// Stage changes in the fleet state, other than those that only follow an engine's report.
     moves: usize,
     loads: usize,
     places: usize,
@@ -78,14 +78,14 @@
     }
 
     fn seen(&self) -> BTreeMap<EngineName, AdapterReport> {
-        let told = |engine: &SimEngine| AdapterReport {
+        let report = |engine: &SimEngine| AdapterReport {
             boot: engine.boot.to_string(),
             resident: engine.resident.iter().cloned().collect(),
             places: self.places as u64,
             at: self.now,
         };
         let up = self.engines.iter().filter(|(_, engine)| engine.up);
-        up.map(|(name, engine)| (name.clone(), told(engine))).collect()
+        up.map(|(name, engine)| (name.clone(), report(engine))).collect()
     }
 
     fn request(&mut self, zone: &'static str, adapter: &str) {
@@ -94,7 +94,7 @@
         self.meters.get_mut(zone).unwrap().record(&adapter.into(), span, now);
     }
 
-    /// One look of the conductor and what follows from it; the bounds hold after each.
+    /// Runs one planning round and carries out its actions, then checks the bounds.
     fn step(&mut self) {
         self.now = self.now + STEP;
         self.steps += 1;
@@ -105,28 +105,28 @@
             self.planner.demand.record(vec![HeardDemand { report, age: Span(0) }], self.now);
         }
         let seen = self.seen();
-        for act in self.planner.next_actions(&self.state, &seen, self.now) {
-            self.carry_out(act);
+        for action in self.planner.next_actions(&self.state, &seen, self.now) {
+            self.carry_out(action);
         }
         self.finish_loads();
         self.check_bounds();
     }
 
-    fn carry_out(&mut self, act: WarmingAction) {
-        match act {
+    fn carry_out(&mut self, action: WarmingAction) {
+        match action {
             WarmingAction::Place { engine, adapter, stage } => {
                 self.moves += usize::from(!matches!(stage, None | Some(CopyStage::Warm { .. })));
                 let settled = submit(&mut self.state, Command::PlaceCopy { term: Term(1), engine, adapter, stage });
-                assert!(matches!(settled, Settled::Taken(_)), "the planner keeps to the bounds: {settled:?}");
+                assert!(matches!(settled, Settled::Taken(_)), "the planner must keep to the bounds: {settled:?}");
             }
             WarmingAction::UseRevision { adapter } => {
                 submit(&mut self.state, Command::UseRevision { term: Term(1), adapter });
             }
             WarmingAction::Load { engine, adapter, .. } => {
-                let loads_to = self.steps + LOAD_STEPS;
+                let loaded_at = self.steps + LOAD_STEPS;
                 let engine = self.engines.get_mut(&engine).unwrap();
                 if engine.up && !engine.loading.contains_key(&adapter) {
-                    engine.loading.insert(adapter, loads_to);
+                    engine.loading.insert(adapter, loaded_at);
                     self.loads += 1;
                 }
             }
@@ -162,7 +162,7 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// Runs with one request a step for each adapter in each of the zones named.
+    /// Runs steps, each with one request for every zone and adapter in `demand`.
     fn run_with(&mut self, steps: u64, demand: &[(&'static str, &str)]) {
         for _ in 0..steps {
             for (zone, adapter) in demand {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The engines that hold the revision in force warm and are up.
+    /// The running engines that hold the revision in force warm.
     fn warm(&self, adapter: &str) -> Vec<EngineName> {
         let revision = self.state.adapters.in_force[&AdapterName::from(adapter)];
         let id = AdapterId { name: adapter.into(), revision };
@@ -212,11 +212,11 @@
     assert_eq!(fleet.planner.unplaced(), 0);
     let moves = fleet.moves;
     fleet.run(200);
-    assert_eq!(fleet.moves, moves, "at rest nothing moves");
+    assert_eq!(fleet.moves, moves, "nothing changes without demand");
 }
 
 #[test]
-fn a_shift_between_regions_warms_the_new_one_before_the_old_one_goes() {
+fn a_demand_shift_warms_the_new_region_before_the_old_one_is_evicted() {
     let mut fleet = Fleet::new(8, 1, 2, QUICK);
     fleet.run_with(60, &[("a", "x0"), ("b", "x0"), ("c", "x1")]);
     let north = fleet.warm_in("x0", "north");
@@ -225,20 +225,20 @@
     assert_eq!(zones.len(), 2, "spread over the zones of the region");
     for _ in 0..20 {
         fleet.run_with(1, &[("a", "x0"), ("c", "x0"), ("c", "x1")]);
-        assert_eq!(fleet.warm_in("x0", "north").len(), 2, "its traffic lasts");
+        assert_eq!(fleet.warm_in("x0", "north").len(), 2, "its requests continue");
     }
     assert_eq!(fleet.warm_in("x0", "south").len(), 2);
     fleet.run_with(100, &[("c", "x0"), ("c", "x1")]);
     assert_eq!(fleet.warm_in("x0", "south").len(), 2);
     assert_eq!(fleet.warm_in("x1", "south").len(), 2);
-    // The places of the north are needed now: what is not wanted there gives way, and only that.
+    // Now the places in the north are needed: only copies that are not wanted there are evicted.
     fleet.run_with(100, &[("c", "x0"), ("c", "x1"), ("a", "x1")]);
     assert_eq!(fleet.warm_in("x1", "north").len(), 2);
     assert_eq!(fleet.warm_in("x0", "south").len(), 2);
 }
 
 #[test]
-fn the_loss_of_an_engine_leaves_a_warm_one_near_and_is_made_good() {
+fn after_the_loss_of_an_engine_a_copy_in_its_region_remains_and_the_lost_one_is_replaced() {
     let mut fleet = Fleet::new(8, 2, 2, QUICK);
     let demand = [("a", "x0"), ("b", "x1")];
     fleet.run_with(60, &demand);
@@ -269,17 +269,17 @@
         );
         for _ in 0..200 {
             fleet.run_with(1, &demand);
-            assert!(!fleet.warm("x0").is_empty(), "no moment without a warm copy");
+            assert!(!fleet.warm("x0").is_empty(), "a warm copy must exist at all times");
         }
         assert_eq!(fleet.state.adapters.in_force[&AdapterName::from("x0")], AdapterRevision(2));
-        assert_eq!(fleet.warm("x0").len(), 4, "all copies follow");
+        assert_eq!(fleet.warm("x0").len(), 4, "all copies are replaced");
         let old = AdapterId::new("x0", 1);
         assert!(fleet.engines.values().all(|engine| !engine.resident.contains(&old)));
     }
 }
 
 #[test]
-fn a_new_conductor_goes_on_from_the_state_and_moves_nothing() {
+fn a_new_conductor_continues_from_the_fleet_state_without_changes() {
     let mut fleet = Fleet::new(8, 2, 3, QUICK);
     let demand = [("a", "x0"), ("b", "x1"), ("c", "x2")];
     fleet.run_with(80, &demand);
@@ -290,20 +290,20 @@
 }
 
 #[test]
-fn what_an_engine_holds_without_being_told_to_is_unloaded() {
+fn an_adapter_held_without_an_order_is_unloaded() {
     let mut fleet = Fleet::new(2, 2, 1, QUICK);
     fleet.run(40);
-    let stray = AdapterId::new("foreign", 7);
+    let untracked = AdapterId::new("foreign", 7);
     let name = EngineName::from("e0");
-    fleet.engines.get_mut(&name).unwrap().resident.insert(stray.clone());
+    fleet.engines.get_mut(&name).unwrap().resident.insert(untracked.clone());
     fleet.run(5);
-    assert!(!fleet.engines[&name].resident.contains(&stray));
+    assert!(!fleet.engines[&name].resident.contains(&untracked));
 }
 
-/// Whatever is drawn: bounds hold at each step, a warm adapter stays warm but for a loss, and what the
-/// places bear is warm in the end where its requests arrive.
+/// For random fleets: the bounds hold at each step, an adapter stays warm except after the loss of an engine, and
+/// is finally warm in the region where its requests arrive.
 #[test]
-fn drawn_fleets_keep_their_minimums_through_shifts_and_losses() {
+fn random_fleets_keep_their_minimums_through_demand_shifts_and_losses() {
     for seed in 0..200u64 {
         arbtest::arbtest(|source| {
             let engine_count = source.int_in_range(8..=16)?;
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn noise_moves_nothing() {
+fn noisy_demand_changes_almost_nothing() {
     for seed in 0..40u64 {
         let mut draw = Draw::new(seed);
         let mut fleet = Fleet::new(8, 2, 4, r#"{"loads_at_once":3,"demand_ms":6000,"hold_ms":20000}"#);
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn new_weights_go_round_without_a_gap() {
+fn new_weights_roll_out_without_a_gap() {
     let mut fleet = Fleet::new(8, 2, 3, QUICK);
     let demand = [("a", "x0"), ("b", "x1"), ("c", "x2")];
     fleet.run_with(60, &demand);
@@ -412,7 +412,7 @@
     let confirmed = Some((WeightsEdition(2), "x".to_owned()));
     assert!(
         fleet.state.standings.values().all(|standing| standing.confirmed == confirmed),
-        "the round comes to its end"
+        "all engines hold the new weights"
     );
 }
 
@@ -423,7 +423,7 @@
     submit(&mut fleet.state, Command::Merge { base: None, patch: patch.into() });
     // One request a step of 300 ms is 200 a minute in each zone.
     fleet.run_with(80, &[("a", "x0"), ("b", "x0")]);
-    assert_eq!(fleet.warm_in("x0", "north").len(), 4, "380 a minute, as told just before the next request");
+    assert_eq!(fleet.warm_in("x0", "north").len(), 4, "380 a minute, as reported just before the next request");
     let moves = fleet.moves;
     fleet.run_with(200, &[("a", "x0"), ("b", "x0")]);
     assert_eq!(fleet.moves, moves);
@@ -436,27 +436,27 @@
 }
 
 #[test]
-fn a_copy_on_weights_given_up_counts_for_nobody_and_its_engine_does_not_wait() {
+fn a_copy_on_weights_no_longer_used_does_not_count_and_its_engine_does_not_wait() {
     let mut fleet = Fleet::new(8, 1, 1, QUICK);
     fleet.run_with(60, &[("a", "x0"), ("c", "x0")]);
     let holders = fleet.warm("x0");
     assert_eq!(holders.len(), 4, "two in each region");
     submit(&mut fleet.state, Command::Merge { base: None, patch: r#"{"models":{"m":{"weights":2}}}"#.into() });
     fleet.step();
-    // Only one of the holders is brought to the new weights, and the others' are given up.
+    // Only one of the holders gets the new weights; those of the others are no longer used.
     confirm(&mut fleet, &holders[0], 2);
     fleet.now = fleet.now + OLD_WEIGHTS_SPAN;
     submit(&mut fleet.state, Command::Merge { base: None, patch: r#"{"models":{"m":{"weights":3}}}"#.into() });
     let (seen, now) = (fleet.seen(), fleet.now);
     let mut may_close = |engine: &EngineName| fleet.planner.closings.may_close(&fleet.state, &seen, engine, now);
-    assert!(!may_close(&holders[0]), "the only copy that routers may use");
+    assert!(!may_close(&holders[0]), "it holds the only copy that routers may use");
     for holder in &holders[1..] {
         assert!(may_close(holder), "nothing runs on {holder}");
     }
 }
 
 #[test]
-fn a_copy_on_weights_given_up_is_replaced_elsewhere() {
+fn a_copy_on_weights_no_longer_used_is_replaced_elsewhere() {
     let mut fleet = Fleet::new(8, 1, 1, QUICK);
     let demand = [("a", "x0")];
     fleet.run_with(60, &demand);
@@ -477,7 +477,7 @@
     fleet.run(60);
     let holder = fleet.warm("x2")[0].clone();
     fleet.state.listing.engines.get_mut(&holder).unwrap().listed = Listed::Leaving;
-    // In the same moment two other adapters need further copies, and one load may go on at once.
+    // At the same time two other adapters need further copies, and only one load may run at a time.
     for _ in 0..6 {
         for adapter in ["x0", "x1"] {
             ["a", "b", "c", "d"].into_iter().for_each(|zone| fleet.request(zone, adapter));
@@ -494,14 +494,14 @@
         .map(|copy| &copy.adapter)
         .collect();
     assert_eq!(loading, [&AdapterId::new("x2", 1)]);
-    assert!(fleet.state.adapters.is_warm(&holder, &AdapterId::new("x2", 1)), "it goes on serving");
+    assert!(fleet.state.adapters.is_warm(&holder, &AdapterId::new("x2", 1)), "it keeps serving");
 }
 
-/// States a drain of an engine, and confirms the plan.
+/// Requests a drain of an engine and confirms its plan.
 fn plan_drain(fleet: &mut Fleet, engine: &EngineName) -> Edition {
     let Settled::Taken(plan) = submit(&mut fleet.state, Command::Intend(Intent::Drain { engine: engine.clone() }))
     else {
-        panic!("the drain is not planned")
+        panic!("the drain was not accepted")
     };
     assert!(matches!(submit(&mut fleet.state, Command::Confirm { plan }), Settled::Taken(_)));
     plan
@@ -522,7 +522,7 @@
         }
         fleet.step();
     }
-    panic!("the drain never comes");
+    panic!("the drain was never permitted");
 }
 
 #[test]
