--- a/crates/attempts/src/machine.rs
+++ b/crates/attempts/src/machine.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether the engine's end mark has come; no piece may follow it.
-    pub fn is_marked(&self) -> bool {
+    pub fn has_end_mark(&self) -> bool {
         self.stage == Stage::EndMarked
     }
 
@@ -293,9 +293,9 @@
         self.pick();
     }
 
-    fn record_fault(&mut self, ran: Ran, reason: String, rests: bool) {
+    fn record_fault(&mut self, ran: Ran, reason: String, avoid_engine: bool) {
         self.may_have_run |= ran == Ran::Perhaps;
-        self.effects.push(AttemptEffect::AttemptFault { reason, ran, rests });
+        self.effects.push(AttemptEffect::AttemptFault { reason, ran, avoid_engine });
         self.end_attempt();
     }
 
--- a/crates/attempts/src/messages.rs
+++ b/crates/attempts/src/messages.rs
@@ -170,7 +170,7 @@
         /// Whether the engine may have worked on it.
         ran: Ran,
         /// Whether to avoid the engine for a while.
-        rests: bool,
+        avoid_engine: bool,
     },
 }
 
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -63,13 +63,13 @@
     }
 
     /// The next piece of the engine's stream, or its end.
-    async fn read_streamed(&mut self, is_marked: bool) -> Input {
+    async fn read_streamed(&mut self, has_end_mark: bool) -> Input {
         let Some(replied) = self.replied.as_mut() else { return no_stream() };
         loop {
             match self.reader.next_data() {
                 Some(data) if data == STREAM_END => return Input::EndMark,
                 Some(data) => return read_piece(&data, self.adapter.as_ref()),
-                None if is_marked && !self.reader.is_empty() => {
+                None if has_end_mark && !self.reader.is_empty() => {
                     return Input::Broken("something came after the end mark".into());
                 }
                 None => {}
@@ -200,10 +200,10 @@
 
     /// The next of the engine's answer.
     pub(super) async fn read(&mut self) -> Input {
-        let is_marked = self.carriage.is_marked();
+        let has_end_mark = self.carriage.has_end_mark();
         let Some(attempt) = self.attempt.as_mut() else { return no_attempt() };
         match self.run.plan.streams {
-            true => attempt.read_streamed(is_marked).await,
+            true => attempt.read_streamed(has_end_mark).await,
             false => attempt.read_whole().await,
         }
     }
@@ -217,7 +217,7 @@
     }
 
     /// Logs and counts an attempt that failed.
-    pub(super) fn note_fault(&self, reason: &str, ran: Ran, rests: bool) {
+    pub(super) fn note_fault(&self, reason: &str, ran: Ran, avoid_engine: bool) {
         let Some(attempt) = &self.attempt else { return };
         let tenant = &self.run.plan.tenant;
         self.run.shared.note_policy(&attempt.placement.policy, tenant, |figures| figures.faults += 1);
@@ -229,7 +229,7 @@
             reason = reason,
             ran = format!("{ran:?}").to_lowercase()
         );
-        if rests {
+        if avoid_engine {
             self.run.table.tell(TableCommand::Fault { engine: attempt.place.engine.clone() });
         }
     }
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -167,7 +167,7 @@
                 Effect::EndCut(reason) => self.end_stream(Some(reason)),
                 Effect::GiveUp(given_up) => answered = Some(self.give_up(given_up)),
                 Effect::EndAttempt => self.attempt = None,
-                Effect::AttemptFault { reason, ran, rests } => self.note_fault(&reason, ran, rests),
+                Effect::AttemptFault { reason, ran, avoid_engine } => self.note_fault(&reason, ran, avoid_engine),
             }
         }
         answered
--- a/crates/simulator/src/effects.rs
+++ b/crates/simulator/src/effects.rs
@@ -65,8 +65,10 @@
                 self.feed_caller(run, final_news(&given_up));
             }
             AttemptEffect::EndAttempt => self.end_attempt(node, run),
-            AttemptEffect::AttemptFault { rests, .. } => {
-                if let (Some(router), Some(attempt), true) = (self.nodes[node].router.as_mut(), &run.attempt, rests) {
+            AttemptEffect::AttemptFault { avoid_engine, .. } => {
+                if let (Some(router), Some(attempt), true) =
+                    (self.nodes[node].router.as_mut(), &run.attempt, avoid_engine)
+                {
                     router.picker.note_fault(&attempt.ground.engine, local_now);
                 }
             }
