--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -3,8 +3,8 @@
 
 use crate::prelude::*;
 
-/// How long running work may outlive its router's lease. A change that the router missed is acknowledged once
-/// its lease has expired, so a withdrawn key may keep running work for this long after the acknowledgement.
+/// How long running work may outlive its router's lease. A change is acknowledged at the earliest when that lease
+/// has expired, so work for a key withdrawn meanwhile may run for this long after the acknowledgement.
 pub const LEASE_GRACE: Span = Span::seconds(4);
 
 /// Why an attempt may not start now.
