--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -48,9 +48,9 @@
     }
 
     /// What the gate looks at when the first byte is written.
-    fn ground(&self, plan: &Plan, salt: Salt) -> Ground {
+    fn ground(&self, plan: &Plan, salt: Salt) -> AttemptBasis {
         let chosen = &self.placement.chosen;
-        Ground {
+        AttemptBasis {
             key_hash: plan.key_hash.clone(),
             tenant: plan.tenant.clone(),
             model: plan.model.clone(),
@@ -63,13 +63,13 @@
     }
 
     /// The next piece of the engine's stream, or its end.
-    async fn read_streamed(&mut self, is_marked: bool) -> Input {
+    async fn read_streamed(&mut self, has_end_mark: bool) -> Input {
         let Some(replied) = self.replied.as_mut() else { return no_stream() };
         loop {
             match self.reader.next_data() {
                 Some(data) if data == STREAM_END => return Input::EndMark,
                 Some(data) => return read_piece(&data, self.adapter.as_ref()),
-                None if is_marked && !self.reader.is_empty() => {
+                None if has_end_mark && !self.reader.is_empty() => {
                     return Input::Broken("something came after the end mark".into());
                 }
                 None => {}
@@ -165,7 +165,7 @@
         match stream.send_gated(question, gate).await {
             Ok(replied) => self.read_head(replied).await,
             Err(SendFault { reason, byte_left }) => match *bar.lock().expect("no holder of this lock panics") {
-                Some(found) => Input::Barred(found),
+                Some(found) => Input::StartRefused(found),
                 None => Input::SendFault { byte_left, reason },
             },
         }
@@ -180,7 +180,7 @@
             attempt.replied = Some(replied);
         }
         self.awaited = Awaited::Pieces;
-        Input::Head { head: Head::Good, told: String::new() }
+        Input::Head { head: ResponseClass::Success, detail: String::new() }
     }
 
     async fn read_refusal(&self, mut replied: Replied) -> Input {
@@ -188,22 +188,22 @@
         let told: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let told_kind = told["error"]["type"].as_str().unwrap_or("");
         let head = match told_kind {
-            "not_accepting" | "other_weights" | NOT_RESIDENT => Head::NotStarted,
-            "limit_passed" => Head::OutOfTime,
-            _ => Head::Refused,
+            "not_accepting" | "other_weights" | NOT_RESIDENT => ResponseClass::NotStarted,
+            "limit_passed" => ResponseClass::OutOfTime,
+            _ => ResponseClass::Failure,
         };
         if told_kind == NOT_RESIDENT {
             self.note_cold();
         }
-        Input::Head { head, told: format!("engine answered {} {told_kind}", replied.status.as_u16()) }
+        Input::Head { head, detail: format!("engine answered {} {told_kind}", replied.status.as_u16()) }
     }
 
     /// The next of the engine's answer.
     pub(super) async fn read(&mut self) -> Input {
-        let is_marked = self.carriage.is_marked();
+        let has_end_mark = self.carriage.has_end_mark();
         let Some(attempt) = self.attempt.as_mut() else { return no_attempt() };
         match self.run.plan.streams {
-            true => attempt.read_streamed(is_marked).await,
+            true => attempt.read_streamed(has_end_mark).await,
             false => attempt.read_whole().await,
         }
     }
@@ -217,7 +217,7 @@
     }
 
     /// Logs and counts an attempt that failed.
-    pub(super) fn note_fault(&self, reason: &str, ran: Ran, rests: bool) {
+    pub(super) fn note_fault(&self, reason: &str, ran: Ran, avoid_engine: bool) {
         let Some(attempt) = &self.attempt else { return };
         let tenant = &self.run.plan.tenant;
         self.run.shared.note_policy(&attempt.placement.policy, tenant, |figures| figures.faults += 1);
@@ -229,7 +229,7 @@
             reason = reason,
             ran = format!("{ran:?}").to_lowercase()
         );
-        if rests {
+        if avoid_engine {
             self.run.table.tell(TableCommand::Fault { engine: attempt.place.engine.clone() });
         }
     }
@@ -254,7 +254,7 @@
 /// A piece, or a whole answer, if it was made on the adapter of its attempt.
 fn read_piece(data: &str, adapter: Option<&AdapterId>) -> Input {
     match serde_json::from_str::<Completion>(data) {
-        Ok(completion) if !is_own_answer(adapter, completion.adapter.as_deref()) => {
+        Ok(completion) if !names_expected_adapter(adapter, completion.adapter.as_deref()) => {
             Input::Broken("an answer of another adapter".into())
         }
         Ok(completion) => {
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -112,13 +112,13 @@
     /// Counts a request for the adapter it runs on, whether it is served or not.
     pub fn note_demand(&self, adapter: &AdapterName, now: Instant) {
         let span = self.sight().state.desired.warming.demand_span;
-        self.demand.lock().expect("no holder of this lock panics").note(adapter, span, now);
+        self.demand.lock().expect("no holder of this lock panics").record(adapter, span, now);
     }
 
     /// The rates of requests for adapters, as the core is told them.
     pub fn demand(&self, now: Instant) -> BTreeMap<AdapterName, u64> {
         let span = self.sight().state.desired.warming.demand_span;
-        self.demand.lock().expect("no holder of this lock panics").tell(span, now)
+        self.demand.lock().expect("no holder of this lock panics").rates(span, now)
     }
 
     pub fn know_routers(&self, routers: Vec<RouterAddress>) {
@@ -177,17 +177,17 @@
     }
 
     /// The last look before the first byte of an attempt.
-    pub fn may_start(&self, ground: &Ground) -> Result<(), StartBar> {
+    pub fn may_start(&self, ground: &AttemptBasis) -> Result<(), StartRefusal> {
         may_start(&self.sight(), self.lease_until(), ground, boot_now())
     }
 
     /// Resolves when work for this key must end here.
-    pub async fn work_barred(&self, key_hash: &str, tenant: &TenantName) -> WorkBar {
+    pub async fn work_barred(&self, key_hash: &str, tenant: &TenantName) -> StopReason {
         let mut news = self.news.subscribe();
         loop {
             news.borrow_and_update();
             let now = boot_now();
-            if let Err(bar) = may_go_on(&self.sight(), self.lease_until(), key_hash, tenant, now) {
+            if let Err(bar) = may_continue(&self.sight(), self.lease_until(), key_hash, tenant, now) {
                 return bar;
             }
             tokio::select! {
