--- a/crates/adapters/src/allotment.rs
+++ b/crates/adapters/src/allotment.rs
@@ -100,7 +100,8 @@
             allotment.unplaced.iter().filter(|need| need.is_next).map(|need| need.adapter.clone()).collect();
         for next in unplaced {
             let is_placed = allotment.engines_of(&next).next().is_some();
-            let Some(revision) = self.state.adapters.in_force.get(&next.name).copied().filter(|_| !is_placed) else {
+            let Some(revision) = self.state.adapters.active_revisions.get(&next.name).copied().filter(|_| !is_placed)
+            else {
                 continue;
             };
             let present = AdapterId { name: next.name.clone(), revision };
--- a/crates/adapters/src/closing.rs
+++ b/crates/adapters/src/closing.rs
@@ -59,7 +59,7 @@
         let waited = now.since(waiting.since);
         let enough = if waited < PATIENT_SPAN { ENOUGH_COPIES } else { 1 };
         let copies = state.adapters.copies_at(engine).iter();
-        let mut in_use = copies.filter(|copy| copy.is_warm() && state.is_in_force(&copy.adapter));
+        let mut in_use = copies.filter(|copy| copy.is_warm() && state.is_active_revision(&copy.adapter));
         let is_replaced = in_use.all(|copy| {
             let elsewhere = self.count_elsewhere(state, seen, engine, &copy.adapter, now);
             let held_before = *waiting.held_before.entry(copy.adapter.clone()).or_insert(elsewhere + 1);
--- a/crates/adapters/src/demand.rs
+++ b/crates/adapters/src/demand.rs
@@ -49,7 +49,7 @@
     /// Works the rates out anew.
     pub(crate) fn settle(&mut self, state: &FleetState, now: Instant) {
         let warming = state.desired.warming;
-        let forgotten_after = Span(warming.demand_span.0.saturating_mul(10));
+        let forgotten_after = Span(warming.demand_window.0.saturating_mul(10));
         self.reports.retain(|_, (_, said)| now.since(*said) < forgotten_after);
         for known in self.regions.values_mut() {
             known.rate = 0.0;
@@ -57,11 +57,11 @@
         for (report, said) in self.reports.values() {
             let region = state.desired.region_of(&report.zone);
             for (adapter, told) in &report.rates {
-                let rate = decayed(*told as f64 / RATE_UNIT, now.since(*said), warming.demand_span);
+                let rate = decayed(*told as f64 / RATE_UNIT, now.since(*said), warming.demand_window);
                 self.regions.entry((adapter.clone(), region.clone())).or_default().rate += rate;
             }
         }
-        let one = weight_of_one(warming.demand_span);
+        let one = weight_of_one(warming.demand_window);
         for known in self.regions.values_mut() {
             known.counts = known.rate >= one * if known.counts { GOES_ON_AT } else { BEGINS_AT };
             if known.counts {
@@ -73,7 +73,7 @@
     }
 
     /// The regions where an adapter's requests arrive or did a short while ago, busiest first.
-    pub(crate) fn regions_of(&self, adapter: &AdapterName, warming: WarmingWish, now: Instant) -> Vec<Region> {
+    pub(crate) fn regions_of(&self, adapter: &AdapterName, warming: WarmingSettings, now: Instant) -> Vec<Region> {
         let mut found: Vec<(&Region, f64)> = self
             .regions
             .iter()
@@ -85,7 +85,7 @@
     }
 
     /// How many copies a region's load asks for.
-    pub(crate) fn copies_for(&mut self, adapter: &AdapterName, wish: &AdapterWish, region: &Region) -> u64 {
+    pub(crate) fn copies_for(&mut self, adapter: &AdapterName, wish: &AdapterSpec, region: &Region) -> u64 {
         if wish.copy_requests == 0 {
             return wish.warm_in_region;
         }
@@ -108,6 +108,6 @@
 }
 
 /// Whether a region counts now or did within the span for which copies are held.
-fn is_held(known: &RegionDemand, warming: WarmingWish, now: Instant) -> bool {
-    known.last_counted.is_some_and(|last| now.since(last) < warming.hold_span || known.counts)
+fn is_held(known: &RegionDemand, warming: WarmingSettings, now: Instant) -> bool {
+    known.last_counted.is_some_and(|last| now.since(last) < warming.hold_time || known.counts)
 }
--- a/crates/adapters/src/old_weights.rs
+++ b/crates/adapters/src/old_weights.rs
@@ -46,7 +46,7 @@
         model: &ModelName,
         moment: Instant,
     ) -> bool {
-        let standing = state.standings.get(engine);
+        let standing = state.engine_statuses.get(engine);
         let Some((weights, _)) = standing.and_then(|standing| standing.confirmed.as_ref()) else { return false };
         let is_wanted = state.desired.models.get(model).is_some_and(|wish| wish.weights == *weights);
         let since = self.gave_way_at(model, *weights).or(self.began).unwrap_or(moment);
--- a/crates/adapters/src/planner.rs
+++ b/crates/adapters/src/planner.rs
@@ -217,7 +217,7 @@
             }
             let placed = places.len() as u64;
             places.extend((placed + 1..=wish.warm).map(|round| (round, None)));
-            let present = state.adapters.in_force.get(name).copied().unwrap_or(wish.revision);
+            let present = state.adapters.active_revisions.get(name).copied().unwrap_or(wish.revision);
             for revision in BTreeSet::from([present, wish.revision]) {
                 let adapter = AdapterId { name: name.clone(), revision };
                 let is_next = revision != present;
@@ -237,7 +237,7 @@
         for AdapterCopy { adapter, stage } in round.state.adapters.copies_at(engine) {
             let naming = (engine.clone(), adapter.clone());
             let is_target = allotment.is_target(engine, adapter);
-            let is_wanted = round.state.is_wanted(adapter, model);
+            let is_wanted = round.state.is_desired_revision(adapter, model);
             let waited = self.stages.get(&naming).map_or(Span(0), |(_, since)| round.now.since(*since));
             self.note_wanted(&naming, is_target, round.now);
             let warm = || Some(CopyStage::Warm { boot: told.boot.clone() });
@@ -283,7 +283,7 @@
             if round.state.adapters.copy(engine, adapter).is_some() {
                 continue;
             }
-            if allotment.is_target(engine, adapter) && round.state.is_wanted(adapter, model) {
+            if allotment.is_target(engine, adapter) && round.state.is_desired_revision(adapter, model) {
                 round.place(engine, adapter, Some(CopyStage::Warm { boot: told.boot.clone() }));
                 continue;
             }
@@ -342,10 +342,10 @@
         allotment: &Allotment,
     ) -> Option<AdapterId> {
         let is_urgent = round.is_urgent(wanted);
-        let hold_span = round.state.desired.warming.hold_span;
+        let hold_time = round.state.desired.warming.hold_time;
         let may_go = |adapter: &AdapterId| {
             let since = self.unwanted.get(&(engine.name.clone(), adapter.clone()));
-            let is_held = since.is_none_or(|since| round.now.since(*since) < hold_span);
+            let is_held = since.is_none_or(|since| round.now.since(*since) < hold_time);
             (is_urgent || !is_held) && self.is_replaced(round, &engine.name, adapter, allotment)
         };
         let copies = round.state.adapters.copies_at(&engine.name).iter();
@@ -363,7 +363,7 @@
         allotment: &Allotment,
     ) -> bool {
         let mut holders = allotment.engines_of(adapter).filter(|holder| *holder != engine).peekable();
-        let is_unused = !round.state.is_in_force(adapter);
+        let is_unused = !round.state.is_active_revision(adapter);
         let has_holder = holders.peek().is_some();
         is_unused || (has_holder && holders.all(|holder| round.is_warm(holder, adapter)))
     }
@@ -372,7 +372,7 @@
     fn take_over(&self, round: &mut Round<'_>, allotments: &BTreeMap<PoolName, Allotment>) {
         for (name, wish) in &round.state.desired.adapters {
             let next = AdapterId { name: name.clone(), revision: wish.revision };
-            if round.state.is_in_force(&next) {
+            if round.state.is_active_revision(&next) {
                 continue;
             }
             let own = allotments.iter().filter(|((model, _), _)| *model == wish.model);
--- a/crates/adapters/src/prelude.rs
+++ b/crates/adapters/src/prelude.rs
@@ -8,7 +8,7 @@
 pub use crate::planner::*;
 pub use crate::pool::*;
 pub(crate) use desired::prelude::{
-    AdapterCopy, AdapterWish, CopyStage, FleetState, Listed, ListedEngine, Plan, Role, Step, WarmingWish,
+    AdapterCopy, AdapterSpec, CopyStage, FleetState, Listed, ListedEngine, Plan, Role, Step, WarmingSettings,
 };
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::{BTreeMap, BTreeSet};
--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -31,7 +31,7 @@
     places: usize,
 }
 
-fn submit(state: &mut FleetState, command: Command) -> Settled {
+fn submit(state: &mut FleetState, command: Command) -> CommandOutcome {
     state.apply(&Submission { request: RequestId::random(), command })
 }
 
@@ -48,7 +48,7 @@
             wishes.join(",")
         );
         let taken = submit(&mut state, Command::Merge { base: None, patch: document });
-        assert!(matches!(taken, Settled::Taken(_)), "{taken:?}");
+        assert!(matches!(taken, CommandOutcome::Applied(_)), "{taken:?}");
         submit(&mut state, Command::Appoint { kind: DutyKind::Conductor, from_term: Term(0), holder: NodeId(1) });
         let names: Vec<EngineName> = (0..engines).map(|number| EngineName(format!("e{number}"))).collect();
         let listed = |number: usize| ListedEngine {
@@ -59,9 +59,12 @@
         let listing = names.iter().enumerate().map(|(number, name)| (name.clone(), listed(number))).collect();
         submit(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines: listing }));
         for name in &names {
-            let standing =
-                Standing { confirmed: Some((WeightsEdition(1), "x".into())), closed: false, ..Standing::default() };
-            state.standings.insert(name.clone(), standing);
+            let standing = EngineStatus {
+                confirmed: Some((WeightsEdition(1), "x".into())),
+                closed: false,
+                ..EngineStatus::default()
+            };
+            state.engine_statuses.insert(name.clone(), standing);
         }
         let empty = || SimEngine { up: true, boot: 1, resident: BTreeSet::new(), loading: BTreeMap::new() };
         Fleet {
@@ -89,7 +92,7 @@
     }
 
     fn request(&mut self, zone: &'static str, adapter: &str) {
-        let span = self.state.desired.warming.demand_span;
+        let span = self.state.desired.warming.demand_window;
         let now = self.now;
         self.meters.get_mut(zone).unwrap().note(&adapter.into(), span, now);
     }
@@ -98,7 +101,7 @@
     fn step(&mut self) {
         self.now = self.now + STEP;
         self.steps += 1;
-        let span = self.state.desired.warming.demand_span;
+        let span = self.state.desired.warming.demand_window;
         for (number, zone) in ZONES.into_iter().enumerate() {
             let rates = self.meters.get_mut(zone).unwrap().tell(span, self.now);
             let report = DemandReport { router: NodeId(number as u64 + 1), zone: zone.into(), rates };
@@ -117,10 +120,13 @@
             WarmingAct::Place { engine, adapter, stage } => {
                 self.moves += usize::from(!matches!(stage, None | Some(CopyStage::Warm { .. })));
                 let settled = submit(&mut self.state, Command::PlaceCopy { term: Term(1), engine, adapter, stage });
-                assert!(matches!(settled, Settled::Taken(_)), "the planner keeps to the bounds: {settled:?}");
+                assert!(
+                    matches!(settled, CommandOutcome::Applied(_)),
+                    "the planner keeps to the bounds: {settled:?}"
+                );
             }
             WarmingAct::UseRevision { adapter } => {
-                submit(&mut self.state, Command::UseRevision { term: Term(1), adapter });
+                submit(&mut self.state, Command::ActivateRevision { term: Term(1), adapter });
             }
             WarmingAct::Load { engine, adapter, .. } => {
                 let loads_to = self.steps + LOAD_STEPS;
@@ -174,7 +180,7 @@
 
     /// The engines that hold the revision in force warm and are up.
     fn warm(&self, adapter: &str) -> Vec<EngineName> {
-        let revision = self.state.adapters.in_force[&AdapterName::from(adapter)];
+        let revision = self.state.adapters.active_revisions[&AdapterName::from(adapter)];
         let id = AdapterId { name: adapter.into(), revision };
         let holders = self.state.adapters.warm_engines(&id);
         holders.filter(|name| self.engines[*name].up && self.engines[*name].resident.contains(&id)).cloned().collect()
@@ -271,7 +277,7 @@
             fleet.run_with(1, &demand);
             assert!(!fleet.warm("x0").is_empty(), "no moment without a warm copy");
         }
-        assert_eq!(fleet.state.adapters.in_force[&AdapterName::from("x0")], AdapterRevision(2));
+        assert_eq!(fleet.state.adapters.active_revisions[&AdapterName::from("x0")], AdapterRevision(2));
         assert_eq!(fleet.warm("x0").len(), 4, "all copies follow");
         let old = AdapterId::new("x0", 1);
         assert!(fleet.engines.values().all(|engine| !engine.resident.contains(&old)));
@@ -383,14 +389,14 @@
     for _ in 0..300 {
         let seen = fleet.seen();
         for name in &names {
-            let standing = fleet.state.standings[name].clone();
+            let standing = fleet.state.engine_statuses[name].clone();
             let is_done = standing.confirmed == Some((WeightsEdition(2), "x".into()));
             if is_done || standing.closed {
                 continue;
             }
-            let closed = fleet.state.standings.values().filter(|standing| standing.closed).count();
+            let closed = fleet.state.engine_statuses.values().filter(|standing| standing.closed).count();
             if closed < 4 && fleet.planner.closings.may_close(&fleet.state, &seen, name, fleet.now) {
-                fleet.state.standings.insert(name.clone(), Standing { closed: true, ..standing });
+                fleet.state.engine_statuses.insert(name.clone(), EngineStatus { closed: true, ..standing });
                 loads_until.insert(name.clone(), fleet.steps + 3);
             }
         }
@@ -399,19 +405,22 @@
                 loads_until.remove(&name);
                 fleet.engines.get_mut(&name).unwrap().resident.clear();
                 let confirmed = Some((WeightsEdition(2), "x".into()));
-                fleet.state.standings.insert(name, Standing { confirmed, closed: false, ..Standing::default() });
+                fleet
+                    .state
+                    .engine_statuses
+                    .insert(name, EngineStatus { confirmed, closed: false, ..EngineStatus::default() });
             }
         }
         fleet.run_with(1, &demand);
         for adapter in ["x0", "x1", "x2"] {
-            let serving = fleet.warm(adapter).into_iter().filter(|name| !fleet.state.standings[name].closed);
+            let serving = fleet.warm(adapter).into_iter().filter(|name| !fleet.state.engine_statuses[name].closed);
             assert!(serving.count() > 0, "{adapter} is served nowhere");
         }
     }
-    assert!(fleet.state.standings.values().all(|standing| !standing.closed));
+    assert!(fleet.state.engine_statuses.values().all(|standing| !standing.closed));
     let confirmed = Some((WeightsEdition(2), "x".to_owned()));
     assert!(
-        fleet.state.standings.values().all(|standing| standing.confirmed == confirmed),
+        fleet.state.engine_statuses.values().all(|standing| standing.confirmed == confirmed),
         "the round comes to its end"
     );
 }
@@ -432,7 +441,7 @@
 /// Confirms weights for an engine, as the conductor would.
 fn confirm(fleet: &mut Fleet, engine: &EngineName, weights: u64) {
     let confirmed = Some((WeightsEdition(weights), "x".to_owned()));
-    fleet.state.standings.insert(engine.clone(), Standing { confirmed, ..Standing::default() });
+    fleet.state.engine_statuses.insert(engine.clone(), EngineStatus { confirmed, ..EngineStatus::default() });
 }
 
 #[test]
@@ -499,11 +508,12 @@
 
 /// States a drain of an engine, and confirms the plan.
 fn plan_drain(fleet: &mut Fleet, engine: &EngineName) -> Edition {
-    let Settled::Taken(plan) = submit(&mut fleet.state, Command::Intend(Intent::Drain { engine: engine.clone() }))
+    let CommandOutcome::Applied(plan) =
+        submit(&mut fleet.state, Command::Intend(Intent::Drain { engine: engine.clone() }))
     else {
         panic!("the drain is not planned")
     };
-    assert!(matches!(submit(&mut fleet.state, Command::Confirm { plan }), Settled::Taken(_)));
+    assert!(matches!(submit(&mut fleet.state, Command::Confirm { plan }), CommandOutcome::Applied(_)));
     plan
 }
 
--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -125,7 +125,7 @@
 mod tests {
     use crate::prelude::*;
     use desired::prelude::{
-        AdapterCopy, Command, CopyStage, FleetState, Listed, ListedEngine, Listing, Standing, Submission,
+        AdapterCopy, Command, CopyStage, EngineStatus, FleetState, Listed, ListedEngine, Listing, Submission,
     };
 
     const NOW: Instant = Instant(1_000_000_000_000);
@@ -141,9 +141,12 @@
         let engines = [("e".into(), listed)].into();
         let listing = Listing { boot: "b".into(), number: ListingNumber(1), engines };
         state.apply(&Submission { request: RequestId(2), command: Command::List(listing) });
-        let standing =
-            Standing { confirmed: Some((WeightsEdition(1), "b".into())), closed: false, ..Standing::default() };
-        state.standings.insert("e".into(), standing);
+        let standing = EngineStatus {
+            confirmed: Some((WeightsEdition(1), "b".into())),
+            closed: false,
+            ..EngineStatus::default()
+        };
+        state.engine_statuses.insert("e".into(), standing);
         let copy = AdapterCopy { adapter: AdapterId::new("x", 1), stage: CopyStage::Warm { boot: "b".into() } };
         state.adapters.copies.insert("e".into(), vec![copy]);
         state
--- a/crates/attempts/src/messages.rs
+++ b/crates/attempts/src/messages.rs
@@ -32,11 +32,11 @@
 
 impl Claimed {
     /// What the core's settlement means; none came in time if there is none.
-    pub fn of(settled: Option<Settled>) -> Claimed {
+    pub fn of(settled: Option<CommandOutcome>) -> Claimed {
         let complaint = match settled {
-            Some(Settled::Taken(_)) => return Claimed::Taken,
-            Some(Settled::Refused(complaints)) => complaints.into_iter().next(),
-            Some(Settled::Stale { .. }) | None => None,
+            Some(CommandOutcome::Applied(_)) => return Claimed::Taken,
+            Some(CommandOutcome::Refused(complaints)) => complaints.into_iter().next(),
+            Some(CommandOutcome::Stale { .. }) | None => None,
         };
         match complaint {
             None => Claimed::Unknown,
--- a/crates/attempts/src/prelude.rs
+++ b/crates/attempts/src/prelude.rs
@@ -6,6 +6,6 @@
 pub use crate::machine::*;
 pub use crate::messages::*;
 pub(crate) use blocks::prelude::Salt;
-pub(crate) use desired::prelude::{CLAIMS_FULL, Settled};
+pub(crate) use desired::prelude::{CLAIMS_FULL, CommandOutcome};
 pub(crate) use placement::prelude::FleetSight;
 pub(crate) use units::prelude::*;
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -33,7 +33,7 @@
     }
 
     /// Takes the next record; one that is not next is a broken invariant of the caller.
-    pub fn append(&mut self, record: Record) -> Settled {
+    pub fn append(&mut self, record: Record) -> CommandOutcome {
         assert_eq!(record.mark.edition, self.last().edition.next(), "a record out of order");
         let outcome = self.state.apply(&record.submission);
         self.kept_bytes += record.submission.command.text_bytes();
--- a/crates/chain/src/prelude.rs
+++ b/crates/chain/src/prelude.rs
@@ -2,7 +2,7 @@
 
 pub use crate::log::*;
 pub use crate::messages::*;
-pub(crate) use desired::prelude::{FleetState, Settled, Submission};
+pub(crate) use desired::prelude::{CommandOutcome, FleetState, Submission};
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::VecDeque;
 pub(crate) use units::prelude::*;
--- a/crates/conductor/src/bringing.rs
+++ b/crates/conductor/src/bringing.rs
@@ -51,7 +51,7 @@
 pub enum Bringing {
     Stand {
         engine: EngineName,
-        standing: Standing,
+        standing: EngineStatus,
     },
     Order {
         engine: EngineName,
@@ -187,7 +187,7 @@
         room: &mut Room,
         now: Instant,
     ) -> Option<Bringing> {
-        let standing = state.standings.get(engine).cloned().unwrap_or_default();
+        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
         let Some(load) = self.next_load(state, engine, listed, &standing) else {
             if !standing.closed {
                 self.ways.remove(engine);
@@ -211,7 +211,7 @@
             if !has_place && !is_hurried {
                 return None;
             }
-            let closed = Standing { closed: true, ..standing };
+            let closed = EngineStatus { closed: true, ..standing };
             return Some(Bringing::Stand { engine: engine.clone(), standing: closed });
         }
         let fresh_way = Way { next: now + CLOSE_PAUSE, ..Way::default() };
@@ -258,7 +258,7 @@
         listed: &ListedEngine,
         now: Instant,
     ) -> Option<Bringing> {
-        let standing = state.standings.get(engine).cloned().unwrap_or_default();
+        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
         let load = self.next_load(state, engine, listed, &standing)?;
         let held = self.held(engine, listed, &standing, &load.model);
         let from = self.hurry_from(&load.model, held)?;
@@ -284,7 +284,7 @@
         state: &FleetState,
         engine: &EngineName,
         listed: &ListedEngine,
-        standing: &Standing,
+        standing: &EngineStatus,
     ) -> Option<Load> {
         listed.models().find_map(|model| {
             let wanted = state.desired.models.get(model)?.weights;
@@ -299,7 +299,7 @@
         &self,
         engine: &EngineName,
         listed: &ListedEngine,
-        standing: &Standing,
+        standing: &EngineStatus,
         model: &ModelName,
     ) -> WeightsEdition {
         let told = self.ways.get(engine).and_then(|way| way.told.get(model)).copied();
@@ -307,10 +307,10 @@
     }
 
     /// The standing of an engine that holds all that is wanted of it.
-    fn opened(&self, engine: &EngineName, listed: &ListedEngine, standing: &Standing) -> Standing {
+    fn opened(&self, engine: &EngineName, listed: &ListedEngine, standing: &EngineStatus) -> EngineStatus {
         let held = |model| self.held(engine, listed, standing, model);
         let further = listed.further_models.keys().map(|model| (model.clone(), held(model)));
-        Standing {
+        EngineStatus {
             confirmed: Some((held(&listed.model), engine.0.clone())),
             closed: false,
             further_confirmed: further.collect(),
@@ -372,7 +372,7 @@
             let bears_nothing = way.is_some_and(|way| way.faults > FAULTS_BORNE);
             *all += 1;
             if !bears_nothing {
-                *closed += usize::from(state.standings.get(engine).is_some_and(|standing| standing.closed));
+                *closed += usize::from(state.engine_statuses.get(engine).is_some_and(|standing| standing.closed));
                 *loading += usize::from(way.is_some_and(|way| way.ordered.is_some()));
             }
         }
--- a/crates/conductor/src/mind.rs
+++ b/crates/conductor/src/mind.rs
@@ -22,7 +22,7 @@
     /// Put the engine's standing into the fleet state.
     Stand {
         engine: EngineName,
-        standing: Standing,
+        standing: EngineStatus,
     },
     Load {
         engine: EngineName,
@@ -63,7 +63,8 @@
         observed: &BTreeMap<EngineName, Observed>,
         now: Instant,
     ) -> Vec<Act> {
-        self.closed_since.retain(|engine, _| state.standings.get(engine).is_some_and(|standing| standing.closed));
+        self.closed_since
+            .retain(|engine, _| state.engine_statuses.get(engine).is_some_and(|standing| standing.closed));
         let mut room = room(state, observed, now);
         let mut acts = Vec::new();
         for (engine, listed) in &state.listing.engines {
@@ -102,7 +103,7 @@
             if may_do(state, step, observed, now) {
                 acts.push(Act::DoStep { plan: number, step: done });
             } else if waited >= WAIT_LIMIT {
-                let reason = format!("step {} waited too long: {}", done + 1, step.words());
+                let reason = format!("step {} waited too long: {}", done + 1, step.description());
                 acts.push(Act::EndPlan { plan: number, halted: Some(reason) });
             }
         }
@@ -120,14 +121,17 @@
         room: &mut Room,
         now: Instant,
     ) -> Option<Act> {
-        let standing = state.standings.get(engine).cloned().unwrap_or_default();
+        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
         let address = listed.address.clone();
         if seen.weights == wanted {
             if !seen.accepting {
                 return Some(Act::Open { engine: engine.clone(), address });
             }
-            let confirmed =
-                Standing { confirmed: Some((wanted, seen.boot.clone())), closed: false, ..Standing::default() };
+            let confirmed = EngineStatus {
+                confirmed: Some((wanted, seen.boot.clone())),
+                closed: false,
+                ..EngineStatus::default()
+            };
             return (standing != confirmed).then(|| Act::Stand { engine: engine.clone(), standing: confirmed });
         }
         let is_in_use = standing.confirmed.is_some() && !standing.closed;
@@ -136,7 +140,7 @@
                 let places_left = room.get_mut(&(listed.model.clone(), listed.role))?;
                 *places_left = places_left.checked_sub(1)?;
             }
-            let closed = Standing { closed: true, ..standing };
+            let closed = EngineStatus { closed: true, ..standing };
             return Some(Act::Stand { engine: engine.clone(), standing: closed });
         }
         let since = *self.closed_since.entry(engine.clone()).or_insert(now);
@@ -155,7 +159,7 @@
     for (engine, listed) in &state.listing.engines {
         let is_seen = observed.get(engine).is_some_and(|seen| now.since(seen.at) < FRESH);
         let is_open = listed.listed == Listed::Open && !state.drained.contains(engine);
-        let standing = state.standings.get(engine).filter(|standing| standing.confirmed.is_some());
+        let standing = state.engine_statuses.get(engine).filter(|standing| standing.confirmed.is_some());
         let Some(standing) = standing.filter(|_| is_seen && is_open) else { continue };
         let (serving, closed) = counts.entry((listed.model.clone(), listed.role)).or_default();
         *serving += 1;
@@ -178,7 +182,7 @@
             .iter()
             .filter(|(_, listed)| listed.model == *model && listed.listed == Listed::Open)
             .all(|(engine, _)| {
-                let standing = state.standings.get(engine);
+                let standing = state.engine_statuses.get(engine);
                 let confirmed = standing.and_then(|standing| standing.confirmed.as_ref());
                 confirmed.is_some_and(|(edition, _)| edition >= weights)
                     && standing.is_some_and(|standing| !standing.closed)
@@ -194,11 +198,11 @@
 #[cfg(test)]
 mod tests {
     use crate::prelude::*;
-    use desired::prelude::{Command, Listing, Settled, Submission};
+    use desired::prelude::{Command, CommandOutcome, Listing, Submission};
 
     fn apply(state: &mut FleetState, command: Command) {
         let outcome = state.apply(&Submission { request: RequestId::random(), command });
-        assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
+        assert!(matches!(outcome, CommandOutcome::Applied(_)), "{outcome:?}");
     }
 
     /// Plays the acts against engines that load at once, and returns how many rounds it took.
@@ -209,7 +213,7 @@
     ) -> usize {
         for round in 1..100 {
             let acts = conductor.direct(state, engines, Instant(0));
-            let closed_count = state.standings.values().filter(|standing| standing.closed).count();
+            let closed_count = state.engine_statuses.values().filter(|standing| standing.closed).count();
             assert!(closed_count <= engines.len() / 2, "no more than half closed at a time");
             if acts.is_empty() {
                 return round;
@@ -217,10 +221,10 @@
             for act in acts {
                 match act {
                     Act::Stand { engine, standing } => {
-                        state.standings.insert(engine, standing);
+                        state.engine_statuses.insert(engine, standing);
                     }
                     Act::Load { engine, weights, .. } => {
-                        let confirmed = state.standings.get(&engine).is_some_and(|standing| !standing.closed);
+                        let confirmed = state.engine_statuses.get(&engine).is_some_and(|standing| !standing.closed);
                         assert!(!confirmed, "only a closed engine is loaded");
                         engines.get_mut(&engine).unwrap().weights = weights;
                     }
@@ -261,7 +265,7 @@
         let mut conductor = Conductor::default();
         apply(&mut state, Command::Merge { base: None, patch: r#"{"models":{"m":{"weights":2}}}"#.into() });
         play(&mut state, &mut observations, &mut conductor);
-        for standing in state.standings.values() {
+        for standing in state.engine_statuses.values() {
             assert_eq!(standing.confirmed, Some((WeightsEdition(2), "x".to_owned())));
             assert!(!standing.closed);
         }
@@ -288,7 +292,7 @@
             engine_names.iter().map(|name| (name.clone(), observed.clone())).collect();
         let mut conductor = Conductor::default();
         play(&mut state, &mut observations, &mut conductor);
-        assert!(state.standings.values().all(|standing| standing.confirmed.is_some()));
+        assert!(state.engine_statuses.values().all(|standing| standing.confirmed.is_some()));
         (state, observations)
     }
 }
--- a/crates/conductor/src/prelude.rs
+++ b/crates/conductor/src/prelude.rs
@@ -2,6 +2,6 @@
 
 pub use crate::bringing::*;
 pub use crate::mind::*;
-pub(crate) use desired::prelude::{FleetState, Listed, ListedEngine, Plan, Role, Standing, Step};
+pub(crate) use desired::prelude::{EngineStatus, FleetState, Listed, ListedEngine, Plan, Role, Step};
 pub(crate) use std::collections::BTreeMap;
 pub(crate) use units::prelude::*;
--- a/crates/conductor/tests/bringing.rs
+++ b/crates/conductor/tests/bringing.rs
@@ -8,7 +8,7 @@
 
 fn apply(state: &mut FleetState, command: Command) {
     let outcome = state.apply(&Submission { request: RequestId::random(), command });
-    assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
+    assert!(matches!(outcome, CommandOutcome::Applied(_)), "{outcome:?}");
 }
 
 fn name(number: usize) -> EngineName {
@@ -30,7 +30,7 @@
 }
 
 fn bump(state: &mut FleetState) {
-    apply(state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(2) });
+    apply(state, Command::RaiseWeights { model: "m".into(), weights: WeightsEdition(2) });
 }
 
 fn at(millis: u64) -> Instant {
@@ -54,11 +54,11 @@
         for step in bringer.direct(&state, true, at(now)) {
             match step {
                 Bringing::Stand { engine, standing } => {
-                    apply(&mut state, Command::Stand { term: Term(1), engine, standing });
+                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
                 }
                 Bringing::Order { engine, weights, .. } => {
                     assert_eq!(weights, WeightsEdition(2));
-                    assert!(state.standings[&engine].closed, "only a closed engine is ordered");
+                    assert!(state.engine_statuses[&engine].closed, "only a closed engine is ordered");
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     if dead.contains(&number) {
                         bringer.hear_order(&engine, OrderAnswer::Nothing, at(now));
@@ -82,11 +82,11 @@
         }
         let loading = ready_at.iter().flatten().filter(|ready| **ready > now).count();
         assert!(loading <= ENGINES / 6, "{loading} load at once");
-        let serving = state.standings.values().filter(|standing| standing.closed).count();
+        let serving = state.engine_statuses.values().filter(|standing| standing.closed).count();
         assert!(serving <= ENGINES / 6 + 1 + dead.len(), "{serving} are closed at once");
         let done = (0..ENGINES).filter(|number| !dead.contains(number)).all(|number| {
             state
-                .standings
+                .engine_statuses
                 .get(&name(number))
                 .is_some_and(|standing| !standing.closed && standing.confirmed.is_some())
         });
@@ -108,21 +108,21 @@
 fn an_engine_that_answers_nothing_holds_up_no_other() {
     let (state, took, _) = play(&[0, 1, 2, 3]);
     assert!(took < 25_000, "took {took} ms");
-    assert!(state.standings[&name(0)].closed, "and gets no requests meanwhile");
+    assert!(state.engine_statuses[&name(0)].closed, "and gets no requests meanwhile");
 }
 
 #[test]
 fn weights_that_the_list_tells_open_an_engine_without_a_look() {
     let mut state = fleet();
     bump(&mut state);
-    let standing = Standing { confirmed: None, closed: true, ..Standing::default() };
-    apply(&mut state, Command::Stand { term: Term(1), engine: name(0), standing });
+    let standing = EngineStatus { confirmed: None, closed: true, ..EngineStatus::default() };
+    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine: name(0), status: standing });
     let mut engines = state.listing.engines.clone();
     engines.insert(name(0), listed(2));
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
     let steps = Bringer::default().direct(&state, true, at(0));
     let opened =
-        Standing { confirmed: Some((WeightsEdition(2), "e00".into())), closed: false, ..Standing::default() };
+        EngineStatus { confirmed: Some((WeightsEdition(2), "e00".into())), closed: false, ..EngineStatus::default() };
     assert!(steps.contains(&Bringing::Stand { engine: name(0), standing: opened }), "{steps:?}");
 }
 
@@ -145,8 +145,8 @@
     let mut state = fleet();
     bump(&mut state);
     for number in [0, 1] {
-        let standing = Standing { confirmed: None, closed: true, ..Standing::default() };
-        apply(&mut state, Command::Stand { term: Term(1), engine: name(number), standing });
+        let standing = EngineStatus { confirmed: None, closed: true, ..EngineStatus::default() };
+        apply(&mut state, Command::SetEngineStatus { term: Term(1), engine: name(number), status: standing });
     }
     let mut engines = state.listing.engines.clone();
     engines.insert(name(0), listed(2));
@@ -174,9 +174,9 @@
     for step in bringer.direct(&state, true, at(14_500)) {
         let Bringing::Stand { engine, standing } = step else { panic!("{step:?}") };
         assert!(standing.closed);
-        apply(&mut state, Command::Stand { term: Term(1), engine, standing });
+        apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
     }
-    assert!((0..ENGINES).all(|number| state.standings[&name(number)].closed));
+    assert!((0..ENGINES).all(|number| state.engine_statuses[&name(number)].closed));
     assert!(bringer.direct(&state, true, at(14_500)).is_empty(), "routers hear of it first");
 
     let steps = bringer.direct(&state, true, at(14_700));
@@ -214,12 +214,12 @@
     let mut loading: Vec<Option<(WeightsEdition, u64)>> = vec![None; ENGINES];
     for now in (0..60_000).step_by(10) {
         if now == 3000 {
-            apply(&mut state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(3) });
+            apply(&mut state, Command::RaiseWeights { model: "m".into(), weights: WeightsEdition(3) });
         }
         for step in bringer.direct(&state, true, at(now)) {
             match step {
                 Bringing::Stand { engine, standing } => {
-                    apply(&mut state, Command::Stand { term: Term(1), engine, standing });
+                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
                 }
                 Bringing::Order { engine, weights, .. } => {
                     let number: usize = engine.as_str()[1..].parse().unwrap();
@@ -237,9 +237,9 @@
                 }
             }
         }
-        let confirmed = |standing: &Standing| standing.confirmed.as_ref().map(|(weights, _)| weights.0);
-        let is_done = |standing: &Standing| !standing.closed && confirmed(standing) == Some(3);
-        if state.standings.len() == ENGINES && state.standings.values().all(is_done) {
+        let confirmed = |standing: &EngineStatus| standing.confirmed.as_ref().map(|(weights, _)| weights.0);
+        let is_done = |standing: &EngineStatus| !standing.closed && confirmed(standing) == Some(3);
+        if state.engine_statuses.len() == ENGINES && state.engine_statuses.values().all(is_done) {
             assert!(now < 18_000, "took {now} ms");
             return;
         }
@@ -255,7 +255,7 @@
     bringer.direct(&state, true, at(0));
     bump(&mut state);
     bringer.direct(&state, true, at(1000));
-    apply(&mut state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(3) });
+    apply(&mut state, Command::RaiseWeights { model: "m".into(), weights: WeightsEdition(3) });
     bringer.direct(&state, true, at(10_000));
     assert_eq!(bringer.direct(&state, true, at(14_500)).len(), ENGINES);
 }
@@ -295,7 +295,7 @@
     let closings = bringer.direct(&state, true, at(5000));
     assert!(!closings.is_empty());
     for step in closings {
-        assert!(matches!(step, Bringing::Stand { standing: Standing { closed: true, .. }, .. }), "{step:?}");
+        assert!(matches!(step, Bringing::Stand { standing: EngineStatus { closed: true, .. }, .. }), "{step:?}");
     }
 }
 
--- a/crates/conductor/tests/several_models.rs
+++ b/crates/conductor/tests/several_models.rs
@@ -8,7 +8,7 @@
 
 fn apply(state: &mut FleetState, command: Command) {
     let outcome = state.apply(&Submission { request: RequestId::random(), command });
-    assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
+    assert!(matches!(outcome, CommandOutcome::Applied(_)), "{outcome:?}");
 }
 
 fn name(number: usize) -> EngineName {
@@ -33,7 +33,7 @@
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines }));
     apply(&mut state, Command::Appoint { kind: DutyKind::Conductor, from_term: Term(0), holder: NodeId(1) });
     for model in named {
-        apply(&mut state, Command::NameWeights { model: (*model).into(), weights: WeightsEdition(2) });
+        apply(&mut state, Command::RaiseWeights { model: (*model).into(), weights: WeightsEdition(2) });
     }
     state
 }
@@ -54,10 +54,10 @@
         for step in bringer.direct(state, true, at(now)) {
             match step {
                 Bringing::Stand { engine, standing } => {
-                    apply(state, Command::Stand { term: Term(1), engine, standing });
+                    apply(state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
                 }
                 Bringing::Order { engine, model, weights, .. } => {
-                    assert!(state.standings[&engine].closed, "only a closed engine is ordered");
+                    assert!(state.engine_statuses[&engine].closed, "only a closed engine is ordered");
                     let number: usize = engine.as_str()[1..].parse().unwrap();
                     let is_free = ordered[number].iter().all(|loading| loading.ready_at <= now);
                     assert!(is_free, "one order at a time");
@@ -76,7 +76,7 @@
         }
         let under_way = ordered.iter().flatten().filter(|loading| loading.ready_at > now).count();
         assert!(under_way <= ENGINES / 6, "{under_way} load at once");
-        let closed = state.standings.values().filter(|standing| standing.closed).count();
+        let closed = state.engine_statuses.values().filter(|standing| standing.closed).count();
         if closed == 0 && bringer.direct(state, true, at(now)).is_empty() {
             return (ordered, now);
         }
@@ -92,7 +92,7 @@
     for (number, orders) in ordered.iter().enumerate() {
         let [only] = &orders[..] else { panic!("{orders:?}") };
         assert_eq!((only.model.as_str(), only.weights), ("m1", WeightsEdition(2)));
-        let (standing, listed) = (&state.standings[&name(number)], &state.listing.engines[&name(number)]);
+        let (standing, listed) = (&state.engine_statuses[&name(number)], &state.listing.engines[&name(number)]);
         assert_eq!(standing.held_weights(listed, &"m1".into()), Some(WeightsEdition(2)));
         assert_eq!(standing.held_weights(listed, &"m0".into()), Some(WeightsEdition(1)));
     }
--- a/crates/conductor/tests/without_models.rs
+++ b/crates/conductor/tests/without_models.rs
@@ -10,7 +10,7 @@
 
 fn apply(state: &mut FleetState, command: Command) {
     let outcome = state.apply(&Submission { request: RequestId::random(), command });
-    assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
+    assert!(matches!(outcome, CommandOutcome::Applied(_)), "{outcome:?}");
 }
 
 fn fleet() -> FleetState {
@@ -29,7 +29,7 @@
     let engines = named("pool", &pool).into_iter().chain(named("app", &app)).collect();
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines }));
     apply(&mut state, Command::Appoint { kind: DutyKind::Conductor, from_term: Term(0), holder: NodeId(1) });
-    apply(&mut state, Command::NameWeights { model: "m".into(), weights: WeightsEdition(2) });
+    apply(&mut state, Command::RaiseWeights { model: "m".into(), weights: WeightsEdition(2) });
     state
 }
 
@@ -43,7 +43,7 @@
             match step {
                 Bringing::Stand { engine, standing } => {
                     assert!(engine.as_str().starts_with("pool"), "{engine} {standing:?}");
-                    apply(&mut state, Command::Stand { term: Term(1), engine, standing });
+                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
                 }
                 Bringing::Order { engine, .. } | Bringing::OrderIfWaiting { engine, .. } => {
                     assert!(engine.as_str().starts_with("pool"), "{engine} is ordered");
@@ -56,8 +56,8 @@
             }
         }
     }
-    let is_closed = |engine: &EngineName| state.standings.get(engine).is_some_and(|standing| standing.closed);
-    let confirmed = state.standings.values().filter(|standing| standing.confirmed.is_some()).count();
+    let is_closed = |engine: &EngineName| state.engine_statuses.get(engine).is_some_and(|standing| standing.closed);
+    let confirmed = state.engine_statuses.values().filter(|standing| standing.confirmed.is_some()).count();
     assert_eq!(confirmed, ENGINES_OF_EACH, "all of the pool were brought");
     assert!(!state.listing.engines.keys().any(is_closed));
 }
--- a/crates/coordinator/src/asks.rs
+++ b/crates/coordinator/src/asks.rs
@@ -24,7 +24,10 @@
         let tail_question = match &waiting.question {
             Question::Submit(submission) => {
                 self.send(head, CoreMessage::Submit(submission.clone()));
-                Question::Settled { request: submission.request, fingerprint: submission.command.order_fingerprint() }
+                Question::CommandOutcome {
+                    request: submission.request,
+                    fingerprint: submission.command.order_fingerprint(),
+                }
             }
             other => other.clone(),
         };
@@ -64,7 +67,7 @@
         let read_until = self.read_until();
         let outcome = match question {
             Question::Submit(_) => return,
-            Question::Settled { request, fingerprint } => {
+            Question::CommandOutcome { request, fingerprint } => {
                 if let Some(tail) = self.tail.as_mut() {
                     let from = Requester::Keeper(from);
                     tail.await_settlement(PendingRequest { from, ticket, request, fingerprint, since: now });
--- a/crates/coordinator/src/chaining.rs
+++ b/crates/coordinator/src/chaining.rs
@@ -13,7 +13,7 @@
             && !self.sealed()
             && self.view.takes_writes()
             && self.log.last().edition.0 < self.committed.0 + UNCOMMITTED_LIMIT;
-        if !may_take || self.log.state().settled_before(submission.request).is_some() {
+        if !may_take || self.log.state().previous_outcome(submission.request).is_some() {
             return;
         }
         let previous = self.log.last();
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -87,7 +87,7 @@
     /// Take this command, and answer once it is in force.
     Submit(Submission),
     /// How was this request settled? Under a fingerprint: if it was this that was submitted.
-    Settled {
+    CommandOutcome {
         request: RequestId,
         fingerprint: Option<BlockHash>,
     },
@@ -101,7 +101,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AskOutcome {
-    Settled(Settled),
+    CommandOutcome(CommandOutcome),
     State(Box<FleetState>),
     Nodes(Vec<NodeReport>),
     Demand(Vec<HeardDemand>),
@@ -176,9 +176,9 @@
         state: Box<FleetState>,
         gave_way: Vec<(ModelName, WeightsEdition, Span)>,
     },
-    Settled {
+    CommandOutcome {
         ticket: u64,
-        outcome: Settled,
+        outcome: CommandOutcome,
     },
     /// The routers that hold leases now.
     #[serde(rename = "Doors")]
--- a/crates/coordinator/src/prelude.rs
+++ b/crates/coordinator/src/prelude.rs
@@ -13,7 +13,8 @@
 pub use adapters::prelude::{DemandReport, HeardDemand};
 pub use chain::prelude::{Ages, ChainMessage, Log, Record};
 pub use desired::prelude::{
-    CLAIM_SPAN, Command, Complaint, Duty, DutyKind, FleetState, Listing, Revision, Settled, Standing, Submission,
+    CLAIM_RETENTION, Command, CommandOutcome, Duty, DutyKind, EngineStatus, FleetState, Listing, Revision,
+    Submission, ValidationError,
 };
 pub use lease::prelude::{HeldLease, LEASE_MARGIN, NODE_LEASE, NodeLeases, READ_LEASE, ReadLease, Timing};
 pub(crate) use serde::{Deserialize, Serialize};
--- a/crates/coordinator/src/tail/claims.rs
+++ b/crates/coordinator/src/tail/claims.rs
@@ -19,17 +19,20 @@
 
     /// Has the book of claims turned once this tail has seen its page for the whole span.
     pub(crate) fn turn_claims(&mut self, now: Instant) {
-        let turn = self.log.state().claim_book.turn;
+        let turn = self.log.state().claim_table.rotation;
         let (Some(head), Some(tail)) = (self.view.head(), self.tail.as_mut()) else { return };
         if tail.claim_turn.0 != turn {
             tail.claim_turn = (turn, now);
         }
-        if now.since(tail.claim_turn.1) < CLAIM_SPAN {
+        if now.since(tail.claim_turn.1) < CLAIM_RETENTION {
             return;
         }
         tail.claim_turn.1 = now;
         let request = request_of(b"turn", &[turn]);
-        self.send(head, CoreMessage::Submit(Submission { request, command: Command::TurnClaims { turn } }));
+        self.send(
+            head,
+            CoreMessage::Submit(Submission { request, command: Command::RotateClaims { rotation: turn } }),
+        );
         self.take_own_outcomes();
     }
 }
--- a/crates/coordinator/src/tail/pushes.rs
+++ b/crates/coordinator/src/tail/pushes.rs
@@ -26,7 +26,7 @@
             NodeDown::Routers(_) => self.routers = NO_ROUTER_LIST,
             NodeDown::Membership(_) => self.view = NO_VIEW,
             // The rest is asked for again, or said again anyway.
-            NodeDown::Granted { .. } | NodeDown::NotNow | NodeDown::Behind | NodeDown::Settled { .. } => {}
+            NodeDown::Granted { .. } | NodeDown::NotNow | NodeDown::Behind | NodeDown::CommandOutcome { .. } => {}
         }
     }
 }
--- a/crates/coordinator/src/tail/settlements.rs
+++ b/crates/coordinator/src/tail/settlements.rs
@@ -39,9 +39,9 @@
     }
 
     /// Whether an outcome may be told: a change that was taken, to a keeper, only once it is in force.
-    fn may_tell(&self, from: Requester, outcome: &Settled, now: Instant) -> bool {
+    fn may_tell(&self, from: Requester, outcome: &CommandOutcome, now: Instant) -> bool {
         match (from, outcome) {
-            (Requester::Keeper(_), Settled::Taken(edition)) => {
+            (Requester::Keeper(_), CommandOutcome::Applied(edition)) => {
                 self.leases.settled(now) && *edition <= self.leases.in_force()
             }
             _ => true,
@@ -56,8 +56,8 @@
         let mut answered = Vec::new();
         for pending in std::mem::take(&mut tail.pending) {
             let state = self.log.state();
-            let in_use = state.id_in_use(pending.request, pending.fingerprint);
-            let outcome = in_use.or_else(|| state.settled_before(pending.request));
+            let in_use = state.request_id_conflict(pending.request, pending.fingerprint);
+            let outcome = in_use.or_else(|| state.previous_outcome(pending.request));
             match outcome.filter(|outcome| tail.may_tell(pending.from, outcome, now)) {
                 Some(outcome) => answered.push((pending, outcome)),
                 None if now.since(pending.since) < PENDING_SPAN => tail.pending.push(pending),
@@ -70,14 +70,14 @@
         self.take_own_outcomes();
     }
 
-    fn answer_pending(&mut self, pending: &PendingRequest, outcome: Settled, read_until: Instant) {
+    fn answer_pending(&mut self, pending: &PendingRequest, outcome: CommandOutcome, read_until: Instant) {
         let ticket = pending.ticket;
         match pending.from {
             Requester::Keeper(keeper) => {
-                let outcome = AskOutcome::Settled(outcome);
+                let outcome = AskOutcome::CommandOutcome(outcome);
                 self.send_to_life(keeper, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
             }
-            Requester::Node(node) => self.tell(node, NodeDown::Settled { ticket, outcome }, Some(read_until)),
+            Requester::Node(node) => self.tell(node, NodeDown::CommandOutcome { ticket, outcome }, Some(read_until)),
         }
     }
 
--- a/crates/coordinator/tests/exhaustive.rs
+++ b/crates/coordinator/tests/exhaustive.rs
@@ -311,10 +311,10 @@
     state: &FleetState,
 ) -> Result<BTreeMap<Edition, RequestId>, String> {
     let taken: BTreeMap<Edition, RequestId> = state
-        .orders
+        .operator_submissions
         .iter()
         .filter_map(|(request, settled)| match settled {
-            Settled::Taken(edition) => Some((*edition, request)),
+            CommandOutcome::Applied(edition) => Some((*edition, request)),
             _ => None,
         })
         .collect();
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -109,7 +109,7 @@
             core.submit(1);
             core.run(Span::seconds(5));
             assert!(
-                matches!(core.outcomes.as_slice(), [AskOutcome::Settled(Settled::Taken(_))]),
+                matches!(core.outcomes.as_slice(), [AskOutcome::CommandOutcome(CommandOutcome::Applied(_))]),
                 "{leaver} of {size}: {:?}",
                 core.outcomes
             );
@@ -128,7 +128,11 @@
         core.run(Span::seconds(4));
         core.submit(1);
         core.run(Span::seconds(5));
-        assert!(matches!(core.outcomes.as_slice(), [AskOutcome::Settled(Settled::Taken(_))]), "{:?}", core.outcomes);
+        assert!(
+            matches!(core.outcomes.as_slice(), [AskOutcome::CommandOutcome(CommandOutcome::Applied(_))]),
+            "{:?}",
+            core.outcomes
+        );
     }
 }
 
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -91,7 +91,7 @@
     let now = expired + Span::millis(20);
     assert!(!tail.tail_is_active(now), "it acts on a change that one disk holds");
     assert!(!asks(&mut tail, Question::Configuration, now));
-    assert!(!asks(&mut tail, Question::Settled { request: RequestId(7), fingerprint: None }, now));
+    assert!(!asks(&mut tail, Question::CommandOutcome { request: RequestId(7), fingerprint: None }, now));
 }
 
 #[test]
--- a/crates/desired/src/held_adapters.rs
+++ b/crates/desired/src/adapter_placements.rs
@@ -30,15 +30,17 @@
 
 /// All copies, by engine, and the revisions that requests run on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldAdapters {
+pub struct AdapterPlacements {
     pub copies: BTreeMap<EngineName, Vec<AdapterCopy>>,
     /// The revision that requests run on, of each adapter in the document.
-    pub in_force: BTreeMap<AdapterName, AdapterRevision>,
+    #[serde(rename = "in_force")]
+    pub active_revisions: BTreeMap<AdapterName, AdapterRevision>,
     /// The last revision of each name that is not in the document any more.
-    pub given_up: BTreeMap<AdapterName, AdapterRevision>,
+    #[serde(rename = "given_up")]
+    pub retired_revisions: BTreeMap<AdapterName, AdapterRevision>,
 }
 
-impl HeldAdapters {
+impl AdapterPlacements {
     pub fn copies_at(&self, engine: &EngineName) -> &[AdapterCopy] {
         self.copies.get(engine).map(Vec::as_slice).unwrap_or_default()
     }
@@ -66,7 +68,7 @@
         self.copies.remove(engine);
     }
 
-    fn put(&mut self, engine: &EngineName, adapter: &AdapterId, stage: Option<CopyStage>) {
+    fn set_stage(&mut self, engine: &EngineName, adapter: &AdapterId, stage: Option<CopyStage>) {
         let copies = self.copies.entry(engine.clone()).or_default();
         copies.retain(|copy| copy.adapter != *adapter);
         copies.extend(stage.map(|stage| AdapterCopy { adapter: adapter.clone(), stage }));
@@ -78,18 +80,18 @@
 
     /// Follows a new document: an adapter that is new, or is of another model now, is in force at once, and
     /// a name that is gone is remembered.
-    pub(crate) fn follow(&mut self, before: &DesiredState, next: &DesiredState) {
-        for (name, wish) in &next.adapters {
-            let same_model = before.adapters.get(name).is_some_and(|before| before.model == wish.model);
+    pub(crate) fn apply_document(&mut self, before: &DesiredState, next: &DesiredState) {
+        for (name, spec) in &next.adapters {
+            let same_model = before.adapters.get(name).is_some_and(|before| before.model == spec.model);
             if !same_model {
-                self.in_force.insert(name.clone(), wish.revision);
+                self.active_revisions.insert(name.clone(), spec.revision);
             }
-            self.given_up.remove(name);
+            self.retired_revisions.remove(name);
         }
         let gone = before.adapters.iter().filter(|(name, _)| !next.adapters.contains_key(*name));
-        for (name, wish) in gone {
-            self.in_force.remove(name);
-            self.given_up.insert(name.clone(), wish.revision);
+        for (name, spec) in gone {
+            self.active_revisions.remove(name);
+            self.retired_revisions.insert(name.clone(), spec.revision);
         }
     }
 }
@@ -98,27 +100,27 @@
     copies.iter().any(|copy| copy.adapter == *adapter && copy.is_warm())
 }
 
-fn refused(reason: impl Into<String>) -> Settled {
-    Settled::refused("adapter", reason)
+fn refused(reason: impl Into<String>) -> CommandOutcome {
+    CommandOutcome::refused("adapter", reason)
 }
 
 impl FleetState {
     /// What a tenant's requests for a model run on; nothing if they run on the model alone.
     pub fn adapter_for(&self, tenant: &TenantName, model: &ModelName) -> Option<AdapterId> {
         let name = self.desired.adapter_of(tenant, model)?;
-        let revision = self.adapters.in_force.get(name).copied().unwrap_or_default();
+        let revision = self.adapters.active_revisions.get(name).copied().unwrap_or_default();
         Some(AdapterId { name: name.clone(), revision })
     }
 
     /// Whether an adapter is one that engines of a model may be brought to: its revision is in force, or
     /// is the one that the document names.
-    pub fn is_wanted(&self, adapter: &AdapterId, model: &ModelName) -> bool {
-        let wish = self.desired.adapters.get(&adapter.name).filter(|wish| wish.model == *model);
-        wish.is_some_and(|wish| wish.revision == adapter.revision || self.is_in_force(adapter))
+    pub fn is_desired_revision(&self, adapter: &AdapterId, model: &ModelName) -> bool {
+        let spec = self.desired.adapters.get(&adapter.name).filter(|spec| spec.model == *model);
+        spec.is_some_and(|spec| spec.revision == adapter.revision || self.is_active_revision(adapter))
     }
 
-    pub fn is_in_force(&self, adapter: &AdapterId) -> bool {
-        self.adapters.in_force.get(&adapter.name) == Some(&adapter.revision)
+    pub fn is_active_revision(&self, adapter: &AdapterId) -> bool {
+        self.adapters.active_revisions.get(&adapter.name) == Some(&adapter.revision)
     }
 
     /// The conductor's word on a copy; no stage takes it away. The bounds on loads and places hold whatever
@@ -129,15 +131,17 @@
         engine: &EngineName,
         adapter: &AdapterId,
         stage: &Option<CopyStage>,
-    ) -> Settled {
+    ) -> CommandOutcome {
         let Some(listed) = self.listing.engines.get(engine) else { return refused("no such engine is listed") };
         match stage {
-            Some(CopyStage::Loading | CopyStage::Warm { .. }) if !self.is_wanted(adapter, &listed.model) => {
+            Some(CopyStage::Loading | CopyStage::Warm { .. })
+                if !self.is_desired_revision(adapter, &listed.model) =>
+            {
                 return refused(format!("{adapter} is not wanted on engines of {}", listed.model));
             }
             Some(CopyStage::Loading) => {
-                if let Some(bar) = self.loading_bar(engine, adapter, &listed.model) {
-                    return refused(bar);
+                if let Some(reason) = self.loading_refusal(engine, adapter, &listed.model) {
+                    return refused(reason);
                 }
             }
             Some(CopyStage::Leaving) if self.is_last_copy(engine, adapter) => {
@@ -145,12 +149,12 @@
             }
             _ => {}
         }
-        self.adapters.put(engine, adapter, stage.clone());
-        Settled::Taken(number)
+        self.adapters.set_stage(engine, adapter, stage.clone());
+        CommandOutcome::Applied(number)
     }
 
     /// Why a copy may not be loaded at an engine now.
-    fn loading_bar(&self, engine: &EngineName, adapter: &AdapterId, model: &ModelName) -> Option<String> {
+    fn loading_refusal(&self, engine: &EngineName, adapter: &AdapterId, model: &ModelName) -> Option<String> {
         let known = self.adapters.copy(engine, adapter);
         if known.is_some_and(|copy| copy.stage == CopyStage::Loading) {
             return None;
@@ -159,32 +163,33 @@
         if self.adapters.loading_count() >= at_once {
             return Some(format!("{at_once} loads are under way"));
         }
-        let places = self.desired.models.get(model).map_or(0, |wish| wish.adapter_places) as usize;
+        let places = self.desired.models.get(model).map_or(0, |spec| spec.adapter_places) as usize;
         let is_full = known.is_none() && self.adapters.copies_at(engine).len() >= places;
         is_full.then(|| format!("its {places} places are taken"))
     }
 
     /// Whether requests would find this adapter nowhere else.
     fn is_last_copy(&self, engine: &EngineName, adapter: &AdapterId) -> bool {
-        let is_elsewhere = self.adapters.warm_engines(adapter).any(|warm| {
+        let is_warm_elsewhere = self.adapters.warm_engines(adapter).any(|warm| {
             let listed = self.listing.engines.get(warm);
             warm != engine && listed.is_some_and(|listed| listed.listed == Listed::Open)
         });
-        let in_use = self.is_in_force(adapter) && self.desired.adapters.contains_key(&adapter.name);
-        in_use && self.adapters.is_warm(engine, adapter) && !is_elsewhere
+        let is_in_use = self.is_active_revision(adapter) && self.desired.adapters.contains_key(&adapter.name);
+        is_in_use && self.adapters.is_warm(engine, adapter) && !is_warm_elsewhere
     }
 
     /// Requests run on the revision that the document names from here on, as it is warm.
-    pub(crate) fn use_revision(&mut self, number: Edition, adapter: &AdapterId) -> Settled {
-        let is_named = self.desired.adapters.get(&adapter.name).is_some_and(|wish| wish.revision == adapter.revision);
-        if !is_named {
+    pub(crate) fn activate_revision(&mut self, number: Edition, adapter: &AdapterId) -> CommandOutcome {
+        let is_desired =
+            self.desired.adapters.get(&adapter.name).is_some_and(|spec| spec.revision == adapter.revision);
+        if !is_desired {
             return refused("not the revision that the document names");
         }
         if self.adapters.warm_engines(adapter).next().is_none() {
             return refused("no engine holds it warm");
         }
-        self.adapters.in_force.insert(adapter.name.clone(), adapter.revision);
-        Settled::Taken(number)
+        self.adapters.active_revisions.insert(adapter.name.clone(), adapter.revision);
+        CommandOutcome::Applied(number)
     }
 }
 
@@ -192,20 +197,20 @@
 mod tests {
     use crate::prelude::*;
 
-    fn submit(state: &mut FleetState, command: Command) -> Settled {
+    fn submit(state: &mut FleetState, command: Command) -> CommandOutcome {
         state.apply(&Submission { request: RequestId::random(), command })
     }
 
-    fn merge_in(state: &mut FleetState, patch: &str) -> Settled {
+    fn merge_in(state: &mut FleetState, patch: &str) -> CommandOutcome {
         submit(state, Command::Merge { base: None, patch: patch.into() })
     }
 
-    fn place(state: &mut FleetState, engine: &str, adapter: &AdapterId, stage: Option<CopyStage>) -> Settled {
+    fn place(state: &mut FleetState, engine: &str, adapter: &AdapterId, stage: Option<CopyStage>) -> CommandOutcome {
         submit(state, Command::PlaceCopy { term: Term(1), engine: engine.into(), adapter: adapter.clone(), stage })
     }
 
-    fn is_taken(settled: Settled) -> bool {
-        matches!(settled, Settled::Taken(_))
+    fn is_applied(settled: CommandOutcome) -> bool {
+        matches!(settled, CommandOutcome::Applied(_))
     }
 
     fn warm() -> Option<CopyStage> {
@@ -217,7 +222,7 @@
         let mut state = FleetState::default();
         let document = r#"{"models":{"m":{"adapter_places":1}},"tenants":{"a":{"adapters":["x"]},"b":{}},
             "adapters":{"x":{"model":"m","owners":["a"],"revision":3}},"warming":{"loads_at_once":2}}"#;
-        assert!(is_taken(merge_in(&mut state, document)));
+        assert!(is_applied(merge_in(&mut state, document)));
         submit(&mut state, Command::Appoint { kind: DutyKind::Conductor, from_term: Term(0), holder: NodeId(1) });
         let listed = ListedEngine { model: "m".into(), ..ListedEngine::default() };
         let engines = ["e0", "e1", "e2"].map(|name| (EngineName::from(name), listed.clone())).into();
@@ -229,26 +234,26 @@
     fn loads_and_places_are_bounded_whatever_the_conductor_knew() {
         let (mut state, x) = (fleet(), AdapterId::new("x", 3));
         let loading = || Some(CopyStage::Loading);
-        assert!(is_taken(place(&mut state, "e0", &x, loading())));
-        assert!(is_taken(place(&mut state, "e1", &x, loading())));
-        assert!(!is_taken(place(&mut state, "e2", &x, loading())), "two loads at once");
-        assert!(is_taken(place(&mut state, "e0", &x, warm())));
-        assert!(is_taken(place(&mut state, "e2", &x, loading())));
-        assert!(!is_taken(place(&mut state, "e9", &x, warm())), "no such engine");
-        assert!(!is_taken(place(&mut state, "e0", &AdapterId::new("x", 2), loading())), "not wanted");
+        assert!(is_applied(place(&mut state, "e0", &x, loading())));
+        assert!(is_applied(place(&mut state, "e1", &x, loading())));
+        assert!(!is_applied(place(&mut state, "e2", &x, loading())), "two loads at once");
+        assert!(is_applied(place(&mut state, "e0", &x, warm())));
+        assert!(is_applied(place(&mut state, "e2", &x, loading())));
+        assert!(!is_applied(place(&mut state, "e9", &x, warm())), "no such engine");
+        assert!(!is_applied(place(&mut state, "e0", &AdapterId::new("x", 2), loading())), "not wanted");
         merge_in(&mut state, r#"{"adapters":{"y":{"model":"m","owners":["b"]}},"warming":{"loads_at_once":9}}"#);
-        assert!(!is_taken(place(&mut state, "e0", &AdapterId::new("y", 1), loading())), "its place is taken");
+        assert!(!is_applied(place(&mut state, "e0", &AdapterId::new("y", 1), loading())), "its place is taken");
         let stale = Command::PlaceCopy { term: Term(2), engine: "e0".into(), adapter: x, stage: None };
-        assert!(!is_taken(submit(&mut state, stale)), "another term");
+        assert!(!is_applied(submit(&mut state, stale)), "another term");
     }
 
     #[test]
     fn the_last_warm_copy_stays_until_another_is_warm() {
         let (mut state, x) = (fleet(), AdapterId::new("x", 3));
         place(&mut state, "e0", &x, warm());
-        assert!(!is_taken(place(&mut state, "e0", &x, Some(CopyStage::Leaving))));
+        assert!(!is_applied(place(&mut state, "e0", &x, Some(CopyStage::Leaving))));
         place(&mut state, "e1", &x, warm());
-        assert!(is_taken(place(&mut state, "e0", &x, Some(CopyStage::Leaving))));
+        assert!(is_applied(place(&mut state, "e0", &x, Some(CopyStage::Leaving))));
         assert!(!state.adapters.is_warm(&"e0".into(), &x));
     }
 
@@ -259,29 +264,29 @@
         assert_eq!(runs_on(&state), Some(old.clone()));
         assert_eq!(state.adapter_for(&"b".into(), &"m".into()), None);
         place(&mut state, "e0", &old, warm());
-        assert!(is_taken(merge_in(&mut state, r#"{"adapters":{"x":{"revision":4}}}"#)));
+        assert!(is_applied(merge_in(&mut state, r#"{"adapters":{"x":{"revision":4}}}"#)));
         assert_eq!(runs_on(&state), Some(old.clone()), "until the new one is warm");
-        let take_over = || Command::UseRevision { term: Term(1), adapter: new.clone() };
-        assert!(!is_taken(submit(&mut state, take_over())));
+        let take_over = || Command::ActivateRevision { term: Term(1), adapter: new.clone() };
+        assert!(!is_applied(submit(&mut state, take_over())));
         place(&mut state, "e1", &new, warm());
-        assert!(is_taken(submit(&mut state, take_over())));
+        assert!(is_applied(submit(&mut state, take_over())));
         assert_eq!(runs_on(&state), Some(new.clone()));
-        assert!(is_taken(place(&mut state, "e0", &old, Some(CopyStage::Leaving))), "nothing runs on it");
-        assert!(!is_taken(merge_in(&mut state, r#"{"adapters":{"x":{"revision":3}}}"#)), "revisions only grow");
+        assert!(is_applied(place(&mut state, "e0", &old, Some(CopyStage::Leaving))), "nothing runs on it");
+        assert!(!is_applied(merge_in(&mut state, r#"{"adapters":{"x":{"revision":3}}}"#)), "revisions only grow");
     }
 
     #[test]
     fn a_name_given_up_comes_back_above_its_last_revision() {
         let mut state = fleet();
         place(&mut state, "e0", &AdapterId::new("x", 3), warm());
-        assert!(is_taken(merge_in(&mut state, r#"{"tenants":{"a":{"adapters":[]}},"adapters":{"x":null}}"#)));
+        assert!(is_applied(merge_in(&mut state, r#"{"tenants":{"a":{"adapters":[]}},"adapters":{"x":null}}"#)));
         let again = |revision: u64| {
             format!(
                 r#"{{"adapters":{{"x":{{"model":"m","owners":["b"],"revision":{revision}}}}},"tenants":{{"b":{{"adapters":["x"]}}}}}}"#
             )
         };
-        assert!(!is_taken(merge_in(&mut state, &again(3))), "engines may still hold the other owner's");
-        assert!(is_taken(merge_in(&mut state, &again(4))));
+        assert!(!is_applied(merge_in(&mut state, &again(3))), "engines may still hold the other owner's");
+        assert!(is_applied(merge_in(&mut state, &again(4))));
         assert_eq!(state.adapter_for(&"b".into(), &"m".into()), Some(AdapterId::new("x", 4)));
     }
 
--- a/crates/desired/src/adapters.rs
+++ b/crates/desired/src/adapters.rs
@@ -1,16 +1,16 @@
-//! Tuned adapters as operators wish them: whose they are, for which model, in which revision, and how
+//! Tuned adapters as operators spec them: whose they are, for which model, in which revision, and how
 //! many copies stay warm.
 
 use crate::prelude::*;
 
 /// The greatest number of adapters an engine may be said to hold.
-pub const MOST_ADAPTER_PLACES: u64 = 1024;
-const MOST_COPIES: u64 = 1000;
-const MOST_MILLIS: u64 = 86_400_000;
+pub const MAX_ADAPTER_PLACES: u64 = 1024;
+const MAX_COPIES: u64 = 1000;
+const MAX_MILLIS: u64 = 86_400_000;
 
 /// An adapter of a model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AdapterWish {
+pub struct AdapterSpec {
     pub model: ModelName,
     pub revision: AdapterRevision,
     /// The tenants that may be bound to it.
@@ -27,59 +27,61 @@
 
 /// How adapters are brought to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WarmingWish {
+pub struct WarmingSettings {
     /// Engines that load an adapter at once, at most.
     pub loads_at_once: u64,
     /// The time constant over which requests are averaged.
-    pub demand_span: Span,
+    #[serde(rename = "demand_span")]
+    pub demand_window: Span,
     /// How long copies in a region are kept after its last requests, and a copy that is not wanted is safe
     /// from being displaced.
-    pub hold_span: Span,
+    #[serde(rename = "hold_span")]
+    pub hold_time: Span,
 }
 
-impl Default for WarmingWish {
-    fn default() -> WarmingWish {
-        WarmingWish { loads_at_once: 4, demand_span: Span::seconds(10), hold_span: Span::seconds(30) }
+impl Default for WarmingSettings {
+    fn default() -> WarmingSettings {
+        WarmingSettings { loads_at_once: 4, demand_window: Span::seconds(10), hold_time: Span::seconds(30) }
     }
 }
 
-pub(crate) fn read_adapters(document: &mut Reader<'_>, desired_state: &mut DesiredState) {
-    document.each("adapters", |name, mut adapter| {
-        let wish = AdapterWish {
+pub(crate) fn read_adapters(document: &mut ObjectReader<'_>, desired_state: &mut DesiredState) {
+    document.for_each_entry("adapters", |name, mut adapter| {
+        let spec = AdapterSpec {
             model: ModelName(adapter.text("model").unwrap_or_default()),
-            revision: AdapterRevision(adapter.whole("revision", 1, 1 << 53).unwrap_or(1)),
+            revision: AdapterRevision(adapter.integer("revision", 1, 1 << 53).unwrap_or(1)),
             owners: adapter.texts("owners").unwrap_or_default().into_iter().map(TenantName).collect(),
             shared: adapter.flag("shared").unwrap_or(false),
-            warm: adapter.whole("warm", 1, MOST_COPIES).unwrap_or(1),
-            warm_in_region: adapter.whole("warm_in_region", 1, MOST_COPIES).unwrap_or(2),
-            copy_requests: adapter.whole("copy_requests", 0, 1 << 32).unwrap_or(0),
+            warm: adapter.integer("warm", 1, MAX_COPIES).unwrap_or(1),
+            warm_in_region: adapter.integer("warm_in_region", 1, MAX_COPIES).unwrap_or(2),
+            copy_requests: adapter.integer("copy_requests", 0, 1 << 32).unwrap_or(0),
         };
-        desired_state.adapters.insert(name.into(), wish);
-        adapter.close();
+        desired_state.adapters.insert(name.into(), spec);
+        adapter.finish();
     });
-    for (zone, region) in document.named_texts("zones") {
+    for (zone, region) in document.string_map("zones") {
         if !is_name(&region) {
-            document.complain(&format!("zones.{zone}"), "the region is not a name");
+            document.report(&format!("zones.{zone}"), "the region is not a name");
         }
         desired_state.zones.insert(Zone(zone), Region(region));
     }
     read_warming(document, &mut desired_state.warming);
 }
 
-fn read_warming(document: &mut Reader<'_>, warming: &mut WarmingWish) {
+fn read_warming(document: &mut ObjectReader<'_>, warming: &mut WarmingSettings) {
     let Some(mut fields) = document.member("warming") else { return };
-    warming.loads_at_once = fields.whole("loads_at_once", 1, MOST_COPIES).unwrap_or(warming.loads_at_once);
-    let mut millis = |key: &str, usual: Span| fields.whole(key, 100, MOST_MILLIS).map_or(usual, Span::millis);
-    warming.demand_span = millis("demand_ms", warming.demand_span);
-    warming.hold_span = millis("hold_ms", warming.hold_span);
-    fields.close();
+    warming.loads_at_once = fields.integer("loads_at_once", 1, MAX_COPIES).unwrap_or(warming.loads_at_once);
+    let mut millis = |key: &str, default: Span| fields.integer(key, 100, MAX_MILLIS).map_or(default, Span::millis);
+    warming.demand_window = millis("demand_ms", warming.demand_window);
+    warming.hold_time = millis("hold_ms", warming.hold_time);
+    fields.finish();
 }
 
 /// Adapters are of known models that have places, and tenants are bound to their own alone.
-pub(crate) fn check_adapters(desired_state: &DesiredState, complaints: &mut Vec<Complaint>) {
+pub(crate) fn check_adapters(desired_state: &DesiredState, errors: &mut Vec<ValidationError>) {
     for (name, adapter) in &desired_state.adapters {
         let mut complain =
-            |key: &str, reason: String| complaints.push(Complaint::at(&format!("adapters.{name}.{key}"), reason));
+            |key: &str, reason: String| errors.push(ValidationError::at(&format!("adapters.{name}.{key}"), reason));
         match desired_state.models.get(&adapter.model) {
             None => complain("model", format!("unknown model {}", adapter.model)),
             Some(model) if model.adapter_places == 0 => {
@@ -97,30 +99,30 @@
             complain("owners", format!("unknown tenant {owner}"));
         }
     }
-    for (tenant, wish) in &desired_state.tenants {
-        check_bindings(desired_state, tenant, wish, complaints);
+    for (tenant, spec) in &desired_state.tenants {
+        check_bindings(desired_state, tenant, spec, errors);
     }
 }
 
 fn check_bindings(
     desired_state: &DesiredState,
     tenant: &TenantName,
-    wish: &TenantWish,
-    complaints: &mut Vec<Complaint>,
+    spec: &TenantSpec,
+    errors: &mut Vec<ValidationError>,
 ) {
     let mut models: BTreeMap<&ModelName, &AdapterName> = BTreeMap::new();
-    for name in &wish.adapters {
+    for name in &spec.adapters {
         let path = format!("tenants.{tenant}.adapters");
         let Some(adapter) = desired_state.adapters.get(name) else {
-            complaints.push(Complaint::at(&path, format!("unknown adapter {name}")));
+            errors.push(ValidationError::at(&path, format!("unknown adapter {name}")));
             continue;
         };
         if !adapter.owners.contains(tenant) {
-            complaints.push(Complaint::at(&path, format!("{name} belongs to another tenant")));
+            errors.push(ValidationError::at(&path, format!("{name} belongs to another tenant")));
         }
         if let Some(other) = models.insert(&adapter.model, name) {
             let reason = format!("{other} and {name} are both of model {}", adapter.model);
-            complaints.push(Complaint::at(&path, reason));
+            errors.push(ValidationError::at(&path, reason));
         }
     }
 }
@@ -137,30 +139,30 @@
         self.zones.get(zone).cloned().unwrap_or_default()
     }
 
-    /// What no document may do to the adapters of the one before it, of which `given_up` are gone.
-    pub(crate) fn check_adapter_move(
+    /// What no document may do to the adapters of the one before it, whose removed names are in `retired_revisions`.
+    pub(crate) fn check_adapter_changes(
         &self,
         next: &DesiredState,
-        given_up: &BTreeMap<AdapterName, AdapterRevision>,
-    ) -> Vec<Complaint> {
-        let mut complaints = Vec::new();
-        for (name, wish) in &next.adapters {
+        retired_revisions: &BTreeMap<AdapterName, AdapterRevision>,
+    ) -> Vec<ValidationError> {
+        let mut errors = Vec::new();
+        for (name, spec) in &next.adapters {
             let path = format!("adapters.{name}.revision");
             let before = self.adapters.get(name);
-            if let Some(before) = before.filter(|before| wish.revision < before.revision) {
-                let reason = format!("revisions only grow: {} is below {}", wish.revision, before.revision);
-                complaints.push(Complaint::at(&path, reason));
+            if let Some(before) = before.filter(|before| spec.revision < before.revision) {
+                let reason = format!("revisions only grow: {} is below {}", spec.revision, before.revision);
+                errors.push(ValidationError::at(&path, reason));
             }
-            if before.is_some_and(|before| before.model != wish.model && before.revision == wish.revision) {
-                complaints.push(Complaint::at(&path, "another model needs another revision"));
+            if before.is_some_and(|before| before.model != spec.model && before.revision == spec.revision) {
+                errors.push(ValidationError::at(&path, "another model needs another revision"));
             }
-            let used = given_up.get(name).filter(|used| before.is_none() && wish.revision <= **used);
+            let used = retired_revisions.get(name).filter(|used| before.is_none() && spec.revision <= **used);
             if let Some(used) = used {
                 let reason = format!("the name was in use up to revision {used}; begin above it");
-                complaints.push(Complaint::at(&path, reason));
+                errors.push(ValidationError::at(&path, reason));
             }
         }
-        complaints
+        errors
     }
 }
 
@@ -168,9 +170,9 @@
 mod tests {
     use crate::prelude::*;
 
-    fn complaints_of(text: &str) -> Vec<String> {
+    fn errors_of(text: &str) -> Vec<String> {
         let document = parse_bounded(text, DOCUMENT_BOUNDS).unwrap();
-        read_document(&document).unwrap_err().iter().map(Complaint::to_string).collect()
+        read_document(&document).unwrap_err().iter().map(ValidationError::to_string).collect()
     }
 
     #[test]
@@ -179,7 +181,7 @@
             "adapters":{"x":{"model":"m","owners":["a"]},"y":{"model":"m","owners":["a","b"]},
             "z":{"model":"n","owners":["b"]},"u":{"model":"none","owners":[]},"v":{"model":"m","owners":["c"]},
             "w":{"model":"m","owners":["b"],"revision":0}},"zones":{"z1":"not a name"},"warming":{"loads_at_once":0}}"#;
-        let complaints = complaints_of(text);
+        let errors = errors_of(text);
         for expected in [
             "adapters.u.model: unknown model none",
             "adapters.u.owners: an adapter has an owner",
@@ -192,12 +194,12 @@
             "warming.loads_at_once: out of range: 0, allowed 1 to 1000",
             "zones.z1: the region is not a name",
         ] {
-            assert!(complaints.iter().any(|told| told == expected), "{expected} is not among {complaints:#?}");
+            assert!(errors.iter().any(|told| told == expected), "{expected} is not among {errors:#?}");
         }
-        assert_eq!(complaints.len(), 10, "{complaints:#?}");
+        assert_eq!(errors.len(), 10, "{errors:#?}");
         let foreign = r#"{"models":{"m":{"adapter_places":2}},"tenants":{"a":{},"b":{"adapters":["x"]}},
             "adapters":{"x":{"model":"m","owners":["a"]}}}"#;
-        assert_eq!(complaints_of(foreign), ["tenants.b.adapters: x belongs to another tenant"]);
+        assert_eq!(errors_of(foreign), ["tenants.b.adapters: x belongs to another tenant"]);
     }
 
     #[test]
--- a/crates/desired/src/commands.rs
+++ b/crates/desired/src/commands.rs
@@ -17,12 +17,14 @@
     Configure(Box<ConfigurationChange>),
     /// Whether a change was taken that builds on a revision which is not the one in force, as far as whoever
     /// asks can tell: it is settled as that change was, else as stale.
-    RecallChange {
+    #[serde(rename = "RecallChange")]
+    QueryChange {
         base: Revision,
         fingerprint: BlockHash,
     },
     /// New weights of a model, whatever the document says of it.
-    NameWeights {
+    #[serde(rename = "NameWeights")]
+    RaiseWeights {
         model: ModelName,
         weights: WeightsEdition,
     },
@@ -38,10 +40,12 @@
         holder: NodeId,
     },
     /// The conductor's word on an engine, valid under its term alone.
-    Stand {
+    #[serde(rename = "Stand")]
+    SetEngineStatus {
         term: Term,
         engine: EngineName,
-        standing: Standing,
+        #[serde(rename = "standing")]
+        status: EngineStatus,
     },
     /// The conductor's word on a copy of an adapter at an engine, valid under its term alone; no stage
     /// takes the copy out of the state.
@@ -52,7 +56,8 @@
         stage: Option<CopyStage>,
     },
     /// Requests run on this revision of an adapter from here on, valid under the conductor's term alone.
-    UseRevision {
+    #[serde(rename = "UseRevision")]
+    ActivateRevision {
         term: Term,
         adapter: AdapterId,
     },
@@ -86,8 +91,10 @@
         run: u64,
     },
     /// The tail has the book of claims turned.
-    TurnClaims {
-        turn: u64,
+    #[serde(rename = "TurnClaims")]
+    RotateClaims {
+        #[serde(rename = "turn")]
+        rotation: u64,
     },
 }
 
@@ -103,8 +110,8 @@
     }
 
     /// Whether it concerns the book of claims, which the core alone keeps.
-    pub(crate) fn is_of_claims(&self) -> bool {
-        matches!(self, Command::Claim { .. } | Command::Release { .. } | Command::TurnClaims { .. })
+    pub(crate) fn concerns_claims(&self) -> bool {
+        matches!(self, Command::Claim { .. } | Command::Release { .. } | Command::RotateClaims { .. })
     }
 }
 
@@ -117,18 +124,19 @@
 
 /// How a submission was settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Settled {
+pub enum CommandOutcome {
     /// Done, in this edition.
-    Taken(Edition),
+    #[serde(rename = "Taken")]
+    Applied(Edition),
     /// It builds on another edition than the one that holds.
     Stale { now: Edition },
     /// Nothing was changed, for these reasons.
-    Refused(Vec<Complaint>),
+    Refused(Vec<ValidationError>),
 }
 
-impl Settled {
+impl CommandOutcome {
     /// Refused for a single reason.
-    pub(crate) fn refused(path: &str, reason: impl Into<String>) -> Settled {
-        Settled::Refused(vec![Complaint::at(path, reason)])
+    pub(crate) fn refused(path: &str, reason: impl Into<String>) -> CommandOutcome {
+        CommandOutcome::Refused(vec![ValidationError::at(path, reason)])
     }
 }
--- a/crates/desired/src/document_changes.rs
+++ b/crates/desired/src/document_changes.rs
@@ -5,15 +5,15 @@
 
 impl FleetState {
     /// A whole document takes the place of the one that its author saw.
-    pub(crate) fn replace_document(&mut self, number: Edition, base: Option<Edition>, text: &str) -> Settled {
+    pub(crate) fn replace_document(&mut self, number: Edition, base: Option<Edition>, text: &str) -> CommandOutcome {
         match self.stale(base) {
             Some(stale) => stale,
-            None => self.take_document(number, text, None, DOCUMENT_BOUNDS),
+            None => self.apply_document(number, text, None, DOCUMENT_BOUNDS),
         }
     }
 
     /// A merge patch is laid over the document that its author saw.
-    pub(crate) fn merge_document(&mut self, number: Edition, base: Option<Edition>, patch: &str) -> Settled {
+    pub(crate) fn merge_document(&mut self, number: Edition, base: Option<Edition>, patch: &str) -> CommandOutcome {
         match self.stale(base) {
             Some(stale) => stale,
             None => self.patch_document(number, patch),
@@ -21,78 +21,78 @@
     }
 
     /// A merge patch is laid over the document, whichever it is.
-    pub(crate) fn patch_document(&mut self, number: Edition, patch: &str) -> Settled {
+    pub(crate) fn patch_document(&mut self, number: Edition, patch: &str) -> CommandOutcome {
         let current_text = self.desired_text.clone();
-        self.take_document(number, &current_text, Some(patch), DOCUMENT_BOUNDS)
+        self.apply_document(number, &current_text, Some(patch), DOCUMENT_BOUNDS)
     }
 
     /// Takes a document, with a merge patch laid over it if there is one.
-    pub(crate) fn take_document(
+    pub(crate) fn apply_document(
         &mut self,
         number: Edition,
         text: &str,
         patch: Option<&str>,
         bounds: Bounds,
-    ) -> Settled {
+    ) -> CommandOutcome {
         let document = match merged(text, patch, bounds) {
             Ok(document) => document,
-            Err(complaint) => return Settled::Refused(vec![complaint]),
+            Err(error) => return CommandOutcome::Refused(vec![error]),
         };
         let desired_text = write_sorted(&document);
         if desired_text.len() > bounds.bytes {
-            return Settled::refused("", "too large once merged");
+            return CommandOutcome::refused("", "too large once merged");
         }
         let mut next_desired = match read_document(&document) {
             Ok(next_desired) => next_desired,
-            Err(complaints) => return Settled::Refused(complaints),
+            Err(errors) => return CommandOutcome::Refused(errors),
         };
-        self.raise_named_weights(&mut next_desired);
-        let complaints = self.check_move(&next_desired);
-        if !complaints.is_empty() {
-            return Settled::Refused(complaints);
+        self.apply_minimum_weights(&mut next_desired);
+        let errors = self.check_changes(&next_desired);
+        if !errors.is_empty() {
+            return CommandOutcome::Refused(errors);
         }
-        self.move_walls(number, &next_desired);
-        self.adapters.follow(&self.desired, &next_desired);
+        self.update_walls(number, &next_desired);
+        self.adapters.apply_document(&self.desired, &next_desired);
         self.desired = next_desired;
         self.desired_text = desired_text;
         self.desired_edition = number;
-        Settled::Taken(number)
+        CommandOutcome::Applied(number)
     }
 
-    fn stale(&self, base: Option<Edition>) -> Option<Settled> {
-        base.filter(|base| *base != self.desired_edition).map(|_| Settled::Stale { now: self.desired_edition })
+    fn stale(&self, base: Option<Edition>) -> Option<CommandOutcome> {
+        base.filter(|base| *base != self.desired_edition).map(|_| CommandOutcome::Stale { now: self.desired_edition })
     }
 
     /// Weights named apart from the document hold, unless the document wants newer ones.
-    fn raise_named_weights(&self, next_desired: &mut DesiredState) {
-        for (model, weights) in &self.named_weights {
-            if let Some(wish) = next_desired.models.get_mut(model) {
-                wish.weights = wish.weights.max(*weights);
+    fn apply_minimum_weights(&self, next_desired: &mut DesiredState) {
+        for (model, weights) in &self.minimum_weights {
+            if let Some(spec) = next_desired.models.get_mut(model) {
+                spec.weights = spec.weights.max(*weights);
             }
         }
     }
 
     /// What no document may do to the one before it: take weights back, or lock every operator out.
-    fn check_move(&self, next_desired: &DesiredState) -> Vec<Complaint> {
-        let mut complaints = Vec::new();
-        for (model, wish) in &next_desired.models {
-            let Some(current_wish) = self.desired.models.get(model) else { continue };
-            if wish.weights < current_wish.weights {
+    fn check_changes(&self, next_desired: &DesiredState) -> Vec<ValidationError> {
+        let mut errors = Vec::new();
+        for (model, spec) in &next_desired.models {
+            let Some(current_spec) = self.desired.models.get(model) else { continue };
+            if spec.weights < current_spec.weights {
                 let reason =
-                    format!("weights editions only grow: {} is below {}", wish.weights, current_wish.weights);
-                complaints.push(Complaint::at(&format!("models.{model}.weights"), reason));
+                    format!("weights editions only grow: {} is below {}", spec.weights, current_spec.weights);
+                errors.push(ValidationError::at(&format!("models.{model}.weights"), reason));
             }
         }
         if next_desired.operators.is_empty() && !self.desired.operators.is_empty() {
-            complaints.push(Complaint::at("operators", "at least one operator key must stay"));
+            errors.push(ValidationError::at("operators", "at least one operator key must stay"));
         }
-        complaints.extend(self.desired.check_adapter_move(next_desired, &self.adapters.given_up));
-        complaints
+        errors.extend(self.desired.check_adapter_changes(next_desired, &self.adapters.retired_revisions));
+        errors
     }
 }
 
 /// A document's text, read, with a merge patch laid over it if there is one.
-fn merged(text: &str, patch: Option<&str>, bounds: Bounds) -> Result<JsonValue, Complaint> {
+fn merged(text: &str, patch: Option<&str>, bounds: Bounds) -> Result<JsonValue, ValidationError> {
     let base_text = if text.is_empty() { "{}" } else { text };
     let mut document = parse_bounded(base_text, bounds)?;
     if let Some(patch_text) = patch {
--- a/crates/desired/src/duties.rs
+++ b/crates/desired/src/duties.rs
@@ -19,23 +19,29 @@
 }
 
 /// What a command of a conductor whose term is over is told.
-pub(crate) fn other_term() -> Settled {
-    Settled::refused("duty", "another term holds the conductor's duty")
+pub(crate) fn conductor_term_mismatch() -> CommandOutcome {
+    CommandOutcome::refused("duty", "another term holds the conductor's duty")
 }
 
 impl FleetState {
     /// Names the next holder of a duty, if the duty still stands in the term that the command names.
-    pub(crate) fn appoint(&mut self, number: Edition, kind: DutyKind, from_term: Term, holder: NodeId) -> Settled {
+    pub(crate) fn appoint(
+        &mut self,
+        number: Edition,
+        kind: DutyKind,
+        from_term: Term,
+        holder: NodeId,
+    ) -> CommandOutcome {
         let held_term = self.duties.get(&kind).map_or(Term(0), |duty| duty.term);
         if held_term != from_term {
-            return Settled::refused("duty", format!("term is {held_term}"));
+            return CommandOutcome::refused("duty", format!("term is {held_term}"));
         }
         self.duties.insert(kind, Duty { holder, term: held_term.next() });
-        Settled::Taken(number)
+        CommandOutcome::Applied(number)
     }
 
     /// Whether the conductor's duty stands in this term.
-    pub(crate) fn conducts(&self, term: Term) -> bool {
+    pub(crate) fn holds_conductor_term(&self, term: Term) -> bool {
         self.duties.get(&DutyKind::Conductor).map(|duty| duty.term) == Some(term)
     }
 }
--- a/crates/desired/src/fleet.rs
+++ b/crates/desired/src/fleet.rs
@@ -7,7 +7,7 @@
 
 /// How many submissions are remembered that are no operators' orders: their senders ask again within seconds, or
 /// what they submit can be settled twice without harm.
-const REMEMBERED_SUBMISSIONS: usize = 512;
+const MAX_REMEMBERED_OUTCOMES: usize = 512;
 
 /// The state of the fleet that all keepers and routers agree on, after the records up to an edition.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -22,64 +22,66 @@
     pub listing: Listing,
     /// The edition in which the listing was taken.
     pub listing_edition: Edition,
-    pub standings: BTreeMap<EngineName, Standing>,
+    #[serde(rename = "standings")]
+    pub engine_statuses: BTreeMap<EngineName, EngineStatus>,
     pub duties: BTreeMap<DutyKind, Duty>,
     pub plans: BTreeMap<Edition, Plan>,
     /// Engines an operator had drained.
     pub drained: BTreeSet<EngineName>,
-    pub settled: VecDeque<(RequestId, Settled)>,
-    #[serde(default)]
-    pub orders: SettledOrders,
-    #[serde(default)]
-    pub claim_book: ClaimBook,
+    #[serde(rename = "settled")]
+    pub recent_outcomes: VecDeque<(RequestId, CommandOutcome)>,
+    #[serde(default, rename = "orders")]
+    pub operator_submissions: OperatorSubmissions,
+    #[serde(default, rename = "claim_book")]
+    pub claim_table: ClaimTable,
     #[serde(default)]
     pub configuration: Configuration,
     /// Weights named apart from the document; they hold for models that the document has.
+    #[serde(default, rename = "named_weights")]
+    pub minimum_weights: BTreeMap<ModelName, WeightsEdition>,
     #[serde(default)]
-    pub named_weights: BTreeMap<ModelName, WeightsEdition>,
-    #[serde(default)]
-    pub adapters: HeldAdapters,
+    pub adapters: AdapterPlacements,
 }
 
 impl FleetState {
     /// Applies a record of the chain, whatever becomes of its command.
-    pub fn apply(&mut self, submission: &Submission) -> Settled {
-        if let Some(earlier) = self.settled_before(submission.request) {
+    pub fn apply(&mut self, submission: &Submission) -> CommandOutcome {
+        if let Some(earlier) = self.previous_outcome(submission.request) {
             self.edition = self.edition.next();
             return earlier;
         }
         let number = self.edition.next();
-        let outcome = self.settle(number, &submission.command);
+        let outcome = self.execute(number, &submission.command);
         self.edition = number;
         self.remember(submission, outcome.clone());
         outcome
     }
 
     /// Applies as a router does, which keeps no claims: they concern the core alone.
-    pub fn follow(&mut self, submission: &Submission) {
-        if !submission.command.is_of_claims() {
+    pub fn apply_without_claims(&mut self, submission: &Submission) {
+        if !submission.command.concerns_claims() {
             self.apply(submission);
             return;
         }
         self.edition = self.edition.next();
-        self.remember(submission, Settled::Taken(self.edition));
+        self.remember(submission, CommandOutcome::Applied(self.edition));
     }
 
-    fn remember(&mut self, submission: &Submission, outcome: Settled) {
+    fn remember(&mut self, submission: &Submission, outcome: CommandOutcome) {
         let request = submission.request;
         if let Some(fingerprint) = submission.command.order_fingerprint() {
-            self.orders.remember(self.edition, request, fingerprint, outcome);
+            self.operator_submissions.remember(self.edition, request, fingerprint, outcome);
             return;
         }
-        self.settled.push_back((request, outcome));
-        if self.settled.len() > REMEMBERED_SUBMISSIONS {
-            self.settled.pop_front();
+        self.recent_outcomes.push_back((request, outcome));
+        if self.recent_outcomes.len() > MAX_REMEMBERED_OUTCOMES {
+            self.recent_outcomes.pop_front();
         }
     }
 
     /// The state as routers are given it.
     pub fn without_claims(&self) -> FleetState {
-        let claim_book = ClaimBook::blank(self.claim_book.turn);
+        let claim_table = ClaimTable::empty_at(self.claim_table.rotation);
         FleetState {
             edition: self.edition,
             desired_edition: self.desired_edition,
@@ -89,55 +91,58 @@
             walls: self.walls.clone(),
             listing: self.listing.clone(),
             listing_edition: self.listing_edition,
-            standings: self.standings.clone(),
+            engine_statuses: self.engine_statuses.clone(),
             duties: self.duties.clone(),
             plans: self.plans.clone(),
             drained: self.drained.clone(),
-            settled: self.settled.clone(),
-            orders: self.orders.clone(),
-            claim_book,
+            recent_outcomes: self.recent_outcomes.clone(),
+            operator_submissions: self.operator_submissions.clone(),
+            claim_table,
             configuration: self.configuration.without_source(),
-            named_weights: self.named_weights.clone(),
+            minimum_weights: self.minimum_weights.clone(),
             adapters: self.adapters.clone(),
         }
     }
 
     /// How a request was settled, if that is still remembered.
-    pub fn settled_before(&self, request: RequestId) -> Option<Settled> {
-        let of_members = || self.settled.iter().rev().find(|(earlier, _)| *earlier == request);
-        let order = self.orders.outcome(request);
-        order.or_else(|| of_members().map(|(_, outcome)| outcome)).cloned()
+    pub fn previous_outcome(&self, request: RequestId) -> Option<CommandOutcome> {
+        let by_member = || self.recent_outcomes.iter().rev().find(|(earlier, _)| *earlier == request);
+        let by_operator = self.operator_submissions.outcome(request);
+        by_operator.or_else(|| by_member().map(|(_, outcome)| outcome)).cloned()
     }
 
     /// Why a submission cannot be settled under its id, if that was used for something else.
-    pub fn id_in_use(&self, request: RequestId, fingerprint: Option<BlockHash>) -> Option<Settled> {
-        let is_taken = fingerprint.is_some_and(|fingerprint| self.orders.is_taken_by_another(request, fingerprint));
-        is_taken.then(|| Settled::refused("x-request-id", "used for another change already"))
+    pub fn request_id_conflict(&self, request: RequestId, fingerprint: Option<BlockHash>) -> Option<CommandOutcome> {
+        let is_applied =
+            fingerprint.is_some_and(|fingerprint| self.operator_submissions.has_other_content(request, fingerprint));
+        is_applied.then(|| CommandOutcome::refused("x-request-id", "used for another change already"))
     }
 
-    fn settle(&mut self, number: Edition, command: &Command) -> Settled {
+    fn execute(&mut self, number: Edition, command: &Command) -> CommandOutcome {
         match command {
             Command::Replace { base, text } => self.replace_document(number, *base, text),
             Command::Merge { base, patch } => self.merge_document(number, *base, patch),
             Command::Configure(change) => self.configure(number, change),
-            Command::RecallChange { base, fingerprint } => self.recall_change(*base, *fingerprint),
-            Command::NameWeights { model, weights } => self.name_weights(number, model, *weights),
-            Command::List(listing) => self.take_listing(number, listing),
+            Command::QueryChange { base, fingerprint } => self.query_change(*base, *fingerprint),
+            Command::RaiseWeights { model, weights } => self.raise_weights(number, model, *weights),
+            Command::List(listing) => self.apply_listing(number, listing),
             Command::Appoint { kind, from_term, holder } => self.appoint(number, *kind, *from_term, *holder),
-            Command::Stand { term, engine, standing } => self.take_standing(number, *term, engine, standing),
-            Command::PlaceCopy { term, engine, adapter, stage } => match self.conducts(*term) {
+            Command::SetEngineStatus { term, engine, status } => {
+                self.set_engine_status(number, *term, engine, status)
+            }
+            Command::PlaceCopy { term, engine, adapter, stage } => match self.holds_conductor_term(*term) {
                 true => self.place_copy(number, engine, adapter, stage),
-                false => other_term(),
+                false => conductor_term_mismatch(),
             },
-            Command::UseRevision { term, adapter } => match self.conducts(*term) {
-                true => self.use_revision(number, adapter),
-                false => other_term(),
+            Command::ActivateRevision { term, adapter } => match self.holds_conductor_term(*term) {
+                true => self.activate_revision(number, adapter),
+                false => conductor_term_mismatch(),
             },
             Command::Claim { claim, router, run } => self.claim(number, *claim, (*router, *run)),
             Command::Release { claim, router, run } => self.release(number, *claim, (*router, *run)),
-            Command::TurnClaims { turn } => self.turn_claims(number, *turn),
+            Command::RotateClaims { rotation } => self.rotate_claims(number, *rotation),
             Command::Intend(_) | Command::Confirm { .. } | Command::DoStep { .. } | Command::EndPlan { .. } => {
-                self.settle_plan_command(number, command)
+                self.apply_plan_command(number, command)
             }
         }
     }
@@ -147,7 +152,7 @@
         self.desired
             .tenants
             .iter()
-            .find(|(_, wish)| wish.keys.values().any(|known_hash| known_hash == key_hash))
+            .find(|(_, spec)| spec.keys.values().any(|known_hash| known_hash == key_hash))
             .map(|(tenant, _)| tenant)
     }
 
--- a/crates/desired/src/scan.rs
+++ b/crates/desired/src/json_text.rs
@@ -6,18 +6,18 @@
 
 /// One thing wrong with a text, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Complaint {
+pub struct ValidationError {
     pub path: String,
     pub reason: String,
 }
 
-impl Complaint {
-    pub fn at(path: &str, reason: impl Into<String>) -> Complaint {
-        Complaint { path: if path.is_empty() { "$".into() } else { path.to_owned() }, reason: reason.into() }
+impl ValidationError {
+    pub fn at(path: &str, reason: impl Into<String>) -> ValidationError {
+        ValidationError { path: if path.is_empty() { "$".into() } else { path.to_owned() }, reason: reason.into() }
     }
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for ValidationError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}: {}", self.path, self.reason)
     }
@@ -33,13 +33,13 @@
 /// What is made of a whole configuration under a revision of the operators' own may be larger.
 pub const CONFIGURATION_BOUNDS: Bounds = Bounds { bytes: 4 << 20, depth: 32 };
 
-/// Parses a text within bounds; every complaint names the path it is about.
-pub fn parse_bounded(text: &str, bounds: Bounds) -> Result<JsonValue, Complaint> {
+/// Parses a text within bounds; every error names the path it is about.
+pub fn parse_bounded(text: &str, bounds: Bounds) -> Result<JsonValue, ValidationError> {
     if text.len() > bounds.bytes {
-        return Err(Complaint::at("", format!("too large: {} bytes, at most {}", text.len(), bounds.bytes)));
+        return Err(ValidationError::at("", format!("too large: {} bytes, at most {}", text.len(), bounds.bytes)));
     }
-    check_shape(text, bounds.depth)?;
-    text.parse::<JsonValue>().map_err(|fault| Complaint::at("", fault.to_string().replace('\n', " ")))
+    check_structure(text, bounds.depth)?;
+    text.parse::<JsonValue>().map_err(|fault| ValidationError::at("", fault.to_string().replace('\n', " ")))
 }
 
 struct Level {
@@ -48,7 +48,7 @@
     expects_key: bool,
 }
 
-fn check_shape(text: &str, depth_limit: usize) -> Result<(), Complaint> {
+fn check_structure(text: &str, depth_limit: usize) -> Result<(), ValidationError> {
     let mut levels: Vec<Level> = Vec::new();
     let text_bytes = text.as_bytes();
     let mut place = 0;
@@ -61,7 +61,7 @@
         match text_bytes[place] {
             opening @ (b'{' | b'[') => {
                 if levels.len() == depth_limit {
-                    return Err(Complaint::at(
+                    return Err(ValidationError::at(
                         &path_of(&levels),
                         format!("too deep: more than {depth_limit} levels"),
                     ));
@@ -89,7 +89,7 @@
                     level.last_key = unescape(raw_string);
                     let new_key = level.last_key.clone();
                     if !level.keys.as_mut().is_some_and(|keys| keys.insert(new_key)) {
-                        return Err(Complaint::at(&path_of(&levels), "duplicate key"));
+                        return Err(ValidationError::at(&path_of(&levels), "duplicate key"));
                     }
                 }
             }
@@ -180,9 +180,9 @@
             (r#"{"a":[[[[1]]]]}"#, "a", "too deep"),
         ];
         for (text, path, reason) in refused_texts {
-            let complaint = parse_bounded(text, Bounds { bytes: 100, depth: 4 }).unwrap_err();
-            assert_eq!(complaint.path, path, "{text}");
-            assert!(complaint.reason.starts_with(reason), "{complaint}");
+            let error = parse_bounded(text, Bounds { bytes: 100, depth: 4 }).unwrap_err();
+            assert_eq!(error.path, path, "{text}");
+            assert!(error.reason.starts_with(reason), "{error}");
         }
         assert!(parse_bounded("{\"a\":", DOCUMENT_BOUNDS).is_err());
         assert!(parse_bounded("{\"a\\", DOCUMENT_BOUNDS).is_err());
--- a/crates/desired/src/lib.rs
+++ b/crates/desired/src/lib.rs
@@ -5,6 +5,7 @@
 
 pub mod prelude;
 
+mod adapter_placements;
 mod adapters;
 mod claims;
 mod commands;
@@ -13,12 +14,11 @@
 mod document_changes;
 mod duties;
 mod fleet;
-mod held_adapters;
+mod json_text;
 mod listing;
-mod orders;
+mod object_reader;
+mod operator_submissions;
 mod plan_commands;
 mod plans;
-mod read;
-mod scan;
 mod traffic;
 mod walls;
--- a/crates/desired/src/listing.rs
+++ b/crates/desired/src/listing.rs
@@ -78,7 +78,7 @@
 
 /// What the conductor has settled about an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct EngineStatus {
     /// The weights the engine confirmed to the conductor, and the boot it confirmed them in.
     pub confirmed: Option<(WeightsEdition, String)>,
     /// Closed by the conductor for an order under way.
@@ -88,7 +88,7 @@
     pub further_confirmed: BTreeMap<ModelName, WeightsEdition>,
 }
 
-impl Standing {
+impl EngineStatus {
     /// The newest weights of a model that the engine is known to hold, by its own word or by the list.
     pub fn held_weights(&self, listed: &ListedEngine, model: &ModelName) -> Option<WeightsEdition> {
         let confirmed = match listed.model == *model {
@@ -101,37 +101,37 @@
 
 impl FleetState {
     /// Takes a newer listing whole; engines that are gone or have moved lose what was settled about them.
-    pub(crate) fn take_listing(&mut self, number: Edition, listing: &Listing) -> Settled {
+    pub(crate) fn apply_listing(&mut self, number: Edition, listing: &Listing) -> CommandOutcome {
         if listing.boot == self.listing.boot && listing.number <= self.listing.number {
-            return Settled::refused("listing", format!("already at {}", self.listing.number));
+            return CommandOutcome::refused("listing", format!("already at {}", self.listing.number));
         }
         self.drained.retain(|engine| listing.engines.contains_key(engine));
         for (engine, known) in &self.listing.engines {
             let moved = listing.engines.get(engine).is_none_or(|listed| listed.address != known.address);
             if moved {
-                self.standings.remove(engine);
+                self.engine_statuses.remove(engine);
                 self.adapters.forget_engine(engine);
             }
         }
         self.listing = listing.clone();
         self.listing_edition = number;
-        Settled::Taken(number)
+        CommandOutcome::Applied(number)
     }
 
     /// Takes the conductor's word on an engine, if the engine is still listed.
-    pub(crate) fn take_standing(
+    pub(crate) fn set_engine_status(
         &mut self,
         number: Edition,
         term: Term,
         engine: &EngineName,
-        standing: &Standing,
-    ) -> Settled {
-        if !self.conducts(term) {
-            return other_term();
+        status: &EngineStatus,
+    ) -> CommandOutcome {
+        if !self.holds_conductor_term(term) {
+            return conductor_term_mismatch();
         }
         if self.listing.engines.contains_key(engine) {
-            self.standings.insert(engine.clone(), standing.clone());
+            self.engine_statuses.insert(engine.clone(), status.clone());
         }
-        Settled::Taken(number)
+        CommandOutcome::Applied(number)
     }
 }
--- a/crates/desired/src/orders.rs
+++ b/crates/desired/src/operator_submissions.rs
@@ -4,52 +4,59 @@
 use crate::prelude::*;
 
 /// How many submissions of operators are remembered, the latest: at six hundred changes a day those of six days.
-pub const REMEMBERED_ORDERS: usize = 4096;
+pub const MAX_OPERATOR_SUBMISSIONS: usize = 4096;
 
 /// How an operator's submission was settled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct SettledOrder {
+struct OperatorSubmission {
     /// The record it was settled in.
     number: Edition,
     /// What was submitted: the same id with other content is another submission.
     fingerprint: BlockHash,
-    outcome: Settled,
+    outcome: CommandOutcome,
 }
 
 /// What is remembered of operators' submissions, by their ids.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SettledOrders {
-    by_request: BTreeMap<RequestId, SettledOrder>,
+pub struct OperatorSubmissions {
+    by_request: BTreeMap<RequestId, OperatorSubmission>,
 }
 
-impl SettledOrders {
+impl OperatorSubmissions {
     /// How a request was settled, if it is remembered.
-    pub fn outcome(&self, request: RequestId) -> Option<&Settled> {
-        self.by_request.get(&request).map(|order| &order.outcome)
+    pub fn outcome(&self, request: RequestId) -> Option<&CommandOutcome> {
+        self.by_request.get(&request).map(|submission| &submission.outcome)
     }
 
     /// Whether a request id was used for something else than this.
-    pub fn is_taken_by_another(&self, request: RequestId, fingerprint: BlockHash) -> bool {
-        self.by_request.get(&request).is_some_and(|order| order.fingerprint != fingerprint)
+    pub fn has_other_content(&self, request: RequestId, fingerprint: BlockHash) -> bool {
+        self.by_request.get(&request).is_some_and(|submission| submission.fingerprint != fingerprint)
     }
 
     /// All that is remembered: the requests, and how each was settled.
-    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &Settled)> {
-        self.by_request.iter().map(|(request, order)| (*request, &order.outcome))
+    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &CommandOutcome)> {
+        self.by_request.iter().map(|(request, submission)| (*request, &submission.outcome))
     }
 
     /// The request that was settled in a record, if an order was.
     fn settled_in(&self, number: Edition) -> Option<RequestId> {
-        self.by_request.iter().find(|(_, order)| order.number == number).map(|(request, _)| *request)
+        self.by_request.iter().find(|(_, submission)| submission.number == number).map(|(request, _)| *request)
     }
 
     /// Remembers a request; the one settled longest ago makes room.
-    pub(crate) fn remember(&mut self, number: Edition, request: RequestId, fingerprint: BlockHash, outcome: Settled) {
-        self.by_request.insert(request, SettledOrder { number, fingerprint, outcome });
-        if self.by_request.len() <= REMEMBERED_ORDERS {
+    pub(crate) fn remember(
+        &mut self,
+        number: Edition,
+        request: RequestId,
+        fingerprint: BlockHash,
+        outcome: CommandOutcome,
+    ) {
+        self.by_request.insert(request, OperatorSubmission { number, fingerprint, outcome });
+        if self.by_request.len() <= MAX_OPERATOR_SUBMISSIONS {
             return;
         }
-        let oldest = self.by_request.iter().min_by_key(|(_, order)| order.number).map(|(request, _)| *request);
+        let oldest =
+            self.by_request.iter().min_by_key(|(_, submission)| submission.number).map(|(request, _)| *request);
         if let Some(oldest) = oldest {
             self.by_request.remove(&oldest);
         }
@@ -58,9 +65,9 @@
 
 impl FleetState {
     /// The request that was settled last.
-    pub fn last_settled(&self) -> Option<RequestId> {
-        let order = self.orders.settled_in(self.edition);
-        order.or_else(|| self.settled.back().map(|(request, _)| *request))
+    pub fn last_request(&self) -> Option<RequestId> {
+        let by_operator = self.operator_submissions.settled_in(self.edition);
+        by_operator.or_else(|| self.recent_outcomes.back().map(|(request, _)| *request))
     }
 }
 
@@ -87,16 +94,16 @@
 
     #[test]
     fn the_order_settled_longest_ago_makes_room() {
-        let mut orders = SettledOrders::default();
+        let mut submissions = OperatorSubmissions::default();
         let fingerprint = BlockHash(1);
-        let count = REMEMBERED_ORDERS as u64 + 3;
+        let count = MAX_OPERATOR_SUBMISSIONS as u64 + 3;
         for number in 1..=count {
-            let taken = Settled::Taken(Edition(number));
-            orders.remember(Edition(number), RequestId(u64::MAX - number), fingerprint, taken);
+            let taken = CommandOutcome::Applied(Edition(number));
+            submissions.remember(Edition(number), RequestId(u64::MAX - number), fingerprint, taken);
         }
         for number in 1..=count {
             let is_kept = number > 3;
-            assert_eq!(orders.outcome(RequestId(u64::MAX - number)).is_some(), is_kept, "{number}");
+            assert_eq!(submissions.outcome(RequestId(u64::MAX - number)).is_some(), is_kept, "{number}");
         }
     }
 }
--- a/crates/desired/src/plan_commands.rs
+++ b/crates/desired/src/plan_commands.rs
@@ -4,31 +4,31 @@
 
 impl FleetState {
     /// Settles a command on a plan.
-    pub(crate) fn settle_plan_command(&mut self, number: Edition, command: &Command) -> Settled {
+    pub(crate) fn apply_plan_command(&mut self, number: Edition, command: &Command) -> CommandOutcome {
         match command {
             Command::Intend(intent) => self.intend(number, intent),
             Command::Confirm { plan } => self.confirm(number, *plan),
             Command::DoStep { term, plan, step } => self.do_step(number, *term, *plan, *step),
             Command::EndPlan { term, plan, halted } => self.end_plan(number, *term, plan, halted.clone()),
-            _ => Settled::refused("", "not a plan's command"),
+            _ => CommandOutcome::refused("", "not a plan's command"),
         }
     }
 
     /// Turns an intent into a plan, which goes by this number.
-    fn intend(&mut self, number: Edition, intent: &Intent) -> Settled {
+    fn intend(&mut self, number: Edition, intent: &Intent) -> CommandOutcome {
         let steps = match self.plan_steps(intent) {
             Ok(steps) => steps,
-            Err(complaints) => return Settled::Refused(complaints),
+            Err(errors) => return CommandOutcome::Refused(errors),
         };
         let (intent, base) = (intent.clone(), self.desired_edition);
         let plan = Plan { intent, base, steps, done: 0, status: PlanStatus::Stated, confirmed: None };
         self.plans.insert(number, plan);
         self.drop_old_plans();
-        Settled::Taken(number)
+        CommandOutcome::Applied(number)
     }
 
     fn drop_old_plans(&mut self) {
-        while self.plans.len() > KEPT_PLANS {
+        while self.plans.len() > MAX_PLANS {
             let oldest_over = self.plans.iter().find(|(_, plan)| plan.is_over()).map(|(number, _)| *number);
             let Some(dropped) = oldest_over.or_else(|| self.plans.keys().next().copied()) else { return };
             self.plans.remove(&dropped);
@@ -36,42 +36,44 @@
     }
 
     /// Confirms a plan, if the document is still the one that it was made on.
-    fn confirm(&mut self, number: Edition, plan_number: Edition) -> Settled {
+    fn confirm(&mut self, number: Edition, plan_number: Edition) -> CommandOutcome {
         let desired_edition = self.desired_edition;
-        let Some(plan) = self.plans.get_mut(&plan_number) else { return Settled::refused("plan", "unknown plan") };
+        let Some(plan) = self.plans.get_mut(&plan_number) else {
+            return CommandOutcome::refused("plan", "unknown plan");
+        };
         if let Some(confirmed) = plan.confirmed {
-            return Settled::Taken(confirmed);
+            return CommandOutcome::Applied(confirmed);
         }
         match &plan.status {
-            PlanStatus::Stated if plan.base != desired_edition => Settled::Stale { now: desired_edition },
+            PlanStatus::Stated if plan.base != desired_edition => CommandOutcome::Stale { now: desired_edition },
             PlanStatus::Stated => {
                 plan.status = PlanStatus::Confirmed;
                 plan.confirmed = Some(number);
-                Settled::Taken(number)
+                CommandOutcome::Applied(number)
             }
-            PlanStatus::Expired => Settled::refused("plan", "the plan has expired"),
-            other => Settled::refused("plan", format!("the plan is {other:?}")),
+            PlanStatus::Expired => CommandOutcome::refused("plan", "the plan has expired"),
+            other => CommandOutcome::refused("plan", format!("the plan is {other:?}")),
         }
     }
 
     /// Does a plan's next step, and marks it done in the same record.
-    fn do_step(&mut self, number: Edition, term: Term, plan_number: Edition, step_number: usize) -> Settled {
-        if !self.conducts(term) {
-            return other_term();
+    fn do_step(&mut self, number: Edition, term: Term, plan_number: Edition, step_number: usize) -> CommandOutcome {
+        if !self.holds_conductor_term(term) {
+            return conductor_term_mismatch();
         }
         let plan = self.plans.get(&plan_number).filter(|plan| plan.done == step_number);
         let Some(step) = plan.and_then(Plan::next_step).cloned() else {
-            return Settled::refused("step", "not the next one");
+            return CommandOutcome::refused("step", "not the next one");
         };
-        let outcome = self.take_step(number, step);
+        let outcome = self.apply_step(number, step);
         if let Some(plan) = self.plans.get_mut(&plan_number) {
-            plan.note_step(&outcome);
+            plan.record_step(&outcome);
         }
         outcome
     }
 
     /// What a step changes in the state.
-    fn take_step(&mut self, number: Edition, step: Step) -> Settled {
+    fn apply_step(&mut self, number: Edition, step: Step) -> CommandOutcome {
         match step {
             Step::Patch(patch) => return self.patch_document(number, &patch),
             Step::Drain { engine } => {
@@ -82,27 +84,27 @@
             }
             Step::WaitWeights { .. } | Step::WaitIdle { .. } => {}
         }
-        Settled::Taken(number)
+        CommandOutcome::Applied(number)
     }
 
     /// Ends a plan that cannot go on, or that nobody confirmed.
-    fn end_plan(&mut self, number: Edition, term: Term, plan: &Edition, halted: Option<String>) -> Settled {
-        if !self.conducts(term) {
-            return other_term();
+    fn end_plan(&mut self, number: Edition, term: Term, plan: &Edition, halted: Option<String>) -> CommandOutcome {
+        if !self.holds_conductor_term(term) {
+            return conductor_term_mismatch();
         }
         let Some(ended) = self.plans.get_mut(plan).filter(|plan| !plan.is_over()) else {
-            return Settled::refused("plan", "unknown or over");
+            return CommandOutcome::refused("plan", "unknown or over");
         };
         ended.status = halted.map_or(PlanStatus::Expired, PlanStatus::Halted);
-        Settled::Taken(number)
+        CommandOutcome::Applied(number)
     }
 }
 
 impl Plan {
     /// Counts a step as done, or halts the plan if the step was refused.
-    fn note_step(&mut self, outcome: &Settled) {
-        if let Settled::Refused(complaints) = outcome {
-            let reasons: Vec<String> = complaints.iter().map(Complaint::to_string).collect();
+    fn record_step(&mut self, outcome: &CommandOutcome) {
+        if let CommandOutcome::Refused(errors) = outcome {
+            let reasons: Vec<String> = errors.iter().map(ValidationError::to_string).collect();
             self.status = PlanStatus::Halted(reasons.join("; "));
             return;
         }
--- a/crates/desired/src/plans.rs
+++ b/crates/desired/src/plans.rs
@@ -59,7 +59,7 @@
     pub confirmed: Option<Edition>,
 }
 
-pub const KEPT_PLANS: usize = 64;
+pub const MAX_PLANS: usize = 64;
 
 impl Plan {
     pub fn next_step(&self) -> Option<&Step> {
@@ -73,7 +73,7 @@
 
 impl Step {
     /// The step in a few words, for operators.
-    pub fn words(&self) -> String {
+    pub fn description(&self) -> String {
         match self {
             Step::Patch(patch) => format!("change the desired state by {patch}"),
             Step::WaitWeights { model, weights } => {
@@ -86,26 +86,26 @@
     }
 }
 
-/// Reads an intent from its JSON form; every complaint is listed.
-pub fn read_intent(value: &JsonValue) -> Result<Intent, Vec<Complaint>> {
-    let mut complaints = Vec::new();
+/// Reads an intent from its JSON form; every error is listed.
+pub fn read_intent(value: &JsonValue) -> Result<Intent, Vec<ValidationError>> {
+    let mut errors = Vec::new();
     let mut intent = None;
-    if let Some(mut fields) = Reader::open("", value, &mut complaints) {
+    if let Some(mut fields) = ObjectReader::open("", value, &mut errors) {
         intent = read_fields(&mut fields);
-        fields.close();
+        fields.finish();
     }
     match intent {
-        Some(intent) if complaints.is_empty() => Ok(intent),
-        _ => Err(complaints),
+        Some(intent) if errors.is_empty() => Ok(intent),
+        _ => Err(errors),
     }
 }
 
-fn read_fields(fields: &mut Reader<'_>) -> Option<Intent> {
+fn read_fields(fields: &mut ObjectReader<'_>) -> Option<Intent> {
     let name = fields.text("intent");
     let mut needed = |key: &str| {
         let found = fields.text(key);
         if found.is_none() {
-            fields.complain(key, "missing");
+            fields.report(key, "missing");
         }
         found
     };
@@ -119,25 +119,25 @@
         Some("end_trial") => Intent::EndTrial { tenants: read_tenants(fields)? },
         Some("move_weights") => {
             let model = ModelName(needed("model")?);
-            let Some(weights) = fields.whole("weights", 1, 1 << 53) else {
-                fields.complain("weights", "missing or unusable");
+            let Some(weights) = fields.integer("weights", 1, 1 << 53) else {
+                fields.report("weights", "missing or unusable");
                 return None;
             };
             Intent::MoveWeights { model, weights: WeightsEdition(weights) }
         }
         _ => {
             let known = "trial, end_trial, adopt, move_weights, wall, unwall, drain or undrain";
-            fields.complain("intent", format!("expected {known}"));
+            fields.report("intent", format!("expected {known}"));
             return None;
         }
     };
     Some(intent)
 }
 
-fn read_tenants(fields: &mut Reader<'_>) -> Option<Vec<TenantName>> {
+fn read_tenants(fields: &mut ObjectReader<'_>) -> Option<Vec<TenantName>> {
     let tenants = fields.texts("tenants").unwrap_or_default();
     if tenants.is_empty() {
-        fields.complain("tenants", "at least one tenant is needed");
+        fields.report("tenants", "at least one tenant is needed");
         return None;
     }
     Some(tenants.into_iter().map(TenantName).collect())
@@ -163,11 +163,11 @@
 
 impl FleetState {
     /// The steps an intent takes from this state, or what is wrong with it.
-    pub fn plan_steps(&self, intent: &Intent) -> Result<Vec<Step>, Vec<Complaint>> {
-        let mut complaints = Vec::new();
+    pub fn plan_steps(&self, intent: &Intent) -> Result<Vec<Step>, Vec<ValidationError>> {
+        let mut errors = Vec::new();
         let mut check = |is_known: bool, path: &str, reason: String| {
             if !is_known {
-                complaints.push(Complaint::at(path, reason));
+                errors.push(ValidationError::at(path, reason));
             }
         };
         let desired = &self.desired;
@@ -191,22 +191,22 @@
                 self.adopt_steps(policy)
             }
             Intent::MoveWeights { model, weights } => {
-                let current = desired.models.get(model).map(|wish| wish.weights);
+                let current = desired.models.get(model).map(|spec| spec.weights);
                 check(current.is_some(), "model", format!("unknown model {model}"));
                 let grows = current.is_none_or(|current| *weights > current);
                 check(grows, "weights", format!("weights editions only grow; now {}", current.unwrap_or_default()));
-                let wish = object(&model.0, object("weights", JsonValue::Number(weights.0 as f64)));
+                let spec = object(&model.0, object("weights", JsonValue::Number(weights.0 as f64)));
                 let wait = Step::WaitWeights { model: model.clone(), weights: *weights };
-                vec![patch_of(vec![("models", wish)]), wait]
+                vec![patch_of(vec![("models", spec)]), wait]
             }
             Intent::Wall { tenant } | Intent::Unwall { tenant } => {
                 let walls = matches!(intent, Intent::Wall { .. });
-                let wish = desired.tenants.get(tenant);
-                check(wish.is_some(), "tenant", format!("unknown tenant {tenant}"));
-                let changes = wish.is_none_or(|wish| wish.walled != walls);
+                let spec = desired.tenants.get(tenant);
+                check(spec.is_some(), "tenant", format!("unknown tenant {tenant}"));
+                let changes = spec.is_none_or(|spec| spec.walled != walls);
                 check(changes, "tenant", format!("{tenant} already stands so"));
-                let wish = object(&tenant.0, object("walled", JsonValue::Boolean(walls)));
-                vec![patch_of(vec![("tenants", wish)])]
+                let spec = object(&tenant.0, object("walled", JsonValue::Boolean(walls)));
+                vec![patch_of(vec![("tenants", spec)])]
             }
             Intent::Drain { engine } => {
                 check(self.listing.engines.contains_key(engine), "engine", format!("unknown engine {engine}"));
@@ -218,7 +218,7 @@
                 vec![Step::Undrain { engine: engine.clone() }]
             }
         };
-        if complaints.is_empty() { Ok(steps) } else { Err(complaints) }
+        if errors.is_empty() { Ok(steps) } else { Err(errors) }
     }
 
     fn adopt_steps(&self, policy: &str) -> Vec<Step> {
--- a/crates/desired/src/prelude.rs
+++ b/crates/desired/src/prelude.rs
@@ -1,5 +1,6 @@
 //! The one import of this package's files.
 
+pub use crate::adapter_placements::*;
 pub use crate::adapters::*;
 pub use crate::claims::*;
 pub use crate::commands::*;
@@ -7,12 +8,11 @@
 pub use crate::document::*;
 pub use crate::duties::*;
 pub use crate::fleet::*;
-pub use crate::held_adapters::*;
+pub use crate::json_text::*;
 pub use crate::listing::*;
-pub use crate::orders::*;
+pub use crate::object_reader::*;
+pub use crate::operator_submissions::*;
 pub use crate::plans::*;
-pub use crate::read::*;
-pub use crate::scan::*;
 pub use crate::traffic::*;
 pub use crate::walls::*;
 pub use policy::prelude::{Band, Policy, Rule, Table};
--- a/crates/desired/src/traffic.rs
+++ b/crates/desired/src/traffic.rs
@@ -5,7 +5,7 @@
 
 /// How a request of a route may be repeated, and what its answer looks like.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Variant {
+pub enum RouteKind {
     /// May run more than once.
     Pure,
     /// Runs at most once.
@@ -23,11 +23,11 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RouteWish {
+pub struct RouteSpec {
     pub host: String,
     /// Begins and ends with a slash.
     pub prefix: String,
-    pub variant: Variant,
+    pub variant: RouteKind,
     /// A broken stream may be taken up again after its last event.
     pub resumable: bool,
     /// The greatest number of engines one request may be sent to.
@@ -45,26 +45,26 @@
     pub branches: Vec<Branch>,
 }
 
-impl RouteWish {
+impl RouteSpec {
     /// Whether a request that may have run may be sent to an engine again from its beginning.
     pub fn is_repeatable(&self) -> bool {
         match self.variant {
-            Variant::Pure => true,
-            Variant::Effectful => false,
-            Variant::Streaming => self.resumable,
+            RouteKind::Pure => true,
+            RouteKind::Effectful => false,
+            RouteKind::Streaming => self.resumable,
         }
     }
 }
 
 /// A store of kept prompt parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreWish {
+pub struct StoreSpec {
     pub address: String,
     pub zone: Zone,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ServiceWish {
+pub struct ServiceSpec {
     pub models: Vec<ModelName>,
     /// Requests an engine works on at once.
     pub slots: u64,
@@ -80,19 +80,19 @@
     pub event_calls: u64,
     pub health_path: String,
     /// Set for a store, which serves no requests.
-    pub store: Option<StoreWish>,
+    pub store: Option<StoreSpec>,
 }
 
-impl ServiceWish {
+impl ServiceSpec {
     /// Whether its engines hold no models: neither weights nor kept parts are theirs.
     pub fn is_without_models(&self) -> bool {
         self.models.is_empty() && self.store.is_none()
     }
 }
 
-impl Default for ServiceWish {
+impl Default for ServiceSpec {
     fn default() -> Self {
-        ServiceWish {
+        ServiceSpec {
             models: Vec::new(),
             slots: 8,
             connections: 64,
@@ -126,98 +126,99 @@
     }
 }
 
-const MOST_BYTES: u64 = 1 << 40;
-const MOST_MILLIS: u64 = 1 << 40;
+const MAX_BYTES: u64 = 1 << 40;
+const MAX_MILLIS: u64 = 1 << 40;
 
-pub(crate) fn read_traffic(document: &mut Reader<'_>, desired_state: &mut DesiredState) {
-    document.each("services", |name, mut service| {
-        let wish = read_service(&mut service);
-        desired_state.services.insert(name.into(), wish);
-        service.close();
+pub(crate) fn read_traffic(document: &mut ObjectReader<'_>, desired_state: &mut DesiredState) {
+    document.for_each_entry("services", |name, mut service| {
+        let spec = read_service(&mut service);
+        desired_state.services.insert(name.into(), spec);
+        service.finish();
     });
-    document.each("routes", |name, mut route| {
-        let wish = read_route(&mut route);
-        desired_state.routes.insert(name.into(), wish);
-        route.close();
+    document.for_each_entry("routes", |name, mut route| {
+        let spec = read_route(&mut route);
+        desired_state.routes.insert(name.into(), spec);
+        route.finish();
     });
     read_limits(document, &mut desired_state.limits);
 }
 
-fn read_service(service: &mut Reader<'_>) -> ServiceWish {
-    let usual = ServiceWish::default();
+fn read_service(service: &mut ObjectReader<'_>) -> ServiceSpec {
+    let defaults = ServiceSpec::default();
     let store = service.text("store_address").map(|address| {
         if address.parse::<std::net::SocketAddr>().is_err() {
-            service.complain("store_address", "expected an IP address and port");
+            service.report("store_address", "expected an IP address and port");
         }
-        StoreWish { address, zone: Zone(service.text("store_zone").unwrap_or_default()) }
+        StoreSpec { address, zone: Zone(service.text("store_zone").unwrap_or_default()) }
     });
-    ServiceWish {
+    ServiceSpec {
         models: service.texts("models").unwrap_or_default().into_iter().map(ModelName).collect(),
-        slots: service.whole("slots", 1, 1 << 20).unwrap_or(usual.slots),
-        connections: service.whole("connections", 1, 1 << 24).unwrap_or(usual.connections),
-        cache_tokens: service.whole("cache_tokens", 0, MOST_BYTES).unwrap_or(usual.cache_tokens),
-        token_bytes: service.whole("token_bytes", 0, MOST_BYTES).unwrap_or(usual.token_bytes),
-        link_mbps: service.number("link_mbps", 0.0, 1e12).unwrap_or(usual.link_mbps),
-        event_calls: service.whole("event_calls", 1, 1 << 20).unwrap_or(usual.event_calls),
-        health_path: service.text("health_path").unwrap_or(usual.health_path),
+        slots: service.integer("slots", 1, 1 << 20).unwrap_or(defaults.slots),
+        connections: service.integer("connections", 1, 1 << 24).unwrap_or(defaults.connections),
+        cache_tokens: service.integer("cache_tokens", 0, MAX_BYTES).unwrap_or(defaults.cache_tokens),
+        token_bytes: service.integer("token_bytes", 0, MAX_BYTES).unwrap_or(defaults.token_bytes),
+        link_mbps: service.number("link_mbps", 0.0, 1e12).unwrap_or(defaults.link_mbps),
+        event_calls: service.integer("event_calls", 1, 1 << 20).unwrap_or(defaults.event_calls),
+        health_path: service.text("health_path").unwrap_or(defaults.health_path),
         store,
     }
 }
 
-fn read_route(route: &mut Reader<'_>) -> RouteWish {
+fn read_route(route: &mut ObjectReader<'_>) -> RouteSpec {
     let variant = match route.text("variant").as_deref() {
-        Some("pure") => Variant::Pure,
-        Some("streaming") => Variant::Streaming,
-        Some("effectful") | None => Variant::Effectful,
+        Some("pure") => RouteKind::Pure,
+        Some("streaming") => RouteKind::Streaming,
+        Some("effectful") | None => RouteKind::Effectful,
         Some(_) => {
-            route.complain("variant", "expected pure, effectful or streaming");
-            Variant::Effectful
+            route.report("variant", "expected pure, effectful or streaming");
+            RouteKind::Effectful
         }
     };
-    let mut millis =
-        |key: &str, lowest: u64, usual: u64| Span::millis(route.whole(key, lowest, MOST_MILLIS).unwrap_or(usual));
+    let mut millis = |key: &str, lowest: u64, default: u64| {
+        Span::millis(route.integer(key, lowest, MAX_MILLIS).unwrap_or(default))
+    };
     let (limit, target, gap_target) =
         (millis("limit_ms", 1, 10_000), millis("target_ms", 0, 1000), millis("gap_target_ms", 0, 1000));
-    let mut wish = RouteWish {
+    let mut spec = RouteSpec {
         host: route.text("host").unwrap_or_default(),
         prefix: route.text("prefix").unwrap_or_else(|| "/".into()),
         variant,
         resumable: route.flag("resumable").unwrap_or(false),
-        attempts: route.whole("attempts", 1, 100).unwrap_or(1),
+        attempts: route.integer("attempts", 1, 100).unwrap_or(1),
         limit,
         target,
         gap_target,
-        priority: route.whole("priority", 0, 1000).unwrap_or(5),
+        priority: route.integer("priority", 0, 1000).unwrap_or(5),
         public: route.flag("public").unwrap_or(false),
         branches: Vec::new(),
     };
-    route.items("branches", |mut branch| {
+    route.for_each_item("branches", |mut branch| {
         let service = branch.text("service").unwrap_or_default();
-        let share = branch.whole("share", 0, 1 << 32).unwrap_or(1);
-        wish.branches.push(Branch { service: ServiceName(service), share });
-        branch.close();
+        let share = branch.integer("share", 0, 1 << 32).unwrap_or(1);
+        spec.branches.push(Branch { service: ServiceName(service), share });
+        branch.finish();
     });
-    if !(wish.prefix.starts_with('/') && wish.prefix.ends_with('/')) {
-        route.complain("prefix", "begins and ends with a slash");
+    if !(spec.prefix.starts_with('/') && spec.prefix.ends_with('/')) {
+        route.report("prefix", "begins and ends with a slash");
     }
-    if wish.branches.iter().all(|branch| branch.share == 0) {
-        route.complain("branches", "the shares add up to nothing");
+    if spec.branches.iter().all(|branch| branch.share == 0) {
+        route.report("branches", "the shares add up to nothing");
     }
-    wish
+    spec
 }
 
-fn read_limits(document: &mut Reader<'_>, limits: &mut CallerLimits) {
+fn read_limits(document: &mut ObjectReader<'_>, limits: &mut CallerLimits) {
     let Some(mut fields) = document.member("limits") else { return };
-    limits.header_bytes = fields.whole("header_bytes", 256, MOST_BYTES).unwrap_or(limits.header_bytes);
-    limits.body_bytes = fields.whole("body_bytes", 0, MOST_BYTES).unwrap_or(limits.body_bytes);
-    let mut millis = |key: &str, usual: Span| fields.whole(key, 1, MOST_MILLIS).map_or(usual, Span::millis);
+    limits.header_bytes = fields.integer("header_bytes", 256, MAX_BYTES).unwrap_or(limits.header_bytes);
+    limits.body_bytes = fields.integer("body_bytes", 0, MAX_BYTES).unwrap_or(limits.body_bytes);
+    let mut millis = |key: &str, default: Span| fields.integer(key, 1, MAX_MILLIS).map_or(default, Span::millis);
     limits.header_time = millis("header_ms", limits.header_time);
     limits.idle_time = millis("idle_ms", limits.idle_time);
-    fields.close();
+    fields.finish();
 }
 
 /// Routes name known services, and no two of them take the same requests.
-pub(crate) fn check_traffic(desired_state: &DesiredState, complaints: &mut Vec<Complaint>) {
+pub(crate) fn check_traffic(desired_state: &DesiredState, errors: &mut Vec<ValidationError>) {
     let mut places: BTreeMap<(&str, &str), &RouteName> = BTreeMap::new();
     for (name, route) in &desired_state.routes {
         for branch in &route.branches {
@@ -225,11 +226,11 @@
                 desired_state.services.get(&branch.service).is_some_and(|service| service.store.is_none());
             if !is_served {
                 let reason = format!("unknown service {}", branch.service);
-                complaints.push(Complaint::at(&format!("routes.{name}.branches"), reason));
+                errors.push(ValidationError::at(&format!("routes.{name}.branches"), reason));
             }
         }
         if let Some(other) = places.insert((&route.host, &route.prefix), name) {
-            complaints.push(Complaint::at(&format!("routes.{name}"), format!("same host and prefix as {other}")));
+            errors.push(ValidationError::at(&format!("routes.{name}"), format!("same host and prefix as {other}")));
         }
     }
 }
@@ -238,10 +239,10 @@
 mod tests {
     use crate::prelude::*;
 
-    fn complaints_of(text: &str) -> Vec<String> {
+    fn errors_of(text: &str) -> Vec<String> {
         let document = parse_bounded(text, DOCUMENT_BOUNDS).unwrap();
-        let complaints = read_document(&document).err().unwrap_or_default();
-        complaints.into_iter().map(|complaint| complaint.path).collect()
+        let errors = read_document(&document).err().unwrap_or_default();
+        errors.into_iter().map(|error| error.path).collect()
     }
 
     #[test]
@@ -249,7 +250,7 @@
         let service = r#""services":{"s":{"models":["m"],"slots":4},"k":{"store_address":"127.0.0.1:1"}}"#;
         let route = |fields: &str| format!(r#"{{{service},"routes":{{"r":{{"host":"h",{fields}}}}}}}"#);
         let whole = route(r#""prefix":"/a/","branches":[{"service":"s","share":1}]"#);
-        assert!(complaints_of(&whole).is_empty());
+        assert!(errors_of(&whole).is_empty());
         for (fields, path) in [
             (r#""branches":[{"service":"x","share":1}]"#, "routes.r.branches"),
             (r#""branches":[{"service":"k","share":1}]"#, "routes.r.branches"),
@@ -257,11 +258,11 @@
             (r#""prefix":"a/","branches":[{"service":"s"}]"#, "routes.r.prefix"),
             (r#""limit_ms":0,"branches":[{"service":"s"}]"#, "routes.r.limit_ms"),
         ] {
-            assert_eq!(complaints_of(&route(fields)), [path], "{fields}");
+            assert_eq!(errors_of(&route(fields)), [path], "{fields}");
         }
         let twice = format!(
             r#"{{{service},"routes":{{"r":{{"host":"h","branches":[{{"service":"s"}}]}},"q":{{"host":"h","branches":[{{"service":"s"}}]}}}}}}"#
         );
-        assert_eq!(complaints_of(&twice), ["routes.r"]);
+        assert_eq!(errors_of(&twice), ["routes.r"]);
     }
 }
--- a/crates/desired/src/walls.rs
+++ b/crates/desired/src/walls.rs
@@ -17,10 +17,10 @@
 
     /// A tenant newly walled gets a wall of its own, and shared memory, which may hold what it made
     /// before, starts over for everybody else.
-    pub(crate) fn move_walls(&mut self, number: Edition, next_desired: &DesiredState) {
-        for (tenant, wish) in &next_desired.tenants {
+    pub(crate) fn update_walls(&mut self, number: Edition, next_desired: &DesiredState) {
+        for (tenant, spec) in &next_desired.tenants {
             let was_walled = self.walls.contains_key(tenant);
-            if wish.walled && !was_walled {
+            if spec.walled && !was_walled {
                 let own_wall = BlockHash::over(&[b"wall", tenant.as_str().as_bytes(), &number.0.to_le_bytes()]);
                 let wall = Wall { id: WallId(own_wall.0.max(1)), edition: WallEdition(number.0) };
                 self.walls.insert(tenant.clone(), wall);
@@ -29,6 +29,6 @@
                 }
             }
         }
-        self.walls.retain(|tenant, _| next_desired.tenants.get(tenant).is_some_and(|wish| wish.walled));
+        self.walls.retain(|tenant, _| next_desired.tenants.get(tenant).is_some_and(|spec| spec.walled));
     }
 }
--- a/crates/desired/tests/fleet_state.rs
+++ b/crates/desired/tests/fleet_state.rs
@@ -3,11 +3,11 @@
 use desired::prelude::*;
 use units::prelude::*;
 
-fn submit(state: &mut FleetState, command: Command) -> Settled {
+fn submit(state: &mut FleetState, command: Command) -> CommandOutcome {
     state.apply(&Submission { request: RequestId::random(), command })
 }
 
-fn merge_in(state: &mut FleetState, patch: &str) -> Settled {
+fn merge_in(state: &mut FleetState, patch: &str) -> CommandOutcome {
     submit(state, Command::Merge { base: None, patch: patch.into() })
 }
 
@@ -40,11 +40,11 @@
         request: RequestId(7),
         command: Command::Merge { base: Some(Edition(0)), patch: r#"{"kinds":["x"]}"#.into() },
     };
-    assert_eq!(state.apply(&submission), Settled::Taken(Edition(1)));
-    assert_eq!(state.apply(&submission), Settled::Taken(Edition(1)));
+    assert_eq!(state.apply(&submission), CommandOutcome::Applied(Edition(1)));
+    assert_eq!(state.apply(&submission), CommandOutcome::Applied(Edition(1)));
     assert_eq!(state.desired_edition, Edition(1));
     let late = Command::Merge { base: Some(Edition(0)), patch: "{}".into() };
-    assert_eq!(submit(&mut state, late), Settled::Stale { now: Edition(1) });
+    assert_eq!(submit(&mut state, late), CommandOutcome::Stale { now: Edition(1) });
 }
 
 #[test]
@@ -53,7 +53,7 @@
     merge_in(&mut state, r#"{"models":{"m":{"weights":2}}}"#);
     let state_before = state.clone();
     for patch in [r#"{"models":{"m":{"weights":1}}}"#, r#"{"x":1}"#, "{", "[]"] {
-        assert!(matches!(merge_in(&mut state, patch), Settled::Refused(_)), "{patch}");
+        assert!(matches!(merge_in(&mut state, patch), CommandOutcome::Refused(_)), "{patch}");
     }
     assert_eq!(state.desired, state_before.desired);
     assert_eq!(state.desired_edition, state_before.desired_edition);
@@ -63,8 +63,8 @@
 fn an_older_listing_is_not_taken_back() {
     let mut state = FleetState::default();
     let listing = |number| Listing { boot: "b".into(), number: ListingNumber(number), ..Listing::default() };
-    assert!(matches!(submit(&mut state, Command::List(listing(5))), Settled::Taken(_)));
-    assert!(matches!(submit(&mut state, Command::List(listing(4))), Settled::Refused(_)));
+    assert!(matches!(submit(&mut state, Command::List(listing(5))), CommandOutcome::Applied(_)));
+    assert!(matches!(submit(&mut state, Command::List(listing(4))), CommandOutcome::Refused(_)));
     assert_eq!(state.listing.number, ListingNumber(5));
 }
 
@@ -74,43 +74,46 @@
     merge_in(&mut state, r#"{"models":{"m":{"weights":1}},"tenants":{"a":{}},"policies":{"p":{"weight":4}}}"#);
     submit(&mut state, Command::Appoint { kind: DutyKind::Conductor, from_term: Term(0), holder: NodeId(1) });
     let intend = |state: &mut FleetState, intent| match submit(state, Command::Intend(intent)) {
-        Settled::Taken(plan) => plan,
+        CommandOutcome::Applied(plan) => plan,
         other => panic!("{other:?}"),
     };
     let tenants = vec![TenantName::from("a")];
     let plan = intend(&mut state, Intent::Trial { policy: "p".into(), tenants: tenants.clone() });
     let step = |term, step| Command::DoStep { term: Term(term), plan, step };
-    assert!(matches!(submit(&mut state, step(1, 0)), Settled::Refused(_)), "not confirmed yet");
+    assert!(matches!(submit(&mut state, step(1, 0)), CommandOutcome::Refused(_)), "not confirmed yet");
     let confirmed = submit(&mut state, Command::Confirm { plan });
     assert_eq!(submit(&mut state, Command::Confirm { plan }), confirmed, "twice is once");
-    assert!(matches!(submit(&mut state, step(2, 0)), Settled::Refused(_)), "another term");
-    assert!(matches!(submit(&mut state, step(1, 0)), Settled::Taken(_)));
+    assert!(matches!(submit(&mut state, step(2, 0)), CommandOutcome::Refused(_)), "another term");
+    assert!(matches!(submit(&mut state, step(1, 0)), CommandOutcome::Applied(_)));
     assert_eq!(state.desired.trials[&tenants[0]], "p");
-    assert!(matches!(submit(&mut state, step(1, 0)), Settled::Refused(_)), "a step is done once");
+    assert!(matches!(submit(&mut state, step(1, 0)), CommandOutcome::Refused(_)), "a step is done once");
     assert_eq!(state.plans[&plan].status, PlanStatus::Done);
 
     let late_plan = intend(&mut state, Intent::Adopt { policy: "p".into() });
     merge_in(&mut state, r#"{"kinds":["moved"]}"#);
-    assert!(matches!(submit(&mut state, Command::Confirm { plan: late_plan }), Settled::Stale { .. }));
+    assert!(matches!(submit(&mut state, Command::Confirm { plan: late_plan }), CommandOutcome::Stale { .. }));
     let adopted = intend(&mut state, Intent::Adopt { policy: "p".into() });
     submit(&mut state, Command::EndPlan { term: Term(1), plan: late_plan, halted: None });
-    assert!(matches!(submit(&mut state, Command::Confirm { plan: late_plan }), Settled::Refused(_)), "expired");
+    assert!(
+        matches!(submit(&mut state, Command::Confirm { plan: late_plan }), CommandOutcome::Refused(_)),
+        "expired"
+    );
     submit(&mut state, Command::Confirm { plan: adopted });
     submit(&mut state, Command::DoStep { term: Term(1), plan: adopted, step: 0 });
     assert_eq!((state.desired.policies["default"].weight, state.desired.trials.len()), (4.0, 0));
     let unknown = Intent::Wall { tenant: "nobody".into() };
-    assert!(matches!(submit(&mut state, Command::Intend(unknown)), Settled::Refused(_)));
+    assert!(matches!(submit(&mut state, Command::Intend(unknown)), CommandOutcome::Refused(_)));
 }
 
 #[test]
 fn a_claim_is_held_until_released_by_its_own_run() {
     let mut state = FleetState::default();
     let claim = |run| Command::Claim { claim: BlockHash(7), router: NodeId(1), run };
-    assert!(matches!(submit(&mut state, claim(1)), Settled::Taken(_)));
-    let Settled::Refused(complaints) = submit(&mut state, claim(2)) else { panic!("claimed twice") };
-    assert_eq!(complaints[0].path, format!("{}.1", NodeId(1)));
+    assert!(matches!(submit(&mut state, claim(1)), CommandOutcome::Applied(_)));
+    let CommandOutcome::Refused(errors) = submit(&mut state, claim(2)) else { panic!("claimed twice") };
+    assert_eq!(errors[0].path, format!("{}.1", NodeId(1)));
     submit(&mut state, Command::Release { claim: BlockHash(7), router: NodeId(1), run: 2 });
-    assert!(matches!(submit(&mut state, claim(3)), Settled::Refused(_)), "not its own run");
+    assert!(matches!(submit(&mut state, claim(3)), CommandOutcome::Refused(_)), "not its own run");
     submit(&mut state, Command::Release { claim: BlockHash(7), router: NodeId(1), run: 1 });
-    assert!(matches!(submit(&mut state, claim(3)), Settled::Taken(_)));
+    assert!(matches!(submit(&mut state, claim(3)), CommandOutcome::Applied(_)));
 }
--- a/crates/desired/tests/orders.rs
+++ b/crates/desired/tests/orders.rs
@@ -9,7 +9,7 @@
     Command::Merge { base: Some(Edition(base)), patch: format!(r#"{{"kinds":["{kind}"]}}"#) }
 }
 
-fn submit(state: &mut FleetState, request: RequestId, command: Command) -> Settled {
+fn submit(state: &mut FleetState, request: RequestId, command: Command) -> CommandOutcome {
     state.apply(&Submission { request, command })
 }
 
@@ -17,7 +17,7 @@
 fn an_order_sent_again_after_thousands_of_claims_and_listings_is_the_same_order() {
     let mut state = FleetState::default();
     let taken = submit(&mut state, REQUEST, merge(0, "a"));
-    assert_eq!(taken, Settled::Taken(Edition(1)));
+    assert_eq!(taken, CommandOutcome::Applied(Edition(1)));
     for number in 0..2000 {
         let command = match number % 2 {
             0 => Command::Claim { claim: BlockHash(number), router: NodeId(1), run: number },
@@ -34,10 +34,10 @@
     let mut state = FleetState::default();
     submit(&mut state, REQUEST, merge(0, "a"));
     let (same, other) = (merge(0, "a").order_fingerprint(), merge(0, "b").order_fingerprint());
-    assert_eq!(state.id_in_use(REQUEST, same), None);
-    assert!(matches!(state.id_in_use(REQUEST, other), Some(Settled::Refused(_))));
-    assert_eq!(state.id_in_use(RequestId(8), other), None);
-    assert_eq!(state.id_in_use(REQUEST, None), None, "a question about the id alone");
+    assert_eq!(state.request_id_conflict(REQUEST, same), None);
+    assert!(matches!(state.request_id_conflict(REQUEST, other), Some(CommandOutcome::Refused(_))));
+    assert_eq!(state.request_id_conflict(RequestId(8), other), None);
+    assert_eq!(state.request_id_conflict(REQUEST, None), None, "a question about the id alone");
 }
 
 /// Each kind of order differs from each other by all that it says.
--- a/crates/gateway/src/candidates.rs
+++ b/crates/gateway/src/candidates.rs
@@ -10,7 +10,7 @@
     model: Option<&ModelName>,
     now: Instant,
 ) -> Vec<Candidate> {
-    let usual = ServiceWish::default();
+    let usual = ServiceSpec::default();
     let wish = sight.state.desired.services.get(service).unwrap_or(&usual);
     let listed = sight.state.listing.engines.iter().filter(|(_, listed)| listed.service == *service);
     listed
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -21,7 +21,7 @@
 pub(crate) use admission::prelude::RetryBudget;
 pub(crate) use attempts::prelude::is_leased;
 pub(crate) use blocks::prelude::Salt;
-pub(crate) use desired::prelude::{DesiredState, ServiceWish};
+pub(crate) use desired::prelude::{DesiredState, ServiceSpec};
 pub use parts::prelude::{PartBatch, PartEvent, PartName, SourcePosition};
 pub(crate) use placement::prelude::{DEFAULT_POLICY, FleetSight, OldWeightsSpan};
 pub(crate) use process::prelude::{Report, event, miette, sha256_hex};
@@ -29,7 +29,7 @@
 pub use router::prelude::RouterAddress;
 pub use router::prelude::Timing;
 pub(crate) use router::prelude::{CoreLine, FeedPlan, GrantNews, SharedState, keep_feed};
-pub(crate) use routes::prelude::{NamedRoute, Variant};
+pub(crate) use routes::prelude::{NamedRoute, RouteKind};
 pub use selection::prelude::{
     Band, Candidate, Chosen, FaultKind, FollowOutcome, OwnWork, Selection, SelectionRequest, SelectionSettings,
     Selector, StorePlace, store_source,
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -30,12 +30,12 @@
         ExchangeTerms {
             attempts: wish.attempts.max(1),
             repeatable: wish.is_repeatable(),
-            resumable: wish.variant == Variant::Streaming && wish.resumable,
+            resumable: wish.variant == RouteKind::Streaming && wish.resumable,
         }
     }
 
     pub fn streams(&self) -> bool {
-        self.route.wish.variant == Variant::Streaming
+        self.route.wish.variant == RouteKind::Streaming
     }
 
     /// How urgent the request is to an engine: the tenant's priority goes before the route's.
--- a/crates/gateway/tests/several_models.rs
+++ b/crates/gateway/tests/several_models.rs
@@ -11,7 +11,7 @@
     let mut state = FleetState::default();
     let mut apply = |command| {
         let outcome = state.apply(&Submission { request: RequestId::random(), command });
-        assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
+        assert!(matches!(outcome, CommandOutcome::Applied(_)), "{outcome:?}");
     };
     let document = r#"{"models":{"m0":{},"m1":{"weights":3}},"services":{"s":{"models":["m0","m1"]}}}"#;
     apply(Command::Merge { base: None, patch: document.into() });
--- a/crates/gateway/tests/without_models.rs
+++ b/crates/gateway/tests/without_models.rs
@@ -24,7 +24,7 @@
     let mut state = FleetState::default();
     let mut apply = |command| {
         let outcome = state.apply(&Submission { request: RequestId::random(), command });
-        assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
+        assert!(matches!(outcome, CommandOutcome::Applied(_)), "{outcome:?}");
     };
     let document = r#"{"models":{"m":{"weights":2}},"services":{"pool":{"models":["m"]},"app":{"models":[]},
         "kept":{"models":[],"store_address":"10.0.0.9:1"}}}"#;
@@ -89,8 +89,8 @@
 #[test]
 fn a_closed_or_drained_one_takes_nothing() {
     let mut closed = state();
-    let standing = Standing { closed: true, ..Standing::default() };
-    closed.standings.insert("app-1".into(), standing);
+    let standing = EngineStatus { closed: true, ..EngineStatus::default() };
+    closed.engine_statuses.insert("app-1".into(), standing);
     closed.drained.insert("app-2".into());
     assert_eq!(found(&sight(closed), "app", None), [""; 0]);
 }
--- a/crates/keeper/src/adapters_page.rs
+++ b/crates/keeper/src/adapters_page.rs
@@ -12,7 +12,7 @@
         .map(|(name, wish)| {
             let owners: Vec<&str> = wish.owners.iter().map(TenantName::as_str).collect();
             json!({"name": name.as_str(), "model": wish.model.as_str(), "owners": owners,
-                   "revision": wish.revision.0, "in_force": state.adapters.in_force.get(name).map(|known| known.0),
+                   "revision": wish.revision.0, "in_force": state.adapters.active_revisions.get(name).map(|known| known.0),
                    "copies": show_copies(state, name), "requests_a_minute": show_demand(state, name, heard)})
         })
         .collect();
--- a/crates/keeper/src/bringing.rs
+++ b/crates/keeper/src/bringing.rs
@@ -51,7 +51,8 @@
                         Bringing::Stand { engine, standing: wanted } => {
                             if standing.insert(engine.clone()) {
                                 event!(info, "engine_stands", engine = engine, closed = wanted.closed, term = term);
-                                let command = Command::Stand { term, engine: engine.clone(), standing: wanted };
+                                let command =
+                                    Command::SetEngineStatus { term, engine: engine.clone(), status: wanted };
                                 under_way.spawn(stand(executor.clone(), engine, command));
                             }
                         }
--- a/crates/keeper/src/conducting.rs
+++ b/crates/keeper/src/conducting.rs
@@ -67,7 +67,12 @@
                 Act::Stand { engine, standing } => {
                     event!(info, "engine_stands", engine = engine, closed = standing.closed, term = term);
                     let naming = engine.clone();
-                    submit_once(&executor, &mut ordering, naming, Command::Stand { term, engine, standing });
+                    submit_once(
+                        &executor,
+                        &mut ordering,
+                        naming,
+                        Command::SetEngineStatus { term, engine, status: standing },
+                    );
                 }
                 Act::Load { engine, address, weights } => {
                     let wish = OrderWish::LoadWeights { weights: weights.0 };
@@ -116,7 +121,7 @@
         WarmingAct::UseRevision { adapter } => {
             event!(info, "adapter_revision", adapter = adapter, term = term);
             let naming = EngineName(format!("revision {}", adapter.name));
-            submit_once(executor, ordering, naming, Command::UseRevision { term, adapter });
+            submit_once(executor, ordering, naming, Command::ActivateRevision { term, adapter });
         }
         WarmingAct::Load { engine, address, adapter } => {
             let wish = OrderWish::LoadAdapter { adapter: adapter.to_string() };
--- a/crates/keeper/src/executor.rs
+++ b/crates/keeper/src/executor.rs
@@ -25,7 +25,7 @@
         adapters: state.adapters.clone(),
         listing: state.listing.clone(),
         listing_edition: state.listing_edition,
-        standings: state.standings.clone(),
+        engine_statuses: state.engine_statuses.clone(),
         duties: state.duties.clone(),
         plans: state.plans.clone(),
         drained: state.drained.clone(),
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -56,7 +56,7 @@
             ("GET", ["v1", "requests", request]) => match request.parse::<RequestId>() {
                 Ok(request) => {
                     let answer =
-                        self.executor.ask(Question::Settled { request, fingerprint: None }, READ_LIMIT).await;
+                        self.executor.ask(Question::CommandOutcome { request, fingerprint: None }, READ_LIMIT).await;
                     tell_outcome(request, answer)
                 }
                 Err(_) => refuse(StatusCode::BAD_REQUEST, "bad_request", "a request id has 16 hex digits"),
@@ -115,7 +115,7 @@
             Err(complaint) => return tell_complaints(&[complaint]),
         };
         if !is_whole && !matches!(document, JsonValue::Object(_)) {
-            return tell_complaints(&[Complaint::at("", "a merge patch is an object")]);
+            return tell_complaints(&[ValidationError::at("", "a merge patch is an object")]);
         }
         let command = if is_whole {
             if let Err(complaints) = read_document(&document) {
@@ -139,7 +139,9 @@
             Err(answered) => return *answered,
         };
         let answer = self.executor.submit(request, Command::Intend(intent), CHANGE_LIMIT).await;
-        let AskOutcome::Settled(Settled::Taken(number)) = answer else { return tell_outcome(request, answer) };
+        let AskOutcome::CommandOutcome(CommandOutcome::Applied(number)) = answer else {
+            return tell_outcome(request, answer);
+        };
         let Some(state) = self.read_state().await else { return no_core() };
         match state.plans.get(&number) {
             Some(plan) => outcome_json(StatusCode::CREATED, &show_plan(number, plan)),
@@ -224,7 +226,7 @@
             .engines
             .iter()
             .map(|(name, engine)| {
-                let standing = state.standings.get(name).cloned().unwrap_or_default();
+                let standing = state.engine_statuses.get(name).cloned().unwrap_or_default();
                 json!({"name": name.as_str(), "address": engine.address, "zone": engine.zone.as_str(),
                        "model": engine.model.as_str(), "listed": format!("{:?}", engine.listed).to_lowercase(),
                        "closed": standing.closed, "weights": standing.confirmed.map(|(weights, _)| weights.0)})
@@ -257,8 +259,8 @@
     }
 }
 
-async fn read_document_of(asked: &mut Asked) -> Result<JsonValue, Vec<Complaint>> {
-    let unreadable = |reason: &str| vec![Complaint::at("", reason)];
+async fn read_document_of(asked: &mut Asked) -> Result<JsonValue, Vec<ValidationError>> {
+    let unreadable = |reason: &str| vec![ValidationError::at("", reason)];
     let body = asked.read_body(1 << 20).await.map_err(|fault| unreadable(&format!("{fault:?}")))?;
     let text = std::str::from_utf8(&body).map_err(|_| unreadable("not UTF-8"))?;
     parse_bounded(text, DOCUMENT_BOUNDS).map_err(|complaint| vec![complaint])
@@ -274,7 +276,7 @@
         .steps
         .iter()
         .enumerate()
-        .map(|(place, step)| json!({"step": place + 1, "what": step.words(), "done": place < plan.done}))
+        .map(|(place, step)| json!({"step": place + 1, "what": step.description(), "done": place < plan.done}))
         .collect();
     let (status, reason) = match &plan.status {
         PlanStatus::Stated => ("stated", None),
@@ -349,7 +351,7 @@
         .map_err(|_| Box::new(refuse(StatusCode::BAD_REQUEST, "bad_request", "x-request-id has 16 hex digits")))
 }
 
-fn tell_complaints(complaints: &[Complaint]) -> WebOutcome {
+fn tell_complaints(complaints: &[ValidationError]) -> WebOutcome {
     let listed: Vec<Value> =
         complaints.iter().map(|complaint| json!({"path": complaint.path, "reason": complaint.reason})).collect();
     let answer = json!({"error": {"type": "refused", "message": "the change was refused", "complaints": listed}});
@@ -358,15 +360,15 @@
 
 fn tell_outcome(request: RequestId, outcome: AskOutcome) -> WebOutcome {
     let answered = match outcome {
-        AskOutcome::Settled(Settled::Taken(edition)) => {
+        AskOutcome::CommandOutcome(CommandOutcome::Applied(edition)) => {
             outcome_json(StatusCode::OK, &json!({"edition": edition.0, "request": request.to_string()}))
                 .with_header("etag", &format!("\"{edition}\""))
         }
-        AskOutcome::Settled(Settled::Stale { now }) => {
+        AskOutcome::CommandOutcome(CommandOutcome::Stale { now }) => {
             let shown = json!({"error": {"type": "stale", "message": "the desired state has moved"}, "now": now.0});
             outcome_json(StatusCode::PRECONDITION_FAILED, &shown).with_header("etag", &format!("\"{now}\""))
         }
-        AskOutcome::Settled(Settled::Refused(complaints)) => tell_complaints(&complaints),
+        AskOutcome::CommandOutcome(CommandOutcome::Refused(complaints)) => tell_complaints(&complaints),
         _ => {
             let reason = "not known to be in force; ask again under this request id";
             let shown = json!({"error": {"type": "unknown", "message": reason}, "request": request.to_string()});
--- a/crates/keeper/src/ports.rs
+++ b/crates/keeper/src/ports.rs
@@ -73,8 +73,8 @@
     fn page(&self, method: &Method, segments: &[&str]) -> Option<OperatorPage>;
     /// The header that names the revision a change builds on, and its reading.
     fn base(&self, headers: &HeaderMap) -> Result<Revision, String>;
-    fn whole(&self, body: &JsonValue) -> Result<ReadConfiguration, Vec<Complaint>>;
+    fn whole(&self, body: &JsonValue) -> Result<ReadConfiguration, Vec<ValidationError>>;
     /// The configuration that a change of named items makes of the one before.
-    fn patched(&self, source: &str, body: &JsonValue) -> Result<ReadConfiguration, Vec<Complaint>>;
-    fn weights(&self, body: &JsonValue) -> Result<(ModelName, WeightsEdition), Vec<Complaint>>;
+    fn patched(&self, source: &str, body: &JsonValue) -> Result<ReadConfiguration, Vec<ValidationError>>;
+    fn weights(&self, body: &JsonValue) -> Result<(ModelName, WeightsEdition), Vec<ValidationError>>;
 }
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -37,7 +37,7 @@
             }
             Err(_) => return refuse(StatusCode::BAD_REQUEST, "bad_request", "the body did not arrive whole"),
         };
-        let read = std::str::from_utf8(&body).map_err(|_| Complaint::at("", "not UTF-8"));
+        let read = std::str::from_utf8(&body).map_err(|_| ValidationError::at("", "not UTF-8"));
         let body = match read.and_then(|text| parse_bounded(text, BODY_BOUNDS)) {
             Ok(body) => body,
             Err(complaint) => return tell_faults(&[complaint]),
@@ -83,7 +83,7 @@
         &self,
         base: Revision,
         fingerprint: BlockHash,
-        read: Result<ReadConfiguration, Vec<Complaint>>,
+        read: Result<ReadConfiguration, Vec<ValidationError>>,
     ) -> WebOutcome {
         let ReadConfiguration { revision, document, source } = match read {
             Ok(read) => read,
@@ -113,8 +113,9 @@
             if in_force == base {
                 return self.configure(base, fingerprint, self.protocol.patched(&source, body)).await;
             }
-            let outcome = self.settle(Command::RecallChange { base, fingerprint }).await;
-            let is_base_now = matches!(outcome, AskOutcome::Settled(Settled::Stale { now }) if now.0 == base.0);
+            let outcome = self.settle(Command::QueryChange { base, fingerprint }).await;
+            let is_base_now =
+                matches!(outcome, AskOutcome::CommandOutcome(CommandOutcome::Stale { now }) if now.0 == base.0);
             if !is_base_now {
                 return tell(outcome);
             }
@@ -127,9 +128,9 @@
             Ok(named) => named,
             Err(complaints) => return tell_faults(&complaints),
         };
-        match self.settle(Command::NameWeights { model, weights }).await {
+        match self.settle(Command::RaiseWeights { model, weights }).await {
             // Newer ones were named since.
-            AskOutcome::Settled(Settled::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
+            AskOutcome::CommandOutcome(CommandOutcome::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
             outcome => tell(outcome),
         }
     }
@@ -142,21 +143,23 @@
 /// What became of a change, as logs name it.
 fn outcome_name(outcome: &AskOutcome) -> &'static str {
     match outcome {
-        AskOutcome::Settled(Settled::Taken(_)) => "acknowledged",
-        AskOutcome::Settled(Settled::Stale { .. }) => "stale",
-        AskOutcome::Settled(Settled::Refused(_)) => "refused",
+        AskOutcome::CommandOutcome(CommandOutcome::Applied(_)) => "acknowledged",
+        AskOutcome::CommandOutcome(CommandOutcome::Stale { .. }) => "stale",
+        AskOutcome::CommandOutcome(CommandOutcome::Refused(_)) => "refused",
         _ => "unknown",
     }
 }
 
 fn tell(outcome: AskOutcome) -> WebOutcome {
     match outcome {
-        AskOutcome::Settled(Settled::Taken(edition)) => outcome_json(StatusCode::OK, &json!({"edition": edition.0})),
-        AskOutcome::Settled(Settled::Stale { now }) => {
+        AskOutcome::CommandOutcome(CommandOutcome::Applied(edition)) => {
+            outcome_json(StatusCode::OK, &json!({"edition": edition.0}))
+        }
+        AskOutcome::CommandOutcome(CommandOutcome::Stale { now }) => {
             let reason = format!("another revision is in force: {now}");
             refuse(StatusCode::PRECONDITION_FAILED, "stale", &reason)
         }
-        AskOutcome::Settled(Settled::Refused(complaints)) => tell_faults(&complaints),
+        AskOutcome::CommandOutcome(CommandOutcome::Refused(complaints)) => tell_faults(&complaints),
         _ => not_known(),
     }
 }
@@ -172,7 +175,7 @@
         .with_header("retry-after", RETRY_AFTER)
 }
 
-fn tell_faults(complaints: &[Complaint]) -> WebOutcome {
+fn tell_faults(complaints: &[ValidationError]) -> WebOutcome {
     let listed: Vec<Value> =
         complaints.iter().map(|complaint| json!({"path": complaint.path, "reason": complaint.reason})).collect();
     let answer = json!({"error": {"type": "refused", "message": "the change was refused", "complaints": listed}});
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -222,7 +222,7 @@
     let mut founding_state = FleetState::default();
     let command = Command::Replace { base: None, text: document.clone() };
     let outcome = founding_state.apply(&Submission { request: RequestId::random(), command });
-    let Settled::Taken(_) = outcome else { return Err("the founding document was refused".into()) };
+    let CommandOutcome::Applied(_) = outcome else { return Err("the founding document was refused".into()) };
     let mark = Mark { edition: founding_state.edition, view: ViewNumber(1) };
     let stored = Coordinator::founding_for(me, FleetId::random(), founding_state.clone(), *tolerance);
     Ok(Some((stored, mark, founding_state)))
--- a/crates/keeper/tests/rebuilt.rs
+++ b/crates/keeper/tests/rebuilt.rs
@@ -19,21 +19,21 @@
     match command {
         Command::Replace { .. } => "replace",
         Command::Configure(_) => "configure",
-        Command::RecallChange { .. } => "recall",
-        Command::NameWeights { .. } => "name weights",
+        Command::QueryChange { .. } => "recall",
+        Command::RaiseWeights { .. } => "name weights",
         Command::Merge { .. } => "merge",
         Command::List(_) => "list",
         Command::Appoint { .. } => "appoint",
-        Command::Stand { .. } => "stand",
+        Command::SetEngineStatus { .. } => "stand",
         Command::PlaceCopy { .. } => "place copy",
-        Command::UseRevision { .. } => "use revision",
+        Command::ActivateRevision { .. } => "use revision",
         Command::Intend(_) => "intend",
         Command::Confirm { .. } => "confirm",
         Command::DoStep { .. } => "do step",
         Command::EndPlan { .. } => "end plan",
         Command::Claim { .. } => "claim",
         Command::Release { .. } => "release",
-        Command::TurnClaims { .. } => "turn claims",
+        Command::RotateClaims { .. } => "turn claims",
     }
 }
 
@@ -69,8 +69,8 @@
                 source: format!("source {drawn}"),
             }))
         }
-        2 => Command::RecallChange { base: state.configuration.revision, fingerprint: BlockHash(drawn) },
-        3 => Command::NameWeights { model: "m".into(), weights: WeightsEdition(drawn % 9) },
+        2 => Command::QueryChange { base: state.configuration.revision, fingerprint: BlockHash(drawn) },
+        3 => Command::RaiseWeights { model: "m".into(), weights: WeightsEdition(drawn % 9) },
         4 => Command::Merge {
             base,
             patch: format!(r#"{{"tenants":{{"a":{{"walled":{}}}}}}}"#, drawn.is_multiple_of(2)),
@@ -80,14 +80,14 @@
         7 => {
             let further_confirmed = BTreeMap::from([("n".into(), WeightsEdition(drawn % 3))]);
             let confirmed = Some((WeightsEdition(drawn % 5), "boot".to_owned()));
-            let standing = Standing { confirmed, closed: drawn.is_multiple_of(2), further_confirmed };
-            Command::Stand { term, engine, standing }
+            let standing = EngineStatus { confirmed, closed: drawn.is_multiple_of(2), further_confirmed };
+            Command::SetEngineStatus { term, engine, status: standing }
         }
         8 => {
             let stage = [None, Some(CopyStage::Loading), Some(CopyStage::Leaving)][(drawn % 3) as usize].clone();
             Command::PlaceCopy { term, engine, adapter, stage }
         }
-        9 => Command::UseRevision { term, adapter },
+        9 => Command::ActivateRevision { term, adapter },
         10 => Command::Intend(match drawn % 3 {
             0 => Intent::Drain { engine },
             1 => Intent::Wall { tenant: "b".into() },
@@ -98,7 +98,7 @@
         13 => Command::EndPlan { term, plan, halted: Some("drawn".into()).filter(|_| drawn.is_multiple_of(2)) },
         14 => Command::Claim { claim, router, run },
         15 => Command::Release { claim, router, run },
-        _ => Command::TurnClaims { turn: state.claim_book.turn },
+        _ => Command::RotateClaims { rotation: state.claim_table.rotation },
     }
 }
 
@@ -152,7 +152,7 @@
         kinds_met.extend(records.iter().map(|record| kind(&record.submission.command)));
         let mut replayed = FleetState::default();
         for record in &records {
-            if matches!(replayed.apply(&record.submission), Settled::Taken(_)) {
+            if matches!(replayed.apply(&record.submission), CommandOutcome::Applied(_)) {
                 taken.insert(kind(&record.submission.command));
             }
         }
--- a/crates/measure/src/picks.rs
+++ b/crates/measure/src/picks.rs
@@ -32,9 +32,12 @@
         Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines: listed_engines }),
     );
     for number in 0..engines {
-        let standing =
-            Standing { confirmed: Some((WeightsEdition(1), "x".into())), closed: false, ..Standing::default() };
-        state.standings.insert(EngineName(format!("e{number}")), standing);
+        let standing = EngineStatus {
+            confirmed: Some((WeightsEdition(1), "x".into())),
+            closed: false,
+            ..EngineStatus::default()
+        };
+        state.engine_statuses.insert(EngineName(format!("e{number}")), standing);
     }
     FleetSight::default().following(state, None, boot_now())
 }
--- a/crates/measure/src/prelude.rs
+++ b/crates/measure/src/prelude.rs
@@ -5,7 +5,7 @@
 pub(crate) use crate::recovery::*;
 pub(crate) use crate::trials::*;
 pub(crate) use blocks::prelude::{KeptEvent, Salt, cut};
-pub(crate) use desired::prelude::{Command, FleetState, Listed, ListedEngine, Listing, Standing, Submission};
+pub(crate) use desired::prelude::{Command, EngineStatus, FleetState, Listed, ListedEngine, Listing, Submission};
 pub(crate) use figures::prelude::{Figures, PolicyBook};
 pub(crate) use placement::prelude::{FleetSight, Picker, Prompt};
 pub(crate) use process::prelude::*;
--- a/crates/placement/src/fetch.rs
+++ b/crates/placement/src/fetch.rs
@@ -76,7 +76,8 @@
             .iter()
             .filter(|(engine, listed)| **engine != chosen.engine && listed.listed == Listed::Open)
             .filter(|(engine, _)| {
-                let confirmed = sight.state.standings.get(*engine).and_then(|standing| standing.confirmed.as_ref());
+                let confirmed =
+                    sight.state.engine_statuses.get(*engine).and_then(|standing| standing.confirmed.as_ref());
                 confirmed.is_some_and(|(weights, _)| *weights == chosen.weights)
             })
             .filter_map(|(engine, listed)| {
--- a/crates/placement/src/pick.rs
+++ b/crates/placement/src/pick.rs
@@ -170,7 +170,8 @@
 
     fn goes_by_events(&self, known: &KnownEngine) -> bool {
         let routing = &self.sight.state.desired.routing;
-        routing.sight == Sight::Events && !known.events_are_late(routing.events_late, self.now)
+        routing.cache_state_source == CacheStateSource::Events
+            && !known.events_are_late(routing.events_late, self.now)
     }
 
     /// Leading blocks of the prompt that the engine keeps, by its events or by our own history.
@@ -183,8 +184,8 @@
         names: &[BlockHash],
     ) -> BlockCount {
         let index = SourceIndex(known.index);
-        match self.sight.state.desired.routing.sight {
-            Sight::OccupancyOnly => BlockCount(0),
+        match self.sight.state.desired.routing.cache_state_source {
+            CacheStateSource::OccupancyOnly => BlockCount(0),
             _ if role == Role::Decode => BlockCount(0),
             _ if by_events => self.overlaps[&weights].get(&index).copied().unwrap_or_default(),
             _ => self.picker.history.overlap(index, names),
--- a/crates/placement/src/prelude.rs
+++ b/crates/placement/src/prelude.rs
@@ -8,7 +8,7 @@
 pub use crate::sight::*;
 pub use blocks::prelude::{KeptEvent, PrefixTree, SentHistory, SourceIndex, SourcePlace};
 pub use desired::prelude::Role;
-pub(crate) use desired::prelude::{FleetState, Listed, ListedEngine, Policy, Sight, Standing};
+pub(crate) use desired::prelude::{CacheStateSource, EngineStatus, FleetState, Listed, ListedEngine, Policy};
 pub(crate) use policy::prelude::{Band, Table, cost};
 pub use routes::prelude::RouteTable;
 pub(crate) use std::collections::{BTreeMap, HashMap};
--- a/crates/placement/src/sight.rs
+++ b/crates/placement/src/sight.rs
@@ -158,7 +158,7 @@
         let listed = self.state.listing.engines.get(engine).filter(|listed| listed.listed == Listed::Open)?;
         let service = self.state.desired.services.get(&listed.service)?;
         let has_no_models = service.is_without_models() && !listed.has_model();
-        let is_closed = self.state.standings.get(engine).is_some_and(|standing| standing.closed);
+        let is_closed = self.state.engine_statuses.get(engine).is_some_and(|standing| standing.closed);
         let may_serve = has_no_models && !is_closed && !self.state.drained.contains(engine);
         may_serve.then_some(NO_WEIGHTS)
     }
@@ -200,8 +200,8 @@
         model: &ModelName,
         now: Instant,
     ) -> Option<WeightsEdition> {
-        let unknown = Standing::default();
-        let standing = self.state.standings.get(engine).unwrap_or(&unknown);
+        let unknown = EngineStatus::default();
+        let standing = self.state.engine_statuses.get(engine).unwrap_or(&unknown);
         if self.state.drained.contains(engine) || standing.closed || !listed.serves(model) {
             return None;
         }
--- a/crates/placement/tests/picker.rs
+++ b/crates/placement/tests/picker.rs
@@ -2,7 +2,8 @@
 
 use blocks::prelude::{Salt, cut};
 use desired::prelude::{
-    AdapterCopy, Command, CopyStage, FleetState, Listed, ListedEngine, Listing, Settled, Standing, Submission,
+    AdapterCopy, Command, CommandOutcome, CopyStage, EngineStatus, FleetState, Listed, ListedEngine, Listing,
+    Submission,
 };
 use placement::prelude::*;
 use std::collections::BTreeMap;
@@ -14,7 +15,7 @@
     let mut state = FleetState::default();
     let mut submit = |command| {
         let outcome = state.apply(&Submission { request: RequestId::random(), command });
-        assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
+        assert!(matches!(outcome, CommandOutcome::Applied(_)), "{outcome:?}");
     };
     submit(Command::Merge { base: None, patch: document.into() });
     let listed = ListedEngine {
@@ -28,9 +29,12 @@
     let engines = engine_names.iter().map(|name| ((*name).into(), listed.clone())).collect();
     submit(Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines }));
     for name in engine_names {
-        let standing =
-            Standing { confirmed: Some((WeightsEdition(1), "x".into())), closed: false, ..Standing::default() };
-        state.standings.insert((*name).into(), standing);
+        let standing = EngineStatus {
+            confirmed: Some((WeightsEdition(1), "x".into())),
+            closed: false,
+            ..EngineStatus::default()
+        };
+        state.engine_statuses.insert((*name).into(), standing);
     }
     FleetSight::default().following(state, None, NOW)
 }
@@ -104,7 +108,7 @@
 fn closed_leaving_tried_and_resting_engines_are_passed_over() {
     let sight = fleet(&["closed", "gone", "leaving", "resting", "tried", "well"], DOCUMENT);
     let mut state = (*sight.state).clone();
-    state.standings.get_mut(&"closed".into()).unwrap().closed = true;
+    state.engine_statuses.get_mut(&"closed".into()).unwrap().closed = true;
     state.listing.engines.remove(&"gone".into());
     state.listing.engines.get_mut(&"leaving".into()).unwrap().listed = Listed::Leaving;
     let sight = sight.following(state, None, NOW);
@@ -322,12 +326,15 @@
             for number in 0..6 {
                 let engine = EngineName(format!("e{number}"));
                 match source.int_in_range(0..=5)? {
-                    0 => state.standings.get_mut(&engine).unwrap().closed = true,
+                    0 => state.engine_statuses.get_mut(&engine).unwrap().closed = true,
                     1 => state.listing.engines.get_mut(&engine).unwrap().listed = Listed::Leaving,
                     2 => {
                         state.drained.insert(engine.clone());
                     }
-                    3 => state.standings.get_mut(&engine).unwrap().confirmed = Some((WeightsEdition(7), "x".into())),
+                    3 => {
+                        state.engine_statuses.get_mut(&engine).unwrap().confirmed =
+                            Some((WeightsEdition(7), "x".into()))
+                    }
                     _ => passing.push(engine.clone()),
                 }
             }
--- a/crates/process/src/prelude.rs
+++ b/crates/process/src/prelude.rs
@@ -5,7 +5,7 @@
 pub use crate::logs::*;
 pub use crate::settings::*;
 pub use crate::signals::*;
-pub(crate) use desired::prelude::{Bounds, Reader, parse_bounded};
+pub(crate) use desired::prelude::{Bounds, ObjectReader, parse_bounded};
 pub(crate) use flexi_logger::{DeferredNow, LogSpecification, Logger};
 pub use miette::{Report, miette};
 pub(crate) use sha2::{Digest, Sha256};
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -162,11 +162,11 @@
             parse_bounded(&text, SETTINGS_BOUNDS).map_err(|complaint| miette!("{shown_path}: {complaint}"))?;
         let mut complaints = Vec::new();
         let mut values = BTreeMap::new();
-        if let Some(mut reader) = Reader::open("", &document, &mut complaints) {
+        if let Some(mut reader) = ObjectReader::open("", &document, &mut complaints) {
             for setting in self.settings {
                 let value = match setting.kind {
                     Kind::Whole(lowest, highest) => {
-                        reader.whole(setting.key, lowest, highest).map(|number| number.to_string())
+                        reader.integer(setting.key, lowest, highest).map(|number| number.to_string())
                     }
                     Kind::Flag => reader.flag(setting.key).map(|flag| flag.to_string()),
                     Kind::Addresses => reader.texts(setting.key).map(|texts| texts.join(",")),
@@ -176,7 +176,7 @@
                     values.insert(setting.key, (format!("{shown_path}: {}", setting.key), value));
                 }
             }
-            reader.close();
+            reader.finish();
         }
         faults.extend(complaints.into_iter().map(|complaint| format!("{shown_path}: {complaint}")));
         Ok(values)
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 pub struct CoreLine {
     link: Mutex<Option<Link>>,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<Settled>>>,
+    waiting: Mutex<HashMap<u64, oneshot::Sender<CommandOutcome>>>,
     next_ticket: AtomicU64,
 }
 
@@ -23,7 +23,7 @@
     }
 
     /// Submits a claim or its release; nothing if its outcome is not known in time.
-    pub async fn submit(&self, command: Command) -> Option<Settled> {
+    pub async fn submit(&self, command: Command) -> Option<CommandOutcome> {
         let submission = Submission { request: RequestId::random(), command };
         let ticket = self.next_ticket.fetch_add(1, Ordering::SeqCst);
         let (reply, answer) = oneshot::channel();
@@ -44,7 +44,7 @@
         settled
     }
 
-    fn settle(&self, ticket: u64, outcome: Settled) {
+    fn settle(&self, ticket: u64, outcome: CommandOutcome) {
         let reply = self.waiting.lock().expect("no holder of this lock panics").remove(&ticket);
         if let Some(reply) = reply {
             let _ = reply.send(outcome);
@@ -104,7 +104,7 @@
                 self.link = None;
                 event!(warn, "agent_down", reason = reason);
             }
-            LinkEvent::Said(_, RouterDown::Settled { ticket, outcome }) => {
+            LinkEvent::Said(_, RouterDown::CommandOutcome { ticket, outcome }) => {
                 self.plan.core_line.settle(ticket, outcome);
             }
             LinkEvent::Said(_, RouterDown::Routers(routers)) => self.plan.shared.know_routers(routers),
@@ -131,7 +131,7 @@
                     return;
                 }
                 let mut state = (*current.state).clone();
-                state.follow(&submission);
+                state.apply_without_claims(&submission);
                 let next = current.following(state, committed, boot_now());
                 self.put_in_force(next.heard_under(&current.state, self.plan.shared.lease_until()));
             }
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -18,7 +18,7 @@
 pub use attempts::prelude::*;
 pub use blocks::prelude::{BLOCK_TOKENS, Salt, blocks_of, cut};
 pub use contract::prelude::*;
-pub use desired::prelude::{Command, Settled, Submission};
+pub use desired::prelude::{Command, CommandOutcome, Submission};
 pub use figures::prelude::{Figures, PolicyBook};
 pub use lease::prelude::{GrantNews, GrantWatch, Timing};
 pub use links::prelude::{Hello, Link, LinkEvent, Purpose, dial_and_hold};
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -111,13 +111,13 @@
 
     /// Counts a request for the adapter it runs on, whether it is served or not.
     pub fn note_demand(&self, adapter: &AdapterName, now: Instant) {
-        let span = self.sight().state.desired.warming.demand_span;
+        let span = self.sight().state.desired.warming.demand_window;
         self.demand.lock().expect("no holder of this lock panics").note(adapter, span, now);
     }
 
     /// The rates of requests for adapters, as the core is told them.
     pub fn demand(&self, now: Instant) -> BTreeMap<AdapterName, u64> {
-        let span = self.sight().state.desired.warming.demand_span;
+        let span = self.sight().state.desired.warming.demand_window;
         self.demand.lock().expect("no holder of this lock panics").tell(span, now)
     }
 
--- a/crates/routes/src/prelude.rs
+++ b/crates/routes/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The one import of this package's files.
 
 pub use crate::table::*;
-pub use desired::prelude::{Branch, DesiredState, RouteWish, Variant};
+pub use desired::prelude::{Branch, DesiredState, RouteKind, RouteSpec};
 pub(crate) use std::collections::HashMap;
 pub(crate) use std::sync::Arc;
 pub(crate) use units::prelude::*;
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedRoute {
     pub name: RouteName,
-    pub wish: RouteWish,
+    pub wish: RouteSpec,
 }
 
 impl NamedRoute {
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -10,7 +10,7 @@
             Branch { service: ServiceName::from("s"), share: 3 },
             Branch { service: ServiceName::from("t"), share: 1 },
         ];
-        let wish = RouteWish { host: (*host).into(), prefix: (*prefix).into(), branches, ..RouteWish::default() };
+        let wish = RouteSpec { host: (*host).into(), prefix: (*prefix).into(), branches, ..RouteSpec::default() };
         desired.routes.insert(RouteName::from(*name), wish);
     }
     desired
--- a/crates/simulator/src/adapted.rs
+++ b/crates/simulator/src/adapted.rs
@@ -102,7 +102,7 @@
         );
         let command = Command::Merge { base: None, patch };
         let settled = state.apply(&Submission { request: RequestId(2), command });
-        assert!(matches!(settled, Settled::Taken(_)), "{settled:?}");
+        assert!(matches!(settled, CommandOutcome::Applied(_)), "{settled:?}");
         self.note_in_force(state);
     }
 
@@ -221,7 +221,7 @@
                 }
                 WarmingAct::UseRevision { adapter } => {
                     let naming = EngineName(format!("revision {}", adapter.name));
-                    self.submit_once(number, naming, Command::UseRevision { term, adapter });
+                    self.submit_once(number, naming, Command::ActivateRevision { term, adapter });
                 }
                 WarmingAct::Load { engine, adapter, .. } => {
                     let naming = EngineName(format!("order {engine} {adapter}"));
--- a/crates/simulator/src/claims.rs
+++ b/crates/simulator/src/claims.rs
@@ -48,7 +48,7 @@
         self.later(CLAIM_AGAIN, again(submission));
     }
 
-    pub fn settle_claim(&mut self, node: usize, ticket: u64, outcome: Settled) {
+    pub fn settle_claim(&mut self, node: usize, ticket: u64, outcome: CommandOutcome) {
         let Some((_, router, run)) = self.tickets.remove(&ticket) else { return };
         self.drive(node, router, run, CarriageInput::ClaimSettled(Claimed::of(Some(outcome))));
     }
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -327,8 +327,8 @@
         }
         self.last_committed = self.last_committed.max(last.edition);
         // Configurations are judged as a register; one sent again is answered with the record it was taken in.
-        for (request, settled) in coordinator.state().orders.iter() {
-            let Settled::Taken(edition) = settled else { continue };
+        for (request, settled) in coordinator.state().operator_submissions.iter() {
+            let CommandOutcome::Applied(edition) = settled else { continue };
             let known = *self.committed.entry(*edition).or_insert(request);
             if known != request {
                 self.found.push(format!("rule 8: edition {edition} was {known} and is {request}"));
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -272,7 +272,7 @@
                     let request = RequestId(self.draw.number());
                     self.ask(
                         number,
-                        Submission { request, command: Command::Stand { term, engine, standing } },
+                        Submission { request, command: Command::SetEngineStatus { term, engine, status: standing } },
                         Some(means),
                     );
                 }
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -212,7 +212,7 @@
         let local_now = node.clock.read(now);
         let Some(router) = node.router.as_mut().filter(|router| router.id == router_id) else { return };
         let sight = match message {
-            RouterDown::Settled { ticket, outcome } => return self.settle_claim(node_number, ticket, outcome),
+            RouterDown::CommandOutcome { ticket, outcome } => return self.settle_claim(node_number, ticket, outcome),
             RouterDown::Routers(routers) => {
                 router.routers = routers;
                 return;
@@ -236,13 +236,13 @@
                     return;
                 }
                 let mut state = (*router.sight.state).clone();
-                state.follow(&submission);
+                state.apply_without_claims(&submission);
                 let next = router.sight.following(state, committed, local_now);
                 next.heard_under(&router.sight.state, router.lease_until)
             }
         };
         let edition = sight.state.edition;
-        let last_settled = sight.state.last_settled();
+        let last_settled = sight.state.last_request();
         let state = sight.state.clone();
         router.sight = sight;
         router.picker.keep_only(&router.sight);
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -11,7 +11,7 @@
         if let Some(Meaning::Stands { keeper, engine }) = &asked.means {
             self.keepers[*keeper].submitted.remove(engine);
         }
-        let AskOutcome::Settled(Settled::Taken(edition)) = outcome else { return };
+        let AskOutcome::CommandOutcome(CommandOutcome::Applied(edition)) = outcome else { return };
         let at = self.millis();
         self.acked.insert(asked.request, edition);
         self.see_committed(edition, asked.request, "an answer");
--- a/crates/simulator/src/register_operators.rs
+++ b/crates/simulator/src/register_operators.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 
 /// Of the changes sent, so many are remembered to be sent again.
-const REMEMBERED_CHANGES: usize = 12;
+const MAX_REMEMBERED_CHANGES: usize = 12;
 
 /// Operators and what they were answered.
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
             source: format!("change {}", self.last_change),
         };
         self.sent.push_back(change.clone());
-        if self.sent.len() > REMEMBERED_CHANGES {
+        if self.sent.len() > MAX_REMEMBERED_CHANGES {
             self.sent.pop_front();
         }
         change
@@ -78,8 +78,8 @@
     pub(crate) fn hear(&mut self, ticket: u64, outcome: &AskOutcome) {
         let Some(place) = self.open.remove(&ticket) else { return };
         let answer = match outcome {
-            AskOutcome::Settled(Settled::Taken(_)) => RegisterAnswer::Taken,
-            AskOutcome::Settled(Settled::Stale { .. }) => RegisterAnswer::Stale,
+            AskOutcome::CommandOutcome(CommandOutcome::Applied(_)) => RegisterAnswer::Taken,
+            AskOutcome::CommandOutcome(CommandOutcome::Stale { .. }) => RegisterAnswer::Stale,
             AskOutcome::Configuration { revision, .. } => RegisterAnswer::Revision(revision.0),
             _ => return,
         };
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -284,7 +284,7 @@
         .iter()
         .filter(|(request, edition)| {
             let is_recent = tail.state().edition.0 < edition.0 + 400;
-            is_recent && tail.state().settled_before(**request) != Some(Settled::Taken(**edition))
+            is_recent && tail.state().previous_outcome(**request) != Some(CommandOutcome::Applied(**edition))
         })
         .map(|(request, edition)| format!("rule 8: acked edition {edition} of request {request} is lost"))
         .collect()
--- a/crates/simulator/src/runs.rs
+++ b/crates/simulator/src/runs.rs
@@ -84,7 +84,7 @@
             return self.caller_gets(caller, CallerNews::Final { status: 401, outcome: "not_run" });
         };
         if let Some(adapter) = router.sight.state.adapter_for(&tenant, &ModelName(MODEL.into())) {
-            let span = router.sight.state.desired.warming.demand_span;
+            let span = router.sight.state.desired.warming.demand_window;
             router.meter.note(&adapter.name, span, local_now);
         }
         router.next_run += 1;
--- a/crates/simulator/src/sampling.rs
+++ b/crates/simulator/src/sampling.rs
@@ -33,7 +33,7 @@
         if let Some(tail) = active_tails.first()
             && let Some(coordinator) = &self.keepers[*tail].coordinator
         {
-            let (edition, last_settled) = (coordinator.state().edition, coordinator.state().last_settled());
+            let (edition, last_settled) = (coordinator.state().edition, coordinator.state().last_request());
             if let Some(request) = last_settled {
                 self.see_committed(edition, request, &format!("tail k{tail}"));
             }
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -264,8 +264,8 @@
                 }
             }
             NodeDown::NotNow => {}
-            NodeDown::Settled { ticket, outcome } => {
-                self.plan.push(SubscriptionEffect::SayRouter(RouterDown::Settled { ticket, outcome }));
+            NodeDown::CommandOutcome { ticket, outcome } => {
+                self.plan.push(SubscriptionEffect::SayRouter(RouterDown::CommandOutcome { ticket, outcome }));
             }
             NodeDown::Routers(routers) => self.plan.push(SubscriptionEffect::SayRouter(RouterDown::Routers(routers))),
             NodeDown::Behind => {
--- a/crates/subscription/src/messages.rs
+++ b/crates/subscription/src/messages.rs
@@ -52,11 +52,11 @@
         disturbed: Instant,
     },
     /// What became of a command.
-    Settled {
+    CommandOutcome {
         /// The router's own ticket.
         ticket: u64,
         /// What became of it.
-        outcome: Settled,
+        outcome: CommandOutcome,
     },
     /// Where the other routers are reached.
     #[serde(rename = "Doors")]
--- a/crates/subscription/src/prelude.rs
+++ b/crates/subscription/src/prelude.rs
@@ -3,7 +3,7 @@
 pub use crate::machine::*;
 pub use crate::messages::*;
 pub(crate) use coordinator::prelude::{
-    DemandReport, FleetState, NodeDown, NodeUp, RouterAddress, Settled, Submission, View,
+    CommandOutcome, DemandReport, FleetState, NodeDown, NodeUp, RouterAddress, Submission, View,
 };
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use timing::prelude::renewal_span;
