--- a/crates/desired/src/adapter_placements.rs
+++ b/crates/desired/src/adapter_placements.rs
@@ -1,21 +1,21 @@
-//! Which engine is to hold which adapter, as the conductor decided it and routers go by it, and which
-//! revision of each adapter requests run on. One revision is in force at a time: a newer one takes over in
-//! a single record, once it is warm.
+//! Adapter copies at engines, as decided by the conductor and followed by routers, and the revision of each adapter
+//! that requests run on. One revision is active at a time: a newer one becomes active in a single record, once it
+//! is warm.
 
 use crate::prelude::*;
 
-/// How far a copy of an adapter at an engine has come.
+/// The stage of an adapter's copy at an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyStage {
-    /// To be loaded, or being loaded.
+    /// Waiting to be loaded, or loading.
     Loading,
-    /// The engine told that it holds it, in this life of its process. Requests may go there.
+    /// The engine reported the adapter as loaded under this boot id. Requests may be sent there.
     Warm { boot: String },
-    /// Requests go there no more; it is to be unloaded.
+    /// No more requests are sent there; it is to be unloaded.
     Leaving,
 }
 
-/// One copy of an adapter at an engine.
+/// A copy of an adapter at an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterCopy {
     pub adapter: AdapterId,
@@ -23,38 +23,41 @@
 }
 
 impl AdapterCopy {
+    /// Whether the copy is loaded and may serve requests.
     pub fn is_warm(&self) -> bool {
         matches!(self.stage, CopyStage::Warm { .. })
     }
 }
 
-/// All copies, by engine, and the revisions that requests run on.
+/// All copies by engine, and the revisions that requests run on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterPlacements {
     pub copies: BTreeMap<EngineName, Vec<AdapterCopy>>,
-    /// The revision that requests run on, of each adapter in the document.
+    /// The revision that requests run on, for each adapter in the document.
     #[serde(rename = "in_force")]
     pub active_revisions: BTreeMap<AdapterName, AdapterRevision>,
-    /// The last revision of each name that is not in the document any more.
+    /// The last revision of each adapter that was removed from the document.
     #[serde(rename = "given_up")]
     pub retired_revisions: BTreeMap<AdapterName, AdapterRevision>,
 }
 
 impl AdapterPlacements {
+    /// The copies at an engine, sorted by adapter.
     pub fn copies_at(&self, engine: &EngineName) -> &[AdapterCopy] {
         self.copies.get(engine).map(Vec::as_slice).unwrap_or_default()
     }
 
+    /// The copy of an adapter at an engine, if there is one.
     pub fn copy(&self, engine: &EngineName, adapter: &AdapterId) -> Option<&AdapterCopy> {
         self.copies_at(engine).iter().find(|copy| copy.adapter == *adapter)
     }
 
-    /// Whether requests that run on this adapter may go to the engine.
+    /// Whether requests that run on this adapter may be sent to the engine.
     pub fn is_warm(&self, engine: &EngineName, adapter: &AdapterId) -> bool {
         self.copy(engine, adapter).is_some_and(AdapterCopy::is_warm)
     }
 
-    /// The engines that hold an adapter warm.
+    /// The engines with a warm copy of an adapter.
     pub fn warm_engines<'a>(&'a self, adapter: &'a AdapterId) -> impl Iterator<Item = &'a EngineName> + 'a {
         self.copies.iter().filter(|(_, copies)| is_warm_in(copies, adapter)).map(|(engine, _)| engine)
     }
@@ -64,6 +67,7 @@
         all.filter(|copy| copy.stage == CopyStage::Loading).count()
     }
 
+    /// Removes all copies at an engine.
     pub(crate) fn forget_engine(&mut self, engine: &EngineName) {
         self.copies.remove(engine);
     }
@@ -78,8 +82,8 @@
         }
     }
 
-    /// Follows a new document: an adapter that is new, or is of another model now, is in force at once, and
-    /// a name that is gone is remembered.
+    /// Updates the revisions for a new document: the revision of an adapter that is new or changed its model is
+    /// active at once, and the last revision of a removed adapter is remembered.
     pub(crate) fn apply_document(&mut self, before: &DesiredState, next: &DesiredState) {
         for (name, spec) in &next.adapters {
             let same_model = before.adapters.get(name).is_some_and(|before| before.model == spec.model);
@@ -105,26 +109,28 @@
 }
 
 impl FleetState {
-    /// What a tenant's requests for a model run on; nothing if they run on the model alone.
+    /// The adapter revision that a tenant's requests for a model run on; none if they run on the base model.
     pub fn adapter_for(&self, tenant: &TenantName, model: &ModelName) -> Option<AdapterId> {
         let name = self.desired.adapter_of(tenant, model)?;
         let revision = self.adapters.active_revisions.get(name).copied().unwrap_or_default();
         Some(AdapterId { name: name.clone(), revision })
     }
 
-    /// Whether an adapter is one that engines of a model may be brought to: its revision is in force, or
-    /// is the one that the document names.
+    /// Whether engines of a model may hold this revision of an adapter: it is active, or it is the one in the
+    /// document.
     pub fn is_desired_revision(&self, adapter: &AdapterId, model: &ModelName) -> bool {
         let spec = self.desired.adapters.get(&adapter.name).filter(|spec| spec.model == *model);
         spec.is_some_and(|spec| spec.revision == adapter.revision || self.is_active_revision(adapter))
     }
 
+    /// Whether requests run on this revision of the adapter.
     pub fn is_active_revision(&self, adapter: &AdapterId) -> bool {
         self.adapters.active_revisions.get(&adapter.name) == Some(&adapter.revision)
     }
 
-    /// The conductor's word on a copy; no stage takes it away. The bounds on loads and places hold whatever
-    /// the conductor knew, and the last warm copy of what requests run on is not taken.
+    /// Applies `Command::PlaceCopy`. The bounds on concurrent loads and on adapters per engine are enforced here, as
+    /// the conductor may act on an older state, and so is the rule that the last warm copy of an active revision is
+    /// not unloaded.
     pub(crate) fn place_copy(
         &mut self,
         number: Edition,
@@ -132,7 +138,7 @@
         adapter: &AdapterId,
         stage: &Option<CopyStage>,
     ) -> CommandOutcome {
-        let Some(listed) = self.listing.engines.get(engine) else { return refused("no such engine is listed") };
+        let Some(listed) = self.listing.engines.get(engine) else { return refused("the engine is not listed") };
         match stage {
             Some(CopyStage::Loading | CopyStage::Warm { .. })
                 if !self.is_desired_revision(adapter, &listed.model) =>
@@ -145,7 +151,7 @@
                 }
             }
             Some(CopyStage::Leaving) if self.is_last_copy(engine, adapter) => {
-                return refused("the last warm copy stays");
+                return refused("the last warm copy of an active revision must stay");
             }
             _ => {}
         }
@@ -153,7 +159,7 @@
         CommandOutcome::Applied(number)
     }
 
-    /// Why a copy may not be loaded at an engine now.
+    /// The reason a copy may not be loaded at an engine now, if there is one.
     fn loading_refusal(&self, engine: &EngineName, adapter: &AdapterId, model: &ModelName) -> Option<String> {
         let known = self.adapters.copy(engine, adapter);
         if known.is_some_and(|copy| copy.stage == CopyStage::Loading) {
@@ -161,14 +167,14 @@
         }
         let at_once = self.desired.warming.loads_at_once as usize;
         if self.adapters.loading_count() >= at_once {
-            return Some(format!("{at_once} loads are under way"));
+            return Some(format!("{at_once} copies are already loading"));
         }
         let places = self.desired.models.get(model).map_or(0, |spec| spec.adapter_places) as usize;
         let is_full = known.is_none() && self.adapters.copies_at(engine).len() >= places;
-        is_full.then(|| format!("its {places} places are taken"))
+        is_full.then(|| format!("the engine already holds {places} adapters"))
     }
 
-    /// Whether requests would find this adapter nowhere else.
+    /// Whether the engine has the only usable warm copy of an active revision.
     fn is_last_copy(&self, engine: &EngineName, adapter: &AdapterId) -> bool {
         let is_warm_elsewhere = self.adapters.warm_engines(adapter).any(|warm| {
             let listed = self.listing.engines.get(warm);
@@ -178,15 +184,15 @@
         is_in_use && self.adapters.is_warm(engine, adapter) && !is_warm_elsewhere
     }
 
-    /// Requests run on the revision that the document names from here on, as it is warm.
+    /// Applies `Command::ActivateRevision`; refused unless the document names the revision and a copy of it is warm.
     pub(crate) fn activate_revision(&mut self, number: Edition, adapter: &AdapterId) -> CommandOutcome {
         let is_desired =
             self.desired.adapters.get(&adapter.name).is_some_and(|spec| spec.revision == adapter.revision);
         if !is_desired {
-            return refused("not the revision that the document names");
+            return refused("not the revision in the document");
         }
         if self.adapters.warm_engines(adapter).next().is_none() {
-            return refused("no engine holds it warm");
+            return refused("no engine has a warm copy");
         }
         self.adapters.active_revisions.insert(adapter.name.clone(), adapter.revision);
         CommandOutcome::Applied(number)
@@ -209,15 +215,15 @@
         submit(state, Command::PlaceCopy { term: Term(1), engine: engine.into(), adapter: adapter.clone(), stage })
     }
 
-    fn is_applied(settled: CommandOutcome) -> bool {
-        matches!(settled, CommandOutcome::Applied(_))
+    fn is_applied(outcome: CommandOutcome) -> bool {
+        matches!(outcome, CommandOutcome::Applied(_))
     }
 
     fn warm() -> Option<CopyStage> {
         Some(CopyStage::Warm { boot: "b".into() })
     }
 
-    /// Three engines of one model with one place each, one adapter.
+    /// Three engines of one model that hold one adapter each, and one adapter.
     fn fleet() -> FleetState {
         let mut state = FleetState::default();
         let document = r#"{"models":{"m":{"adapter_places":1}},"tenants":{"a":{"adapters":["x"]},"b":{}},
@@ -231,7 +237,7 @@
     }
 
     #[test]
-    fn loads_and_places_are_bounded_whatever_the_conductor_knew() {
+    fn concurrent_loads_and_adapters_per_engine_are_bounded() {
         let (mut state, x) = (fleet(), AdapterId::new("x", 3));
         let loading = || Some(CopyStage::Loading);
         assert!(is_applied(place(&mut state, "e0", &x, loading())));
@@ -242,7 +248,10 @@
         assert!(!is_applied(place(&mut state, "e9", &x, warm())), "no such engine");
         assert!(!is_applied(place(&mut state, "e0", &AdapterId::new("x", 2), loading())), "not wanted");
         merge_in(&mut state, r#"{"adapters":{"y":{"model":"m","owners":["b"]}},"warming":{"loads_at_once":9}}"#);
-        assert!(!is_applied(place(&mut state, "e0", &AdapterId::new("y", 1), loading())), "its place is taken");
+        assert!(
+            !is_applied(place(&mut state, "e0", &AdapterId::new("y", 1), loading())),
+            "the engine holds another adapter"
+        );
         let stale = Command::PlaceCopy { term: Term(2), engine: "e0".into(), adapter: x, stage: None };
         assert!(!is_applied(submit(&mut state, stale)), "another term");
     }
@@ -258,40 +267,40 @@
     }
 
     #[test]
-    fn a_newer_revision_is_in_force_once_it_is_warm() {
+    fn a_newer_revision_is_activated_only_once_it_is_warm() {
         let (mut state, old, new) = (fleet(), AdapterId::new("x", 3), AdapterId::new("x", 4));
-        let runs_on = |state: &FleetState| state.adapter_for(&"a".into(), &"m".into());
-        assert_eq!(runs_on(&state), Some(old.clone()));
+        let active_adapter = |state: &FleetState| state.adapter_for(&"a".into(), &"m".into());
+        assert_eq!(active_adapter(&state), Some(old.clone()));
         assert_eq!(state.adapter_for(&"b".into(), &"m".into()), None);
         place(&mut state, "e0", &old, warm());
         assert!(is_applied(merge_in(&mut state, r#"{"adapters":{"x":{"revision":4}}}"#)));
-        assert_eq!(runs_on(&state), Some(old.clone()), "until the new one is warm");
-        let take_over = || Command::ActivateRevision { term: Term(1), adapter: new.clone() };
-        assert!(!is_applied(submit(&mut state, take_over())));
+        assert_eq!(active_adapter(&state), Some(old.clone()), "the new one is not warm yet");
+        let activate = || Command::ActivateRevision { term: Term(1), adapter: new.clone() };
+        assert!(!is_applied(submit(&mut state, activate())));
         place(&mut state, "e1", &new, warm());
-        assert!(is_applied(submit(&mut state, take_over())));
-        assert_eq!(runs_on(&state), Some(new.clone()));
-        assert!(is_applied(place(&mut state, "e0", &old, Some(CopyStage::Leaving))), "nothing runs on it");
+        assert!(is_applied(submit(&mut state, activate())));
+        assert_eq!(active_adapter(&state), Some(new.clone()));
+        assert!(is_applied(place(&mut state, "e0", &old, Some(CopyStage::Leaving))), "no requests run on it");
         assert!(!is_applied(merge_in(&mut state, r#"{"adapters":{"x":{"revision":3}}}"#)), "revisions only grow");
     }
 
     #[test]
-    fn a_name_given_up_comes_back_above_its_last_revision() {
+    fn a_removed_name_is_reused_only_above_its_last_revision() {
         let mut state = fleet();
         place(&mut state, "e0", &AdapterId::new("x", 3), warm());
         assert!(is_applied(merge_in(&mut state, r#"{"tenants":{"a":{"adapters":[]}},"adapters":{"x":null}}"#)));
-        let again = |revision: u64| {
+        let add_again = |revision: u64| {
             format!(
                 r#"{{"adapters":{{"x":{{"model":"m","owners":["b"],"revision":{revision}}}}},"tenants":{{"b":{{"adapters":["x"]}}}}}}"#
             )
         };
-        assert!(!is_applied(merge_in(&mut state, &again(3))), "engines may still hold the other owner's");
-        assert!(is_applied(merge_in(&mut state, &again(4))));
+        assert!(!is_applied(merge_in(&mut state, &add_again(3))), "engines may still hold the other owner's");
+        assert!(is_applied(merge_in(&mut state, &add_again(4))));
         assert_eq!(state.adapter_for(&"b".into(), &"m".into()), Some(AdapterId::new("x", 4)));
     }
 
     #[test]
-    fn what_an_engine_held_goes_with_it() {
+    fn copies_are_removed_when_their_engine_moves_or_leaves() {
         let (mut state, x) = (fleet(), AdapterId::new("x", 3));
         place(&mut state, "e0", &x, warm());
         place(&mut state, "e1", &x, warm());
--- a/crates/desired/src/adapters.rs
+++ b/crates/desired/src/adapters.rs
@@ -1,9 +1,9 @@
-//! Tuned adapters as operators spec them: whose they are, for which model, in which revision, and how
-//! many copies stay warm.
+//! Fine-tuned adapters in the operators' document: their owners, model and revision, and the number of copies that
+//! are kept warm.
 
 use crate::prelude::*;
 
-/// The greatest number of adapters an engine may be said to hold.
+/// The upper bound of `ModelSpec::adapter_places`.
 pub const MAX_ADAPTER_PLACES: u64 = 1024;
 const MAX_COPIES: u64 = 1000;
 const MAX_MILLIS: u64 = 86_400_000;
@@ -13,28 +13,28 @@
 pub struct AdapterSpec {
     pub model: ModelName,
     pub revision: AdapterRevision,
-    /// The tenants that may be bound to it.
+    /// The tenants whose requests may run on it.
     pub owners: BTreeSet<TenantName>,
     /// It may have more than one owner.
     pub shared: bool,
-    /// Copies kept warm in all, whether there are requests or not.
+    /// The number of copies kept warm in total, whether there are requests or not.
     pub warm: u64,
-    /// Copies kept warm in each region where its requests arrive.
+    /// The number of copies kept warm in each region where its requests arrive.
     pub warm_in_region: u64,
-    /// Requests a minute that one copy is to bear; 0 if the count of copies does not follow the load.
+    /// The requests per minute that one copy is to serve; 0 if the number of copies does not follow the load.
     pub copy_requests: u64,
 }
 
-/// How adapters are brought to engines.
+/// How adapters are loaded onto engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WarmingSettings {
-    /// Engines that load an adapter at once, at most.
+    /// The greatest number of engines that load an adapter at once.
     pub loads_at_once: u64,
-    /// The time constant over which requests are averaged.
+    /// The time constant of the request rate's moving average.
     #[serde(rename = "demand_span")]
     pub demand_window: Span,
-    /// How long copies in a region are kept after its last requests, and a copy that is not wanted is safe
-    /// from being displaced.
+    /// How long copies are kept in a region after its last request, and how long a copy that is no longer needed
+    /// is protected from eviction.
     #[serde(rename = "hold_span")]
     pub hold_time: Span,
 }
@@ -45,6 +45,7 @@
     }
 }
 
+/// Reads the adapters, zones and warming settings of the document.
 pub(crate) fn read_adapters(document: &mut ObjectReader<'_>, desired_state: &mut DesiredState) {
     document.for_each_entry("adapters", |name, mut adapter| {
         let spec = AdapterSpec {
@@ -61,7 +62,7 @@
     });
     for (zone, region) in document.string_map("zones") {
         if !is_name(&region) {
-            document.report(&format!("zones.{zone}"), "the region is not a name");
+            document.report(&format!("zones.{zone}"), "the region is not a valid name");
         }
         desired_state.zones.insert(Zone(zone), Region(region));
     }
@@ -77,7 +78,8 @@
     fields.finish();
 }
 
-/// Adapters are of known models that have places, and tenants are bound to their own alone.
+/// Checks that adapters belong to known models whose engines hold adapters, and that tenants are bound only to
+/// adapters they own.
 pub(crate) fn check_adapters(desired_state: &DesiredState, errors: &mut Vec<ValidationError>) {
     for (name, adapter) in &desired_state.adapters {
         let mut complain =
@@ -85,15 +87,15 @@
         match desired_state.models.get(&adapter.model) {
             None => complain("model", format!("unknown model {}", adapter.model)),
             Some(model) if model.adapter_places == 0 => {
-                complain("model", format!("engines of {} have no places: adapter_places is 0", adapter.model));
+                complain("model", format!("engines of {} hold no adapters: adapter_places is 0", adapter.model));
             }
             Some(_) => {}
         }
         if adapter.owners.is_empty() {
-            complain("owners", "an adapter has an owner".into());
+            complain("owners", "at least one owner is required".into());
         }
         if adapter.owners.len() > 1 && !adapter.shared {
-            complain("owners", "more than one owner, and it is not shared".into());
+            complain("owners", "more than one owner, but not shared".into());
         }
         for owner in adapter.owners.iter().filter(|owner| !desired_state.tenants.contains_key(*owner)) {
             complain("owners", format!("unknown tenant {owner}"));
@@ -128,18 +130,19 @@
 }
 
 impl DesiredState {
-    /// The adapter that a tenant's requests for a model run on, if they run on one.
+    /// The adapter that a tenant's requests for a model run on, if there is one.
     pub fn adapter_of(&self, tenant: &TenantName, model: &ModelName) -> Option<&AdapterName> {
         let bound = &self.tenants.get(tenant)?.adapters;
         bound.iter().find(|name| self.adapters.get(*name).is_some_and(|adapter| adapter.model == *model))
     }
 
-    /// The region a zone is in; the one without a name if the document does not say.
+    /// The region of a zone; the one with the empty name if the document does not list the zone.
     pub fn region_of(&self, zone: &Zone) -> Region {
         self.zones.get(zone).cloned().unwrap_or_default()
     }
 
-    /// What no document may do to the adapters of the one before it, whose removed names are in `retired_revisions`.
+    /// Rejects changes that reuse a revision: a revision must not decrease, must change with the model, and must
+    /// exceed the last one of a removed adapter of the same name, since engines may still hold that one.
     pub(crate) fn check_adapter_changes(
         &self,
         next: &DesiredState,
@@ -154,11 +157,12 @@
                 errors.push(ValidationError::at(&path, reason));
             }
             if before.is_some_and(|before| before.model != spec.model && before.revision == spec.revision) {
-                errors.push(ValidationError::at(&path, "another model needs another revision"));
+                errors.push(ValidationError::at(&path, "a change of the model requires a new revision"));
             }
-            let used = retired_revisions.get(name).filter(|used| before.is_none() && spec.revision <= **used);
-            if let Some(used) = used {
-                let reason = format!("the name was in use up to revision {used}; begin above it");
+            let retired =
+                retired_revisions.get(name).filter(|retired| before.is_none() && spec.revision <= **retired);
+            if let Some(retired) = retired {
+                let reason = format!("the name was used up to revision {retired}; the revision must be above it");
                 errors.push(ValidationError::at(&path, reason));
             }
         }
@@ -176,7 +180,7 @@
     }
 
     #[test]
-    fn what_cannot_be_is_refused_with_its_reason() {
+    fn every_invalid_adapter_is_reported_with_its_reason() {
         let text = r#"{"models":{"m":{"adapter_places":2},"n":{}},"tenants":{"a":{"adapters":["x","y","gone"]},"b":{}},
             "adapters":{"x":{"model":"m","owners":["a"]},"y":{"model":"m","owners":["a","b"]},
             "z":{"model":"n","owners":["b"]},"u":{"model":"none","owners":[]},"v":{"model":"m","owners":["c"]},
@@ -184,17 +188,17 @@
         let errors = errors_of(text);
         for expected in [
             "adapters.u.model: unknown model none",
-            "adapters.u.owners: an adapter has an owner",
+            "adapters.u.owners: at least one owner is required",
             "adapters.v.owners: unknown tenant c",
             "adapters.w.revision: out of range: 0, allowed 1 to 9007199254740992",
-            "adapters.y.owners: more than one owner, and it is not shared",
-            "adapters.z.model: engines of n have no places: adapter_places is 0",
+            "adapters.y.owners: more than one owner, but not shared",
+            "adapters.z.model: engines of n hold no adapters: adapter_places is 0",
             "tenants.a.adapters: unknown adapter gone",
             "tenants.a.adapters: x and y are both of model m",
             "warming.loads_at_once: out of range: 0, allowed 1 to 1000",
-            "zones.z1: the region is not a name",
+            "zones.z1: the region is not a valid name",
         ] {
-            assert!(errors.iter().any(|told| told == expected), "{expected} is not among {errors:#?}");
+            assert!(errors.iter().any(|error| error == expected), "{expected} is not among {errors:#?}");
         }
         assert_eq!(errors.len(), 10, "{errors:#?}");
         let foreign = r#"{"models":{"m":{"adapter_places":2}},"tenants":{"a":{},"b":{"adapters":["x"]}},
@@ -208,7 +212,7 @@
             "adapters":{"x":{"model":"m","owners":["a","b"],"shared":true}},"zones":{"z1":"north"}}"#;
         let desired = read_document(&parse_bounded(text, DOCUMENT_BOUNDS).unwrap()).unwrap();
         assert_eq!(desired.adapter_of(&"b".into(), &"m".into()), Some(&"x".into()));
-        assert_eq!(desired.adapter_of(&"b".into(), &"n".into()), None, "of that model it has none");
+        assert_eq!(desired.adapter_of(&"b".into(), &"n".into()), None, "it is bound to no adapter of this model");
         assert_eq!(desired.region_of(&"z1".into()), "north".into());
         assert_eq!(desired.region_of(&"z9".into()), Region::default());
     }
--- a/crates/desired/src/configuration.rs
+++ b/crates/desired/src/configuration.rs
@@ -1,13 +1,14 @@
-//! Configurations under revisions of the operators' own. A change names the revision it builds on; of two
-//! on the same one a single one is taken. A change sent again is known by its fingerprint, also after
-//! later changes and after a restart, and is settled as it was.
+//! Configurations with revisions that operators number themselves.
+//!
+//! A change names the revision it is based on; of two changes with the same base only one is applied. A retried
+//! change is recognised by its fingerprint, even after later changes or a restart, and gets the same outcome.
 
 use crate::prelude::*;
 
-/// How many taken changes are remembered.
+/// The number of applied changes that are remembered.
 const MAX_REMEMBERED_CHANGES: usize = 4096;
 
-/// A revision as operators number them: rising, by uneven steps.
+/// A revision number chosen by operators; increasing, with gaps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Revision(pub u64);
 
@@ -17,40 +18,41 @@
     }
 }
 
-/// A new configuration and what it was made of.
+/// A new configuration and the source it was translated from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationChange {
     pub base: Revision,
     pub revision: Revision,
-    /// Equal for the very same change, whichever way it came.
+    /// Identifies the change, whichever way it was sent.
     pub fingerprint: BlockHash,
-    /// The document that holds from now on.
+    /// The desired-state document that the configuration translates to.
     pub document: String,
-    /// The configuration in the operators' own words, given back to whoever reads it.
+    /// The configuration as operators wrote it, returned when it is read.
     pub source: String,
 }
 
-/// The configuration in force, and the changes that led to it.
+/// The current configuration and the latest changes that led to it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
     pub revision: Revision,
     pub source: String,
-    /// Fingerprints of the changes taken, and the state's number in which each was.
+    /// Fingerprints of the applied changes, with the edition in which each was applied.
     #[serde(rename = "taken")]
     applied: VecDeque<(BlockHash, Edition)>,
 }
 
 impl Configuration {
-    /// What routers need of it.
+    /// A copy without the source and the applied changes, for routers.
     pub fn without_source(&self) -> Configuration {
         Configuration { revision: self.revision, source: String::new(), applied: VecDeque::new() }
     }
 
-    /// When this very change was taken, if it was.
+    /// The edition in which this change was applied, if it was.
     pub fn applied_at(&self, fingerprint: BlockHash) -> Option<Edition> {
         self.applied.iter().rev().find(|(known, _)| *known == fingerprint).map(|(_, number)| *number)
     }
 
+    /// Makes the change's configuration the current one and remembers its fingerprint.
     pub(crate) fn record(&mut self, number: Edition, change: &ConfigurationChange) {
         self.revision = change.revision;
         self.source = change.source.clone();
@@ -62,6 +64,7 @@
 }
 
 impl FleetState {
+    /// Applies `Command::Configure`.
     pub(crate) fn configure(&mut self, number: Edition, change: &ConfigurationChange) -> CommandOutcome {
         if let Some(applied) = self.configuration.applied_at(change.fingerprint) {
             return CommandOutcome::Applied(applied);
@@ -70,7 +73,7 @@
             return CommandOutcome::Stale { now: Edition(self.configuration.revision.0) };
         }
         if change.revision <= self.configuration.revision {
-            let reason = format!("not above the current one, {}", self.configuration.revision);
+            let reason = format!("must be above the current revision, {}", self.configuration.revision);
             return CommandOutcome::Refused(vec![ValidationError::at("revision", reason)]);
         }
         let outcome = self.apply_document(number, &change.document, None, CONFIGURATION_BOUNDS);
@@ -80,14 +83,15 @@
         outcome
     }
 
-    /// Changes nothing; a change that was not taken is stale on whatever holds now, which may be its base by then.
+    /// Applies `Command::QueryChange`, which changes nothing. A change that was not applied is stale against the
+    /// current revision, which may equal its base by then.
     pub(crate) fn query_change(&self, base: Revision, fingerprint: BlockHash) -> CommandOutcome {
         let current = self.configuration.revision;
         let applied = self.configuration.applied_at(fingerprint).filter(|_| base <= current);
         applied.map_or(CommandOutcome::Stale { now: Edition(current.0) }, CommandOutcome::Applied)
     }
 
-    /// Weights only rise; naming those that are wanted already is no fault.
+    /// Applies `Command::RaiseWeights`. Weights never decrease; setting the current ones again is accepted.
     pub(crate) fn raise_weights(
         &mut self,
         number: Edition,
@@ -96,7 +100,7 @@
     ) -> CommandOutcome {
         let minimum = self.minimum_weights.entry(model.clone()).or_default();
         if weights < *minimum {
-            let reason = format!("weights only rise: {weights} is below {minimum}");
+            let reason = format!("weights must not decrease: {weights} is below {minimum}");
             return CommandOutcome::Refused(vec![ValidationError::at("weights", reason)]);
         }
         *minimum = weights;
@@ -123,19 +127,22 @@
     }
 
     #[test]
-    fn of_two_changes_on_one_base_one_is_taken_and_the_same_one_again_is_the_same() {
+    fn one_of_two_changes_with_the_same_base_is_applied_and_a_retry_gets_its_outcome() {
         let mut state = FleetState::default();
         assert_eq!(submit(&mut state, change(0, 3, "{}")), CommandOutcome::Applied(Edition(1)));
         assert_eq!(submit(&mut state, change(3, 7, r#"{"kinds":["a"]}"#)), CommandOutcome::Applied(Edition(2)));
         assert_eq!(submit(&mut state, change(3, 8, "{}")), CommandOutcome::Stale { now: Edition(7) });
-        assert_eq!(submit(&mut state, change(0, 3, "{}")), CommandOutcome::Applied(Edition(1)), "sent again, later");
-        assert!(matches!(submit(&mut state, change(7, 7, "{}")), CommandOutcome::Refused(_)), "does not rise");
+        assert_eq!(submit(&mut state, change(0, 3, "{}")), CommandOutcome::Applied(Edition(1)), "a late retry");
+        assert!(
+            matches!(submit(&mut state, change(7, 7, "{}")), CommandOutcome::Refused(_)),
+            "the revision must increase"
+        );
         assert!(matches!(submit(&mut state, change(7, 9, r#"{"x":1}"#)), CommandOutcome::Refused(_)));
         assert_eq!((state.configuration.revision, state.configuration.source.as_str()), (Revision(7), "source 7"));
     }
 
     #[test]
-    fn a_change_is_recalled_as_it_was_settled_and_else_is_stale() {
+    fn a_query_returns_the_outcome_of_an_applied_change_and_stale_otherwise() {
         let mut state = FleetState::default();
         let first = change(0, 3, "{}");
         let Command::Configure(taken) = &first else { panic!("{first:?}") };
@@ -147,7 +154,7 @@
     }
 
     #[test]
-    fn named_weights_hold_through_later_documents_and_never_fall() {
+    fn raised_weights_outlast_later_documents_and_never_decrease() {
         let mut state = FleetState::default();
         let raise = |weights| Command::RaiseWeights { model: "m".into(), weights: WeightsEdition(weights) };
         submit(&mut state, change(0, 1, r#"{"models":{"m":{}}}"#));
--- a/crates/desired/src/document.rs
+++ b/crates/desired/src/document.rs
@@ -1,17 +1,21 @@
-//! The operators' document and its checks.
+//! The operators' document: its types, reader and validation.
 
 use crate::prelude::*;
 
+/// The validated content of the operators' document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DesiredState {
     pub models: BTreeMap<ModelName, ModelSpec>,
     pub tenants: BTreeMap<TenantName, TenantSpec>,
+    /// The request kinds that policy rules may refer to.
     pub kinds: Vec<String>,
     pub policies: BTreeMap<String, Policy>,
+    /// The policy on trial for each tenant that has one.
     pub trials: BTreeMap<TenantName, String>,
     pub routing: RoutingSettings,
-    /// Where the prompt store answers, if there is one.
+    /// The address of the prompt store, if there is one.
     pub store: Option<String>,
+    /// Key name -> SHA-256 of the operator's key, in hex.
     pub operators: BTreeMap<String, String>,
     #[serde(default)]
     pub services: BTreeMap<ServiceName, ServiceSpec>,
@@ -23,59 +27,69 @@
     pub adapters: BTreeMap<AdapterName, AdapterSpec>,
     #[serde(default)]
     pub warming: WarmingSettings,
-    /// The region of each zone; a zone that is not named is in the region without a name.
+    /// The region of each zone; a zone that is not listed is in the region with the empty name.
     #[serde(default)]
     pub zones: BTreeMap<Zone, Region>,
 }
 
+/// A model and the weights that its engines are to run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ModelSpec {
     pub weights: WeightsEdition,
-    /// Adapters that an engine of this model holds at once, at most.
+    /// The greatest number of adapters that an engine of this model holds at once.
     #[serde(default)]
     pub adapter_places: u64,
 }
 
+/// A tenant, its keys and the treatment of its requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TenantSpec {
+    /// Its cache blocks are isolated from those of all other tenants.
     pub walled: bool,
-    /// How many requests one router runs at once for this tenant.
+    /// The number of requests that one router runs at once for this tenant.
     pub share: u64,
-    /// Goes before the priority of a route; 0 is the most urgent.
+    /// Overrides the priority of the route; 0 is the most urgent.
     #[serde(default)]
     pub priority: Option<u64>,
-    /// The adapters its requests run on: a request for a model runs on the adapter of that model, if there
-    /// is one here.
+    /// The adapters its requests run on: a request for a model uses the adapter listed here for that model, if
+    /// there is one.
     #[serde(default)]
     pub adapters: Vec<AdapterName>,
     /// Key name -> SHA-256 of the key, in hex.
     pub keys: BTreeMap<KeyName, String>,
 }
 
-/// Where the tree's knowledge comes from.
+/// The source of a router's knowledge of the engines' caches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheStateSource {
+    /// The engines' cache events.
     #[default]
     Events,
+    /// The requests that the router sent before.
     History,
+    /// No knowledge of cached blocks; engines are compared by their load alone.
     OccupancyOnly,
 }
 
+/// The settings of engine selection, retries and trials.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingSettings {
     #[serde(rename = "sight")]
     pub cache_state_source: CacheStateSource,
+    /// The longest time a request is held.
     pub limit: Span,
+    /// Retries allowed per hundred requests.
     pub retry_percent: u64,
-    /// How many in a hundred of a trial tenant's requests go by the policy on trial; the rest, drawn by
-    /// lot at the same time, by the default.
+    /// The percentage of a trial tenant's requests that use the policy on trial, drawn at random; the others use
+    /// the default policy.
     #[serde(default = "default_trial_percent")]
     pub trial_percent: u64,
+    /// The age from which an engine's cache events are too old to rely on.
     pub events_late: Span,
-    /// What prefilling a block costs an engine, for weighing a fetch against it.
+    /// The time an engine takes to prefill a block; a fetch is compared with it.
     pub prefill_block: Span,
     pub fetch: FetchSettings,
-    /// What an engine in another region than the router costs more, in blocks.
+    /// The extra cost, in blocks, of an engine in another region than the router.
     #[serde(default = "default_other_region_blocks")]
     pub other_region_blocks: u64,
 }
@@ -88,7 +102,7 @@
     100
 }
 
-/// What fetching kept blocks costs, by link.
+/// The cost of fetching cached blocks, by link: the time of the setup and the time of each block.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FetchSettings {
     pub enabled: bool,
@@ -125,7 +139,7 @@
     }
 }
 
-/// Reads and checks a document; either it is whole and right, or every error is listed.
+/// Reads and validates a document, and returns it or the list of all errors.
 pub fn read_document(value: &JsonValue) -> Result<DesiredState, Vec<ValidationError>> {
     let mut errors = Vec::new();
     let mut desired_state = DesiredState::default();
@@ -290,8 +304,8 @@
         }
     }
     for (name, policy) in &desired_state.policies {
-        for (place, rule) in policy.rules.iter().enumerate() {
-            let path = format!("policies.{name}.rules[{place}]");
+        for (index, rule) in policy.rules.iter().enumerate() {
+            let path = format!("policies.{name}.rules[{index}]");
             if rule.tenant.as_ref().is_some_and(|tenant| !desired_state.tenants.contains_key(tenant)) {
                 errors.push(ValidationError::at(&format!("{path}.tenant"), "unknown tenant"));
             }
@@ -307,7 +321,7 @@
     use crate::prelude::*;
 
     #[test]
-    fn every_complaint_is_listed_with_its_path() {
+    fn every_error_is_listed_with_its_path() {
         let text = r#"{"models":{"m":{"weights":1.5}},"tenants":{"a":{"walled":1,"sh":2,"keys":{"k":"x"}},"b b":{}},
             "policies":{"p":{"weight":-1,"rules":[{"tenant":"z","weight":1}]}},"trials":{"a":"q"},"routing":{"limit_ms":99}}"#;
         let errors = read_document(&parse_bounded(text, DOCUMENT_BOUNDS).unwrap()).unwrap_err();
--- a/crates/desired/src/document_changes.rs
+++ b/crates/desired/src/document_changes.rs
@@ -1,10 +1,9 @@
-//! Changes of the operators' document: read, merged, checked against the one before, and taken whole or not
-//! at all.
+//! Changes of the operators' document: parsed, merged, validated against the current one, and applied atomically.
 
 use crate::prelude::*;
 
 impl FleetState {
-    /// A whole document takes the place of the one that its author saw.
+    /// Replaces the document, if its current edition is still `base`.
     pub(crate) fn replace_document(&mut self, number: Edition, base: Option<Edition>, text: &str) -> CommandOutcome {
         match self.stale(base) {
             Some(stale) => stale,
@@ -12,7 +11,7 @@
         }
     }
 
-    /// A merge patch is laid over the document that its author saw.
+    /// Applies a merge patch to the document, if its current edition is still `base`.
     pub(crate) fn merge_document(&mut self, number: Edition, base: Option<Edition>, patch: &str) -> CommandOutcome {
         match self.stale(base) {
             Some(stale) => stale,
@@ -20,13 +19,13 @@
         }
     }
 
-    /// A merge patch is laid over the document, whichever it is.
+    /// Applies a merge patch to the current document, whatever its edition.
     pub(crate) fn patch_document(&mut self, number: Edition, patch: &str) -> CommandOutcome {
         let current_text = self.desired_text.clone();
         self.apply_document(number, &current_text, Some(patch), DOCUMENT_BOUNDS)
     }
 
-    /// Takes a document, with a merge patch laid over it if there is one.
+    /// Validates a document, with a merge patch applied to it if there is one, and makes it the current one.
     pub(crate) fn apply_document(
         &mut self,
         number: Edition,
@@ -59,11 +58,12 @@
         CommandOutcome::Applied(number)
     }
 
+    /// The stale outcome, if a base is given that is not the current edition.
     fn stale(&self, base: Option<Edition>) -> Option<CommandOutcome> {
         base.filter(|base| *base != self.desired_edition).map(|_| CommandOutcome::Stale { now: self.desired_edition })
     }
 
-    /// Weights named apart from the document hold, unless the document wants newer ones.
+    /// Raises the weights of the document's models to the minimum weights set by `Command::RaiseWeights`.
     fn apply_minimum_weights(&self, next_desired: &mut DesiredState) {
         for (model, weights) in &self.minimum_weights {
             if let Some(spec) = next_desired.models.get_mut(model) {
@@ -72,7 +72,8 @@
         }
     }
 
-    /// What no document may do to the one before it: take weights back, or lock every operator out.
+    /// Rejects changes that lower a model's weights, remove the last operator key, or break the rules on adapters'
+    /// revisions.
     fn check_changes(&self, next_desired: &DesiredState) -> Vec<ValidationError> {
         let mut errors = Vec::new();
         for (model, spec) in &next_desired.models {
@@ -91,7 +92,7 @@
     }
 }
 
-/// A document's text, read, with a merge patch laid over it if there is one.
+/// Parses a document and applies a merge patch to it, if there is one.
 fn merged(text: &str, patch: Option<&str>, bounds: Bounds) -> Result<JsonValue, ValidationError> {
     let base_text = if text.is_empty() { "{}" } else { text };
     let mut document = parse_bounded(base_text, bounds)?;
--- a/crates/desired/src/fleet.rs
+++ b/crates/desired/src/fleet.rs
@@ -1,33 +1,37 @@
-//! The numbered fleet state and the commands that move it. Applying never fails: a command that does
-//! not fit the state is settled as refused or stale and changes nothing but the number. The state
-//! remembers the latest submissions, so the same request id is settled the same way again; those of
-//! operators are remembered apart, and longer.
+//! The replicated fleet state and the dispatch of commands.
+//!
+//! Applying a submission never fails: a command that does not fit the state is refused or stale and changes only
+//! the edition. The state remembers the outcomes of recent submissions, so that a retry with the same request id
+//! gets the same outcome. Operators' submissions are remembered separately, and for longer.
 
 use crate::prelude::*;
 
-/// How many submissions are remembered that are no operators' orders: their senders ask again within seconds, or
-/// what they submit can be settled twice without harm.
+/// Remembered outcomes of submissions that do not come from operators. Their senders retry within seconds, or
+/// applying their command twice does no harm.
 const MAX_REMEMBERED_OUTCOMES: usize = 512;
 
-/// The state of the fleet that all keepers and routers agree on, after the records up to an edition.
+/// The state of the fleet after all chain records up to `edition`, equal on all keepers and routers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetState {
     pub edition: Edition,
-    /// The edition in which the operators' document last changed: its ETag.
+    /// The edition in which the operators' document last changed; it is the document's ETag.
     pub desired_edition: Edition,
+    /// The operators' document as JSON with sorted keys.
     pub desired_text: String,
     pub desired: DesiredState,
+    /// The edition of the wall that all unwalled tenants share.
     pub shared_wall: WallEdition,
     pub walls: BTreeMap<TenantName, Wall>,
     pub listing: Listing,
-    /// The edition in which the listing was taken.
+    /// The edition in which the listing was last replaced.
     pub listing_edition: Edition,
     #[serde(rename = "standings")]
     pub engine_statuses: BTreeMap<EngineName, EngineStatus>,
     pub duties: BTreeMap<DutyKind, Duty>,
     pub plans: BTreeMap<Edition, Plan>,
-    /// Engines an operator had drained.
+    /// Engines that operators have drained.
     pub drained: BTreeSet<EngineName>,
+    /// Recent submissions that do not come from operators, with their outcomes; the newest is last.
     #[serde(rename = "settled")]
     pub recent_outcomes: VecDeque<(RequestId, CommandOutcome)>,
     #[serde(default, rename = "orders")]
@@ -36,7 +40,7 @@
     pub claim_table: ClaimTable,
     #[serde(default)]
     pub configuration: Configuration,
-    /// Weights named apart from the document; they hold for models that the document has.
+    /// Minimum weights of models, set independently of the document; they apply to models in the document.
     #[serde(default, rename = "named_weights")]
     pub minimum_weights: BTreeMap<ModelName, WeightsEdition>,
     #[serde(default)]
@@ -44,7 +48,7 @@
 }
 
 impl FleetState {
-    /// Applies a record of the chain, whatever becomes of its command.
+    /// Applies a chain record and returns the outcome of its command; a retry gets the remembered outcome.
     pub fn apply(&mut self, submission: &Submission) -> CommandOutcome {
         if let Some(earlier) = self.previous_outcome(submission.request) {
             self.edition = self.edition.next();
@@ -57,7 +61,8 @@
         outcome
     }
 
-    /// Applies as a router does, which keeps no claims: they concern the core alone.
+    /// Applies a chain record on a router. Routers keep no claim table, so commands on claims change only the
+    /// edition and the remembered outcomes.
     pub fn apply_without_claims(&mut self, submission: &Submission) {
         if !submission.command.concerns_claims() {
             self.apply(submission);
@@ -79,7 +84,7 @@
         }
     }
 
-    /// The state as routers are given it.
+    /// A copy for routers: without claims, and without the operators' configuration source.
     pub fn without_claims(&self) -> FleetState {
         let claim_table = ClaimTable::empty_at(self.claim_table.rotation);
         FleetState {
@@ -104,18 +109,18 @@
         }
     }
 
-    /// How a request was settled, if that is still remembered.
+    /// The outcome of an earlier submission with this request id, if it is still remembered.
     pub fn previous_outcome(&self, request: RequestId) -> Option<CommandOutcome> {
         let by_member = || self.recent_outcomes.iter().rev().find(|(earlier, _)| *earlier == request);
         let by_operator = self.operator_submissions.outcome(request);
         by_operator.or_else(|| by_member().map(|(_, outcome)| outcome)).cloned()
     }
 
-    /// Why a submission cannot be settled under its id, if that was used for something else.
+    /// The refusal of a submission whose request id was already used for another change.
     pub fn request_id_conflict(&self, request: RequestId, fingerprint: Option<BlockHash>) -> Option<CommandOutcome> {
-        let is_applied =
+        let is_reused =
             fingerprint.is_some_and(|fingerprint| self.operator_submissions.has_other_content(request, fingerprint));
-        is_applied.then(|| CommandOutcome::refused("x-request-id", "used for another change already"))
+        is_reused.then(|| CommandOutcome::refused("x-request-id", "already used for another change"))
     }
 
     fn execute(&mut self, number: Edition, command: &Command) -> CommandOutcome {
@@ -147,7 +152,7 @@
         }
     }
 
-    /// The tenant whose key has this hash, if the key is in force.
+    /// The tenant that has a key with this hash.
     pub fn tenant_of_key(&self, key_hash: &str) -> Option<&TenantName> {
         self.desired
             .tenants
@@ -156,7 +161,7 @@
             .map(|(tenant, _)| tenant)
     }
 
-    /// Whether a key of this hash is an operator's.
+    /// Whether an operator has a key with this hash.
     pub fn is_operator(&self, key_hash: &str) -> bool {
         self.desired.operators.values().any(|known_hash| known_hash == key_hash)
     }
--- a/crates/desired/src/json_text.rs
+++ b/crates/desired/src/json_text.rs
@@ -1,10 +1,12 @@
-//! A first pass over a text before `tinyjson` sees it: size, nesting and duplicate keys are judged
-//! here, because the library recurses without bound and keeps the last of two equal keys. Also the
-//! way back: a value written with sorted keys, so that equal states have equal texts.
+//! Parsing, writing and merging of JSON.
+//!
+//! Size, nesting depth and duplicate keys are checked before `tinyjson` parses a text, because the library recurses
+//! without a limit and keeps the last of two equal keys. Values are written with sorted keys, so that equal states
+//! have equal texts.
 
 use crate::prelude::*;
 
-/// One thing wrong with a text, and where.
+/// An error in a document, with the path of the member it is about.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ValidationError {
     pub path: String,
@@ -12,6 +14,7 @@
 }
 
 impl ValidationError {
+    /// An error at a path; the empty path stands for the whole document and is shown as `$`.
     pub fn at(path: &str, reason: impl Into<String>) -> ValidationError {
         ValidationError { path: if path.is_empty() { "$".into() } else { path.to_owned() }, reason: reason.into() }
     }
@@ -23,42 +26,47 @@
     }
 }
 
+/// Limits on the size and the nesting depth of a JSON text.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub bytes: usize,
     pub depth: usize,
 }
 
+/// The limits of the operators' document.
 pub const DOCUMENT_BOUNDS: Bounds = Bounds { bytes: 1 << 20, depth: 16 };
-/// What is made of a whole configuration under a revision of the operators' own may be larger.
+/// The limits of a document translated from a whole configuration, which may be larger.
 pub const CONFIGURATION_BOUNDS: Bounds = Bounds { bytes: 4 << 20, depth: 32 };
 
-/// Parses a text within bounds; every error names the path it is about.
+/// Parses a JSON text that must be within bounds.
 pub fn parse_bounded(text: &str, bounds: Bounds) -> Result<JsonValue, ValidationError> {
     if text.len() > bounds.bytes {
         return Err(ValidationError::at("", format!("too large: {} bytes, at most {}", text.len(), bounds.bytes)));
     }
     check_structure(text, bounds.depth)?;
-    text.parse::<JsonValue>().map_err(|fault| ValidationError::at("", fault.to_string().replace('\n', " ")))
+    text.parse::<JsonValue>().map_err(|error| ValidationError::at("", error.to_string().replace('\n', " ")))
 }
 
+/// An open object or array during the structure check.
 struct Level {
+    /// The keys seen so far; none for an array.
     keys: Option<BTreeSet<String>>,
     last_key: String,
     expects_key: bool,
 }
 
+/// Checks nesting depth and duplicate keys.
 fn check_structure(text: &str, depth_limit: usize) -> Result<(), ValidationError> {
     let mut levels: Vec<Level> = Vec::new();
     let text_bytes = text.as_bytes();
-    let mut place = 0;
+    let mut position = 0;
     let path_of = |levels: &[Level]| {
         let named: Vec<&str> =
             levels.iter().filter(|level| level.keys.is_some()).map(|level| level.last_key.as_str()).collect();
         named.join(".")
     };
-    while place < text_bytes.len() {
-        match text_bytes[place] {
+    while position < text_bytes.len() {
+        match text_bytes[position] {
             opening @ (b'{' | b'[') => {
                 if levels.len() == depth_limit {
                     return Err(ValidationError::at(
@@ -78,12 +86,12 @@
                 }
             }
             b'"' => {
-                let string_start = place + 1;
-                place = string_start;
-                while place < text_bytes.len() && text_bytes[place] != b'"' {
-                    place += if text_bytes[place] == b'\\' { 2 } else { 1 };
+                let string_start = position + 1;
+                position = string_start;
+                while position < text_bytes.len() && text_bytes[position] != b'"' {
+                    position += if text_bytes[position] == b'\\' { 2 } else { 1 };
                 }
-                let raw_string = text.get(string_start..place.min(text.len())).unwrap_or("");
+                let raw_string = text.get(string_start..position.min(text.len())).unwrap_or("");
                 if let Some(level) = levels.last_mut().filter(|level| level.expects_key) {
                     level.expects_key = false;
                     level.last_key = unescape(raw_string);
@@ -95,7 +103,7 @@
             }
             _ => {}
         }
-        place += 1;
+        position += 1;
     }
     Ok(())
 }
@@ -105,12 +113,12 @@
         return raw_string.to_owned();
     }
     match format!("\"{raw_string}\"").parse::<JsonValue>() {
-        Ok(JsonValue::String(plain_string)) => plain_string,
+        Ok(JsonValue::String(unescaped)) => unescaped,
         _ => raw_string.to_owned(),
     }
 }
 
-/// A value as text with sorted keys.
+/// Writes a value as JSON text with sorted keys.
 pub fn write_sorted(value: &JsonValue) -> String {
     let mut out = String::new();
     write_into(value, &mut out);
@@ -122,8 +130,8 @@
         JsonValue::Object(members) => {
             out.push('{');
             let sorted_members: BTreeMap<_, _> = members.iter().collect();
-            for (place, (key, member)) in sorted_members.into_iter().enumerate() {
-                if place > 0 {
+            for (position, (key, member)) in sorted_members.into_iter().enumerate() {
+                if position > 0 {
                     out.push(',');
                 }
                 out.push_str(&JsonValue::String(key.clone()).stringify().unwrap_or_default());
@@ -134,8 +142,8 @@
         }
         JsonValue::Array(items) => {
             out.push('[');
-            for (place, item) in items.iter().enumerate() {
-                if place > 0 {
+            for (position, item) in items.iter().enumerate() {
+                if position > 0 {
                     out.push(',');
                 }
                 write_into(item, out);
@@ -145,11 +153,11 @@
         JsonValue::Number(number) if number.fract() == 0.0 && number.abs() < 9e15 => {
             out.push_str(&format!("{}", *number as i64));
         }
-        plain => out.push_str(&plain.stringify().unwrap_or_else(|_| "null".into())),
+        other => out.push_str(&other.stringify().unwrap_or_else(|_| "null".into())),
     }
 }
 
-/// Merge patch of RFC 7396.
+/// Applies a JSON merge patch (RFC 7396).
 pub fn merge(target: &mut JsonValue, patch: &JsonValue) {
     let JsonValue::Object(patch_members) = patch else {
         *target = patch.clone();
@@ -173,7 +181,7 @@
     use crate::prelude::*;
 
     #[test]
-    fn shape_faults_name_their_path() {
+    fn structure_errors_have_their_path() {
         let refused_texts = [
             (r#"{"a":{"b":1,"b":2}}"#, "a.b", "duplicate key"),
             (r#"{"a":1,"\u0061":2}"#, "a", "duplicate key"),
@@ -190,7 +198,7 @@
     }
 
     #[test]
-    fn merge_patch_follows_its_rfc() {
+    fn merge_patch_follows_rfc_7396() {
         let mut target = parse_bounded(r#"{"a":{"b":1,"c":[1,2]},"d":"x"}"#, DOCUMENT_BOUNDS).unwrap();
         let patch = parse_bounded(r#"{"a":{"b":null,"c":[3],"e":{"f":null,"g":1}},"d":2}"#, DOCUMENT_BOUNDS).unwrap();
         merge(&mut target, &patch);
--- a/crates/desired/src/lib.rs
+++ b/crates/desired/src/lib.rs
@@ -1,7 +1,10 @@
-//! The desired state: what operators say, read by hand from `tinyjson` values and checked with every
-//! fault listed by its path; and the numbered fleet state it is part of. Each record of the chain is
-//! a `Command`; applying the same commands in the same order gives the same fleet state on every
-//! keeper and in every router.
+//! The desired state and the replicated fleet state it is part of.
+//!
+//! Operators state the desired state in a JSON document, which is validated as a whole: every error is reported
+//! with its path. The fleet state is a replicated state machine: each record of the chain carries a [`Command`],
+//! and applying the same commands in the same order gives the same fleet state on every keeper and router.
+//!
+//! [`Command`]: prelude::Command
 
 pub mod prelude;
 
--- a/crates/desired/src/listing.rs
+++ b/crates/desired/src/listing.rs
@@ -1,26 +1,26 @@
-//! The platform's listing of engines, and what the conductor has settled about each of them.
+//! The platform's listing of engines, and the conductor's status of each engine.
 
 use crate::prelude::*;
 
-/// How the platform lists an engine.
+/// The state of an engine in the platform's listing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Listed {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Open,
-    /// It is about to go, and takes no more requests.
+    /// It is shutting down and accepts no new requests.
     Leaving,
 }
 
-/// Which part of the work an engine does.
+/// The phases of inference that an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
     /// Prefill and decode.
     #[default]
     Whole,
-    /// Prefill alone, for decoding engines to fetch from.
+    /// Prefill only; decoding engines fetch the resulting blocks.
     Prefill,
-    /// Decode alone.
+    /// Decode only.
     Decode,
 }
 
@@ -32,27 +32,27 @@
     pub model: ModelName,
     pub role: Role,
     pub listed: Listed,
-    /// The service whose requests it takes; none where services are not told apart.
+    /// The service whose requests it accepts; empty where services are not distinguished.
     #[serde(default)]
     pub service: ServiceName,
-    /// Requests it works on at once; 0 if the list does not say.
+    /// The number of requests it runs at once; 0 if the listing does not say.
     #[serde(default)]
     pub slots: u64,
-    /// The weights the list shows for it.
+    /// The weights of `model` according to the listing.
     #[serde(default)]
     pub weights: Option<WeightsEdition>,
-    /// Models that it holds besides, with the weights the list shows for each.
+    /// The other models it holds, with their weights according to the listing.
     #[serde(default)]
     pub further_models: BTreeMap<ModelName, WeightsEdition>,
 }
 
 impl ListedEngine {
-    /// All models that the engine holds.
+    /// All models that the engine holds, the first one first.
     pub fn models(&self) -> impl Iterator<Item = &ModelName> {
         std::iter::once(&self.model).chain(self.further_models.keys())
     }
 
-    /// Whether the list names any model that the engine holds.
+    /// Whether the listing names a model for the engine.
     pub fn has_model(&self) -> bool {
         !self.model.as_str().is_empty()
     }
@@ -62,34 +62,35 @@
         self.model == *model || self.further_models.contains_key(model)
     }
 
-    /// The weights of a model that the list shows.
+    /// The weights of a model according to the listing.
     pub fn listed_weights(&self, model: &ModelName) -> Option<WeightsEdition> {
         if self.model == *model { self.weights } else { self.further_models.get(model).copied() }
     }
 }
 
-/// The platform's listing, whole; an engine that is not in it is gone.
+/// The platform's complete listing; an engine that is not in it is gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
+    /// Identifies the run of the platform; listing numbers are comparable only within one.
     pub boot: String,
     pub number: ListingNumber,
     pub engines: BTreeMap<EngineName, ListedEngine>,
 }
 
-/// What the conductor has settled about an engine.
+/// The conductor's status of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// The weights the engine confirmed to the conductor, and the boot it confirmed them in.
+    /// The weights that the engine confirmed to the conductor, and the boot id it confirmed them under.
     pub confirmed: Option<(WeightsEdition, String)>,
-    /// Closed by the conductor for an order under way.
+    /// Closed by the conductor while an order to the engine is in progress.
     pub closed: bool,
-    /// The weights it confirmed of the models that it holds besides its first.
+    /// The weights that it confirmed for its other models.
     #[serde(default)]
     pub further_confirmed: BTreeMap<ModelName, WeightsEdition>,
 }
 
 impl EngineStatus {
-    /// The newest weights of a model that the engine is known to hold, by its own word or by the list.
+    /// The newest weights of a model that the engine confirmed or the listing shows.
     pub fn held_weights(&self, listed: &ListedEngine, model: &ModelName) -> Option<WeightsEdition> {
         let confirmed = match listed.model == *model {
             true => self.confirmed.as_ref().map(|(weights, _)| *weights),
@@ -100,7 +101,8 @@
 }
 
 impl FleetState {
-    /// Takes a newer listing whole; engines that are gone or have moved lose what was settled about them.
+    /// Replaces the listing by a newer one. Engines that are gone or changed their address lose their status and
+    /// their adapter copies.
     pub(crate) fn apply_listing(&mut self, number: Edition, listing: &Listing) -> CommandOutcome {
         if listing.boot == self.listing.boot && listing.number <= self.listing.number {
             return CommandOutcome::refused("listing", format!("already at {}", self.listing.number));
@@ -118,7 +120,7 @@
         CommandOutcome::Applied(number)
     }
 
-    /// Takes the conductor's word on an engine, if the engine is still listed.
+    /// Applies `Command::SetEngineStatus`; ignored if the engine is no longer listed.
     pub(crate) fn set_engine_status(
         &mut self,
         number: Edition,
--- a/crates/desired/src/object_reader.rs
+++ b/crates/desired/src/object_reader.rs
@@ -1,9 +1,11 @@
-//! Reading `tinyjson` values by hand. A `ObjectReader` walks an object, takes the fields it knows, and
-//! gathers every error with its path; what was not taken is an unknown key. Serves the desired
-//! state and the settings files alike.
+//! Typed access to `tinyjson` values.
+//!
+//! An [`ObjectReader`] removes the members it is asked for from a JSON object and collects every error with its path;
+//! the members that remain at the end are unknown keys. Both the desired state and settings files are read this way.
 
 use crate::prelude::*;
 
+/// Reads the members of one JSON object.
 pub struct ObjectReader<'a> {
     path: String,
     members: BTreeMap<&'a str, &'a JsonValue>,
@@ -11,6 +13,7 @@
 }
 
 impl<'a> ObjectReader<'a> {
+    /// A reader of `value`; if that is no object, reports an error and returns nothing.
     pub fn open(path: &str, value: &'a JsonValue, errors: &'a mut Vec<ValidationError>) -> Option<ObjectReader<'a>> {
         let JsonValue::Object(members) = value else {
             errors.push(ValidationError::at(path, format!("wrong type: expected object, found {}", type_of(value))));
@@ -20,28 +23,32 @@
         Some(ObjectReader { path: path.to_owned(), members, errors })
     }
 
+    /// The path of a member from the root of the document.
     pub fn path_to(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
+    /// Reports an error at a member.
     pub fn report(&mut self, key: &str, reason: impl Into<String>) {
         let path = self.path_to(key);
         self.errors.push(ValidationError::at(&path, reason));
     }
 
+    /// Removes a member and returns its raw value.
     pub fn take(&mut self, key: &str) -> Option<&'a JsonValue> {
         self.members.remove(key)
     }
 
-    fn take_as<T>(&mut self, key: &str, wanted: &str, read: impl Fn(&JsonValue) -> Option<T>) -> Option<T> {
+    fn take_as<T>(&mut self, key: &str, expected: &str, read: impl Fn(&JsonValue) -> Option<T>) -> Option<T> {
         let value = self.take(key)?;
-        let taken = read(value);
-        if taken.is_none() {
-            self.report(key, format!("wrong type: expected {wanted}, found {}", type_of(value)));
+        let typed_value = read(value);
+        if typed_value.is_none() {
+            self.report(key, format!("wrong type: expected {expected}, found {}", type_of(value)));
         }
-        taken
+        typed_value
     }
 
+    /// Removes a member that is a string.
     pub fn text(&mut self, key: &str) -> Option<String> {
         self.take_as(key, "string", |value| match value {
             JsonValue::String(text) => Some(text.clone()),
@@ -49,6 +56,7 @@
         })
     }
 
+    /// Removes a member that is a boolean.
     pub fn flag(&mut self, key: &str) -> Option<bool> {
         self.take_as(key, "true or false", |value| match value {
             JsonValue::Boolean(flag) => Some(*flag),
@@ -56,6 +64,7 @@
         })
     }
 
+    /// Removes a member that is a number in this inclusive range.
     pub fn number(&mut self, key: &str, lowest: f64, highest: f64) -> Option<f64> {
         let number = self.take_as(key, "number", |value| match value {
             JsonValue::Number(number) => Some(*number),
@@ -68,6 +77,7 @@
         Some(number)
     }
 
+    /// Removes a member that is a whole number in this inclusive range.
     pub fn integer(&mut self, key: &str, lowest: u64, highest: u64) -> Option<u64> {
         let number = self.number(key, lowest as f64, highest as f64)?;
         if number.fract() != 0.0 {
@@ -77,6 +87,7 @@
         Some(number as u64)
     }
 
+    /// Removes a member that is an array of strings.
     pub fn texts(&mut self, key: &str) -> Option<Vec<String>> {
         self.take_as(key, "array of strings", |value| {
             let JsonValue::Array(items) = value else { return None };
@@ -90,15 +101,15 @@
         })
     }
 
-    /// A member that is an object of its own.
+    /// Removes a member that is an object, and returns its reader.
     pub fn member(&mut self, key: &str) -> Option<ObjectReader<'_>> {
         let value = self.take(key)?;
         let path = self.path_to(key);
         ObjectReader::open(&path, value, self.errors)
     }
 
-    /// Walks each member of an object of named things; a name that cannot be one is a error.
-    pub fn for_each_entry(&mut self, key: &str, mut walk: impl FnMut(&str, ObjectReader<'_>)) {
+    /// Removes a member that is an object of named objects, and visits each of them; invalid names are errors.
+    pub fn for_each_entry(&mut self, key: &str, mut visit: impl FnMut(&str, ObjectReader<'_>)) {
         let Some(value) = self.take(key) else { return };
         let path = self.path_to(key);
         let Some(named) = ObjectReader::open(&path, value, self.errors) else { return };
@@ -109,12 +120,12 @@
                 continue;
             }
             if let Some(member_reader) = ObjectReader::open(&member_path, member, named.errors) {
-                walk(name, member_reader);
+                visit(name, member_reader);
             }
         }
     }
 
-    /// A map of names to strings.
+    /// Removes a member that is an object of named strings; invalid names are errors.
     pub fn string_map(&mut self, key: &str) -> BTreeMap<String, String> {
         let mut found = BTreeMap::new();
         let Some(value) = self.take(key) else { return found };
@@ -132,25 +143,25 @@
         found
     }
 
-    /// Walks each object of an array.
-    pub fn for_each_item(&mut self, key: &str, mut walk: impl FnMut(ObjectReader<'_>)) {
+    /// Removes a member that is an array of objects, and visits each of them.
+    pub fn for_each_item(&mut self, key: &str, mut visit: impl FnMut(ObjectReader<'_>)) {
         let Some(value) = self.take(key) else { return };
         let path = self.path_to(key);
         let JsonValue::Array(items) = value else {
             self.report(key, format!("wrong type: expected array, found {}", type_of(value)));
             return;
         };
-        for (place, item) in items.iter().enumerate() {
-            if let Some(item_reader) = ObjectReader::open(&format!("{path}[{place}]"), item, self.errors) {
-                walk(item_reader);
+        for (index, item) in items.iter().enumerate() {
+            if let Some(item_reader) = ObjectReader::open(&format!("{path}[{index}]"), item, self.errors) {
+                visit(item_reader);
             }
         }
     }
 
-    /// Ends the walk: whatever was not taken is unknown.
+    /// Reports every member that was not removed as an unknown key.
     pub fn finish(mut self) {
-        let left_keys: Vec<String> = self.members.keys().map(|key| (*key).to_owned()).collect();
-        for key in left_keys {
+        let unknown_keys: Vec<String> = self.members.keys().map(|key| (*key).to_owned()).collect();
+        for key in unknown_keys {
             self.report(&key, "unknown key");
         }
     }
--- a/crates/desired/src/operator_submissions.rs
+++ b/crates/desired/src/operator_submissions.rs
@@ -1,49 +1,51 @@
-//! How operators' submissions were settled. An operator that got no answer sends the same again, after seconds or
-//! after hours, so these are remembered apart from what the fleet's own members submit by the thousand.
+//! Outcomes of operators' submissions, by request id.
+//!
+//! An operator that got no answer may retry after seconds or after hours. These outcomes are therefore kept apart
+//! from those of the thousands of submissions by the fleet's own members.
 
 use crate::prelude::*;
 
-/// How many submissions of operators are remembered, the latest: at six hundred changes a day those of six days.
+/// The number of remembered submissions; at six hundred changes a day it covers six days.
 pub const MAX_OPERATOR_SUBMISSIONS: usize = 4096;
 
-/// How an operator's submission was settled.
+/// An operator's submission and its outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct OperatorSubmission {
-    /// The record it was settled in.
+    /// The number of the record that carried it.
     number: Edition,
-    /// What was submitted: the same id with other content is another submission.
+    /// A hash of the command, to detect reuse of the request id for another command.
     fingerprint: BlockHash,
     outcome: CommandOutcome,
 }
 
-/// What is remembered of operators' submissions, by their ids.
+/// The latest submissions of operators, by request id.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperatorSubmissions {
     by_request: BTreeMap<RequestId, OperatorSubmission>,
 }
 
 impl OperatorSubmissions {
-    /// How a request was settled, if it is remembered.
+    /// The outcome of a request, if it is remembered.
     pub fn outcome(&self, request: RequestId) -> Option<&CommandOutcome> {
         self.by_request.get(&request).map(|submission| &submission.outcome)
     }
 
-    /// Whether a request id was used for something else than this.
+    /// Whether a request id is remembered with another command than the one with this fingerprint.
     pub fn has_other_content(&self, request: RequestId, fingerprint: BlockHash) -> bool {
         self.by_request.get(&request).is_some_and(|submission| submission.fingerprint != fingerprint)
     }
 
-    /// All that is remembered: the requests, and how each was settled.
+    /// All remembered requests with their outcomes.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &CommandOutcome)> {
         self.by_request.iter().map(|(request, submission)| (*request, &submission.outcome))
     }
 
-    /// The request that was settled in a record, if an order was.
-    fn settled_in(&self, number: Edition) -> Option<RequestId> {
+    /// The request that this record carried, if it is a remembered operator's submission.
+    fn request_in(&self, number: Edition) -> Option<RequestId> {
         self.by_request.iter().find(|(_, submission)| submission.number == number).map(|(request, _)| *request)
     }
 
-    /// Remembers a request; the one settled longest ago makes room.
+    /// Remembers a request and evicts the oldest one if there are too many.
     pub(crate) fn remember(
         &mut self,
         number: Edition,
@@ -64,16 +66,16 @@
 }
 
 impl FleetState {
-    /// The request that was settled last.
+    /// The request of the last applied record.
     pub fn last_request(&self) -> Option<RequestId> {
-        let by_operator = self.operator_submissions.settled_in(self.edition);
+        let by_operator = self.operator_submissions.request_in(self.edition);
         by_operator.or_else(|| self.recent_outcomes.back().map(|(request, _)| *request))
     }
 }
 
 impl Command {
-    /// What an operator submits under an id of the operator's own; nothing for what is known by its content, or
-    /// comes from the fleet's own members.
+    /// A hash of an operator's command, for commands identified by the operator's request id. `None` for commands
+    /// that are identified by their content or come from the fleet's own members.
     pub fn order_fingerprint(&self) -> Option<BlockHash> {
         let base_bytes = |base: &Option<Edition>| base.map_or(u64::MAX, |base| base.0).to_le_bytes();
         match self {
@@ -93,7 +95,7 @@
     use crate::prelude::*;
 
     #[test]
-    fn the_order_settled_longest_ago_makes_room() {
+    fn the_oldest_submission_is_evicted() {
         let mut submissions = OperatorSubmissions::default();
         let fingerprint = BlockHash(1);
         let count = MAX_OPERATOR_SUBMISSIONS as u64 + 3;
--- a/crates/desired/src/plan_commands.rs
+++ b/crates/desired/src/plan_commands.rs
@@ -1,20 +1,20 @@
-//! Commands on plans: stating an intent, confirming its plan, doing its steps one by one, ending it.
+//! Commands on plans: stating an intent, confirming its plan, executing the steps in order, and ending the plan.
 
 use crate::prelude::*;
 
 impl FleetState {
-    /// Settles a command on a plan.
+    /// Applies a command on plans.
     pub(crate) fn apply_plan_command(&mut self, number: Edition, command: &Command) -> CommandOutcome {
         match command {
             Command::Intend(intent) => self.intend(number, intent),
             Command::Confirm { plan } => self.confirm(number, *plan),
             Command::DoStep { term, plan, step } => self.do_step(number, *term, *plan, *step),
             Command::EndPlan { term, plan, halted } => self.end_plan(number, *term, plan, halted.clone()),
-            _ => CommandOutcome::refused("", "not a plan's command"),
+            _ => CommandOutcome::refused("", "not a command on plans"),
         }
     }
 
-    /// Turns an intent into a plan, which goes by this number.
+    /// Makes a plan from an intent; `number` identifies the plan.
     fn intend(&mut self, number: Edition, intent: &Intent) -> CommandOutcome {
         let steps = match self.plan_steps(intent) {
             Ok(steps) => steps,
@@ -27,15 +27,16 @@
         CommandOutcome::Applied(number)
     }
 
+    /// Removes the oldest plans beyond [`MAX_PLANS`], those that are over first.
     fn drop_old_plans(&mut self) {
         while self.plans.len() > MAX_PLANS {
-            let oldest_over = self.plans.iter().find(|(_, plan)| plan.is_over()).map(|(number, _)| *number);
-            let Some(dropped) = oldest_over.or_else(|| self.plans.keys().next().copied()) else { return };
+            let oldest_finished = self.plans.iter().find(|(_, plan)| plan.is_over()).map(|(number, _)| *number);
+            let Some(dropped) = oldest_finished.or_else(|| self.plans.keys().next().copied()) else { return };
             self.plans.remove(&dropped);
         }
     }
 
-    /// Confirms a plan, if the document is still the one that it was made on.
+    /// Confirms a plan; stale if the document has changed since the plan was made.
     fn confirm(&mut self, number: Edition, plan_number: Edition) -> CommandOutcome {
         let desired_edition = self.desired_edition;
         let Some(plan) = self.plans.get_mut(&plan_number) else {
@@ -56,14 +57,14 @@
         }
     }
 
-    /// Does a plan's next step, and marks it done in the same record.
+    /// Executes a plan's next step and marks it as done in the same record.
     fn do_step(&mut self, number: Edition, term: Term, plan_number: Edition, step_number: usize) -> CommandOutcome {
         if !self.holds_conductor_term(term) {
             return conductor_term_mismatch();
         }
         let plan = self.plans.get(&plan_number).filter(|plan| plan.done == step_number);
         let Some(step) = plan.and_then(Plan::next_step).cloned() else {
-            return CommandOutcome::refused("step", "not the next one");
+            return CommandOutcome::refused("step", "not the plan's next step");
         };
         let outcome = self.apply_step(number, step);
         if let Some(plan) = self.plans.get_mut(&plan_number) {
@@ -72,7 +73,7 @@
         outcome
     }
 
-    /// What a step changes in the state.
+    /// Applies the effect of a step to the state.
     fn apply_step(&mut self, number: Edition, step: Step) -> CommandOutcome {
         match step {
             Step::Patch(patch) => return self.patch_document(number, &patch),
@@ -87,13 +88,13 @@
         CommandOutcome::Applied(number)
     }
 
-    /// Ends a plan that cannot go on, or that nobody confirmed.
+    /// Ends a plan: halted if a reason is given, expired otherwise.
     fn end_plan(&mut self, number: Edition, term: Term, plan: &Edition, halted: Option<String>) -> CommandOutcome {
         if !self.holds_conductor_term(term) {
             return conductor_term_mismatch();
         }
         let Some(ended) = self.plans.get_mut(plan).filter(|plan| !plan.is_over()) else {
-            return CommandOutcome::refused("plan", "unknown or over");
+            return CommandOutcome::refused("plan", "the plan is unknown or has ended");
         };
         ended.status = halted.map_or(PlanStatus::Expired, PlanStatus::Halted);
         CommandOutcome::Applied(number)
@@ -101,7 +102,7 @@
 }
 
 impl Plan {
-    /// Counts a step as done, or halts the plan if the step was refused.
+    /// Marks a step as done, or halts the plan if the step was refused.
     fn record_step(&mut self, outcome: &CommandOutcome) {
         if let CommandOutcome::Refused(errors) = outcome {
             let reasons: Vec<String> = errors.iter().map(ValidationError::to_string).collect();
--- a/crates/desired/src/plans.rs
+++ b/crates/desired/src/plans.rs
@@ -1,26 +1,37 @@
-//! Intents and the plans they become. An intent is turned into numbered steps by the state it is stated
-//! on; a step is done by one command that both takes effect and marks it done, so no step can be done
-//! twice, whoever goes on with the plan.
+//! Operators' intents and the plans made from them.
+//!
+//! An intent is translated into numbered steps on the basis of the state in which it is stated. One command both
+//! executes a step and marks it as done, so no step is executed twice, even if another conductor continues the plan.
 
 use crate::prelude::*;
 
+/// A change that an operator wants. Its `Debug` text is part of `Command::order_fingerprint` and must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Intent {
+    /// Puts a policy on trial for these tenants.
     Trial { policy: String, tenants: Vec<TenantName> },
+    /// Ends the trials of these tenants.
     EndTrial { tenants: Vec<TenantName> },
+    /// Makes a policy the default and ends its trials.
     Adopt { policy: String },
+    /// Moves a model to newer weights.
     MoveWeights { model: ModelName, weights: WeightsEdition },
+    /// Isolates a tenant's cache blocks.
     Wall { tenant: TenantName },
+    /// Ends the isolation of a tenant's cache blocks.
     Unwall { tenant: TenantName },
+    /// Stops sending new requests to an engine and waits until it is idle.
     Drain { engine: EngineName },
+    /// Sends requests to a drained engine again.
     Undrain { engine: EngineName },
 }
 
+/// One step of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Step {
-    /// A merge patch of the operators' document.
+    /// Applies a merge patch to the operators' document.
     Patch(String),
-    /// Every open engine of the model runs on these weights.
+    /// Waits until every open engine of the model runs these weights.
     WaitWeights {
         model: ModelName,
         weights: WeightsEdition,
@@ -31,48 +42,57 @@
     Undrain {
         engine: EngineName,
     },
-    /// Nothing runs on the engine any more.
+    /// Waits until no request runs on the engine.
     WaitIdle {
         engine: EngineName,
     },
 }
 
+/// The status of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PlanStatus {
+    /// Waiting for an operator's confirmation.
     Stated,
+    /// Being executed.
     Confirmed,
     Done,
+    /// Stopped for this reason.
     Halted(String),
+    /// Not confirmed in time.
     Expired,
 }
 
+/// An intent with the steps that realise it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     pub intent: Intent,
     /// The edition of the document the plan was made on.
     pub base: Edition,
     pub steps: Vec<Step>,
-    /// How many steps are done.
+    /// The number of completed steps.
     pub done: usize,
     pub status: PlanStatus,
-    /// The edition in which it was confirmed.
+    /// The edition in which the plan was confirmed.
     pub confirmed: Option<Edition>,
 }
 
+/// The number of plans that are kept.
 pub const MAX_PLANS: usize = 64;
 
 impl Plan {
+    /// The next step to execute, if the plan is confirmed.
     pub fn next_step(&self) -> Option<&Step> {
         self.steps.get(self.done).filter(|_| self.status == PlanStatus::Confirmed)
     }
 
+    /// Whether the plan is done, halted or expired.
     pub fn is_over(&self) -> bool {
         !matches!(self.status, PlanStatus::Stated | PlanStatus::Confirmed)
     }
 }
 
 impl Step {
-    /// The step in a few words, for operators.
+    /// A short description for operators.
     pub fn description(&self) -> String {
         match self {
             Step::Patch(patch) => format!("change the desired state by {patch}"),
@@ -86,7 +106,7 @@
     }
 }
 
-/// Reads an intent from its JSON form; every error is listed.
+/// Reads an intent from its JSON form, and returns it or the list of all errors.
 pub fn read_intent(value: &JsonValue) -> Result<Intent, Vec<ValidationError>> {
     let mut errors = Vec::new();
     let mut intent = None;
@@ -102,7 +122,7 @@
 
 fn read_fields(fields: &mut ObjectReader<'_>) -> Option<Intent> {
     let name = fields.text("intent");
-    let mut needed = |key: &str| {
+    let mut required = |key: &str| {
         let found = fields.text(key);
         if found.is_none() {
             fields.report(key, "missing");
@@ -110,15 +130,15 @@
         found
     };
     let intent = match name.as_deref() {
-        Some("adopt") => Intent::Adopt { policy: needed("policy")? },
-        Some("wall") => Intent::Wall { tenant: TenantName(needed("tenant")?) },
-        Some("unwall") => Intent::Unwall { tenant: TenantName(needed("tenant")?) },
-        Some("drain") => Intent::Drain { engine: EngineName(needed("engine")?) },
-        Some("undrain") => Intent::Undrain { engine: EngineName(needed("engine")?) },
-        Some("trial") => Intent::Trial { policy: needed("policy")?, tenants: read_tenants(fields)? },
+        Some("adopt") => Intent::Adopt { policy: required("policy")? },
+        Some("wall") => Intent::Wall { tenant: TenantName(required("tenant")?) },
+        Some("unwall") => Intent::Unwall { tenant: TenantName(required("tenant")?) },
+        Some("drain") => Intent::Drain { engine: EngineName(required("engine")?) },
+        Some("undrain") => Intent::Undrain { engine: EngineName(required("engine")?) },
+        Some("trial") => Intent::Trial { policy: required("policy")?, tenants: read_tenants(fields)? },
         Some("end_trial") => Intent::EndTrial { tenants: read_tenants(fields)? },
         Some("move_weights") => {
-            let model = ModelName(needed("model")?);
+            let model = ModelName(required("model")?);
             let Some(weights) = fields.integer("weights", 1, 1 << 53) else {
                 fields.report("weights", "missing or unusable");
                 return None;
@@ -137,13 +157,13 @@
 fn read_tenants(fields: &mut ObjectReader<'_>) -> Option<Vec<TenantName>> {
     let tenants = fields.texts("tenants").unwrap_or_default();
     if tenants.is_empty() {
-        fields.report("tenants", "at least one tenant is needed");
+        fields.report("tenants", "at least one tenant is required");
         return None;
     }
     Some(tenants.into_iter().map(TenantName).collect())
 }
 
-fn patch_of(members: Vec<(&str, JsonValue)>) -> Step {
+fn patch_step(members: Vec<(&str, JsonValue)>) -> Step {
     let members = members.into_iter().map(|(key, member)| (key.to_owned(), member)).collect();
     Step::Patch(write_sorted(&JsonValue::Object(members)))
 }
@@ -162,11 +182,11 @@
 }
 
 impl FleetState {
-    /// The steps an intent takes from this state, or what is wrong with it.
+    /// The steps that realise an intent from this state, or the reasons it is invalid.
     pub fn plan_steps(&self, intent: &Intent) -> Result<Vec<Step>, Vec<ValidationError>> {
         let mut errors = Vec::new();
-        let mut check = |is_known: bool, path: &str, reason: String| {
-            if !is_known {
+        let mut check = |is_valid: bool, path: &str, reason: String| {
+            if !is_valid {
                 errors.push(ValidationError::at(path, reason));
             }
         };
@@ -177,40 +197,48 @@
                 for tenant in tenants {
                     check(desired.tenants.contains_key(tenant), "tenants", format!("unknown tenant {tenant}"));
                 }
-                vec![patch_of(vec![trials_patch(tenants.iter(), Some(policy))])]
+                vec![patch_step(vec![trials_patch(tenants.iter(), Some(policy))])]
             }
             Intent::EndTrial { tenants } => {
                 for tenant in tenants {
                     check(desired.trials.contains_key(tenant), "tenants", format!("{tenant} has no trial"));
                 }
-                vec![patch_of(vec![trials_patch(tenants.iter(), None)])]
+                vec![patch_step(vec![trials_patch(tenants.iter(), None)])]
             }
             Intent::Adopt { policy } => {
                 check(desired.policies.contains_key(policy), "policy", format!("unknown policy {policy}"));
-                check(policy != "default", "policy", "it is the default already".into());
+                check(policy != "default", "policy", "it is already the default policy".into());
                 self.adopt_steps(policy)
             }
             Intent::MoveWeights { model, weights } => {
                 let current = desired.models.get(model).map(|spec| spec.weights);
                 check(current.is_some(), "model", format!("unknown model {model}"));
-                let grows = current.is_none_or(|current| *weights > current);
-                check(grows, "weights", format!("weights editions only grow; now {}", current.unwrap_or_default()));
+                let is_newer = current.is_none_or(|current| *weights > current);
+                check(
+                    is_newer,
+                    "weights",
+                    format!("weights editions only grow; now {}", current.unwrap_or_default()),
+                );
                 let spec = object(&model.0, object("weights", JsonValue::Number(weights.0 as f64)));
                 let wait = Step::WaitWeights { model: model.clone(), weights: *weights };
-                vec![patch_of(vec![("models", spec)]), wait]
+                vec![patch_step(vec![("models", spec)]), wait]
             }
             Intent::Wall { tenant } | Intent::Unwall { tenant } => {
                 let walls = matches!(intent, Intent::Wall { .. });
                 let spec = desired.tenants.get(tenant);
                 check(spec.is_some(), "tenant", format!("unknown tenant {tenant}"));
-                let changes = spec.is_none_or(|spec| spec.walled != walls);
-                check(changes, "tenant", format!("{tenant} already stands so"));
+                let is_change = spec.is_none_or(|spec| spec.walled != walls);
+                check(
+                    is_change,
+                    "tenant",
+                    format!("{tenant} is already {}", if walls { "walled" } else { "not walled" }),
+                );
                 let spec = object(&tenant.0, object("walled", JsonValue::Boolean(walls)));
-                vec![patch_of(vec![("tenants", spec)])]
+                vec![patch_step(vec![("tenants", spec)])]
             }
             Intent::Drain { engine } => {
                 check(self.listing.engines.contains_key(engine), "engine", format!("unknown engine {engine}"));
-                check(!self.drained.contains(engine), "engine", format!("{engine} is drained already"));
+                check(!self.drained.contains(engine), "engine", format!("{engine} is already drained"));
                 vec![Step::Drain { engine: engine.clone() }, Step::WaitIdle { engine: engine.clone() }]
             }
             Intent::Undrain { engine } => {
@@ -233,10 +261,10 @@
             .filter(|(_, name)| *name == policy)
             .map(|(tenant, _)| tenant.clone())
             .collect();
-        // The old default is dropped first, since a merge would keep what the new one does not name.
-        let drop_old = patch_of(vec![("policies", object("default", JsonValue::Null))]);
-        let take_new =
-            patch_of(vec![("policies", object("default", adopted.clone())), trials_patch(on_trial.iter(), None)]);
-        if policies.contains_key("default") { vec![drop_old, take_new] } else { vec![take_new] }
+        // The old default is removed first, since a merge would keep those of its members that the new one lacks.
+        let remove_old = patch_step(vec![("policies", object("default", JsonValue::Null))]);
+        let add_new =
+            patch_step(vec![("policies", object("default", adopted.clone())), trials_patch(on_trial.iter(), None)]);
+        if policies.contains_key("default") { vec![remove_old, add_new] } else { vec![add_new] }
     }
 }
--- a/crates/desired/src/prelude.rs
+++ b/crates/desired/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files.
+//! Everything that the files of this crate import.
 
 pub use crate::adapter_placements::*;
 pub use crate::adapters::*;
--- a/crates/desired/src/traffic.rs
+++ b/crates/desired/src/traffic.rs
@@ -1,52 +1,53 @@
-//! Routes, services and limits: which requests are taken, which service's engines they go to, how often
-//! and how long they may be tried, and what callers may send.
+//! Routes, services and limits: which requests are accepted, which service's engines serve them, how often and for
+//! how long they may be attempted, and what callers may send.
 
 use crate::prelude::*;
 
-/// How a request of a route may be repeated, and what its answer looks like.
+/// Whether requests of a route may be repeated, and whether their answers are streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May run more than once, since it has no side effects.
     Pure,
     /// Runs at most once.
     #[default]
     Effectful,
-    /// Answers with a series of numbered events; runs at most once unless it may be resumed.
+    /// Answers with a stream of numbered events; runs at most once unless the route is resumable.
     Streaming,
 }
 
-/// One weighted target of a route.
+/// A weighted target of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Branch {
     pub service: ServiceName,
     pub share: u64,
 }
 
+/// A route: the requests it matches, and how they are served.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteSpec {
     pub host: String,
-    /// Begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: String,
     pub variant: RouteKind,
-    /// A broken stream may be taken up again after its last event.
+    /// A broken stream may be resumed after its last event.
     pub resumable: bool,
     /// The greatest number of engines one request may be sent to.
     pub attempts: u64,
     /// The longest time a request is held.
     pub limit: Span,
-    /// The time to the answer, or to a stream's first event, that earns full worth.
+    /// The target time to the answer, or to a stream's first event; an answer within it has full value.
     pub target: Span,
-    /// The longest pause between two events that still counts as in time.
+    /// The longest gap between two events of a stream that counts as on time.
     pub gap_target: Span,
     /// 0 is the most urgent.
     pub priority: u64,
-    /// Needs no key.
+    /// Requests need no key.
     pub public: bool,
     pub branches: Vec<Branch>,
 }
 
 impl RouteSpec {
-    /// Whether a request that may have run may be sent to an engine again from its beginning.
+    /// Whether a request that may already have run may be sent to an engine again from the start.
     pub fn is_repeatable(&self) -> bool {
         match self.variant {
             RouteKind::Pure => true,
@@ -56,35 +57,36 @@
     }
 }
 
-/// A store of kept prompt parts.
+/// A store of cached prompt blocks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreSpec {
     pub address: String,
     pub zone: Zone,
 }
 
+/// A service: the models and the capacity of its engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     pub models: Vec<ModelName>,
-    /// Requests an engine works on at once.
+    /// The number of requests that an engine runs at once.
     pub slots: u64,
-    /// Connections an engine takes from all callers together.
+    /// The number of connections that an engine accepts from all clients together.
     pub connections: u64,
-    /// Tokens an engine keeps, running requests and kept parts together.
+    /// The tokens that an engine's cache holds, for running requests and cached blocks together.
     pub cache_tokens: u64,
-    /// Bytes that one kept token takes on a link.
+    /// The bytes that one cached token takes on a link.
     pub token_bytes: u64,
-    /// Megabits a second between engines.
+    /// The bandwidth between engines, in megabits per second.
     pub link_mbps: f64,
-    /// How many held event calls an engine bears at once.
+    /// The number of long-polling event calls that an engine serves at once.
     pub event_calls: u64,
     pub health_path: String,
-    /// Set for a store, which serves no requests.
+    /// Set if the service is a store, which serves no requests.
     pub store: Option<StoreSpec>,
 }
 
 impl ServiceSpec {
-    /// Whether its engines hold no models: neither weights nor kept parts are theirs.
+    /// Whether its engines hold no models, and so have neither weights nor cached blocks.
     pub fn is_without_models(&self) -> bool {
         self.models.is_empty() && self.store.is_none()
     }
@@ -106,7 +108,7 @@
     }
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and the duration of callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     pub header_bytes: u64,
@@ -129,6 +131,7 @@
 const MAX_BYTES: u64 = 1 << 40;
 const MAX_MILLIS: u64 = 1 << 40;
 
+/// Reads the services, routes and limits of the document.
 pub(crate) fn read_traffic(document: &mut ObjectReader<'_>, desired_state: &mut DesiredState) {
     document.for_each_entry("services", |name, mut service| {
         let spec = read_service(&mut service);
@@ -199,7 +202,7 @@
         branch.finish();
     });
     if !(spec.prefix.starts_with('/') && spec.prefix.ends_with('/')) {
-        route.report("prefix", "begins and ends with a slash");
+        route.report("prefix", "must begin and end with a slash");
     }
     if spec.branches.iter().all(|branch| branch.share == 0) {
         route.report("branches", "the shares add up to nothing");
@@ -217,19 +220,19 @@
     fields.finish();
 }
 
-/// Routes name known services, and no two of them take the same requests.
+/// Checks that routes refer to known services and that no two routes match the same requests.
 pub(crate) fn check_traffic(desired_state: &DesiredState, errors: &mut Vec<ValidationError>) {
-    let mut places: BTreeMap<(&str, &str), &RouteName> = BTreeMap::new();
+    let mut matched: BTreeMap<(&str, &str), &RouteName> = BTreeMap::new();
     for (name, route) in &desired_state.routes {
         for branch in &route.branches {
-            let is_served =
+            let is_routable =
                 desired_state.services.get(&branch.service).is_some_and(|service| service.store.is_none());
-            if !is_served {
+            if !is_routable {
                 let reason = format!("unknown service {}", branch.service);
                 errors.push(ValidationError::at(&format!("routes.{name}.branches"), reason));
             }
         }
-        if let Some(other) = places.insert((&route.host, &route.prefix), name) {
+        if let Some(other) = matched.insert((&route.host, &route.prefix), name) {
             errors.push(ValidationError::at(&format!("routes.{name}"), format!("same host and prefix as {other}")));
         }
     }
@@ -246,11 +249,11 @@
     }
 
     #[test]
-    fn a_route_that_cannot_be_served_is_refused_by_its_path() {
+    fn invalid_routes_are_reported_with_their_path() {
         let service = r#""services":{"s":{"models":["m"],"slots":4},"k":{"store_address":"127.0.0.1:1"}}"#;
         let route = |fields: &str| format!(r#"{{{service},"routes":{{"r":{{"host":"h",{fields}}}}}}}"#);
-        let whole = route(r#""prefix":"/a/","branches":[{"service":"s","share":1}]"#);
-        assert!(errors_of(&whole).is_empty());
+        let valid = route(r#""prefix":"/a/","branches":[{"service":"s","share":1}]"#);
+        assert!(errors_of(&valid).is_empty());
         for (fields, path) in [
             (r#""branches":[{"service":"x","share":1}]"#, "routes.r.branches"),
             (r#""branches":[{"service":"k","share":1}]"#, "routes.r.branches"),
@@ -260,9 +263,9 @@
         ] {
             assert_eq!(errors_of(&route(fields)), [path], "{fields}");
         }
-        let twice = format!(
+        let duplicate = format!(
             r#"{{{service},"routes":{{"r":{{"host":"h","branches":[{{"service":"s"}}]}},"q":{{"host":"h","branches":[{{"service":"s"}}]}}}}}}"#
         );
-        assert_eq!(errors_of(&twice), ["routes.r"]);
+        assert_eq!(errors_of(&duplicate), ["routes.r"]);
     }
 }
--- a/crates/desired/src/walls.rs
+++ b/crates/desired/src/walls.rs
@@ -1,8 +1,9 @@
-//! Walls: a walled tenant's memory is told apart from everybody else's.
+//! Walls: the cache isolation of tenants. Cache blocks are named with the wall of their tenant, so a walled tenant
+//! shares no cached blocks with others.
 
 use crate::prelude::*;
 
-/// The wall a tenant's memory stands behind; number 0 is shared by all unwalled tenants.
+/// The isolation domain of a tenant's cache blocks; all unwalled tenants share the one with id 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Wall {
     pub id: WallId,
@@ -10,13 +11,13 @@
 }
 
 impl FleetState {
-    /// The wall that a tenant's memory stands behind.
+    /// The wall that isolates a tenant's cache blocks.
     pub fn wall_of(&self, tenant: &TenantName) -> Wall {
         self.walls.get(tenant).copied().unwrap_or(Wall { id: WallId(0), edition: self.shared_wall })
     }
 
-    /// A tenant newly walled gets a wall of its own, and shared memory, which may hold what it made
-    /// before, starts over for everybody else.
+    /// Gives each newly walled tenant a wall of its own. Blocks that the tenant made before are in the shared cache,
+    /// so the shared wall gets a new edition, which makes all earlier shared blocks unreachable.
     pub(crate) fn update_walls(&mut self, number: Edition, next_desired: &DesiredState) {
         for (tenant, spec) in &next_desired.tenants {
             let was_walled = self.walls.contains_key(tenant);
--- a/crates/desired/tests/fleet_state.rs
+++ b/crates/desired/tests/fleet_state.rs
@@ -1,4 +1,4 @@
-//! The fleet state as commands move it.
+//! Commands and their effects on the fleet state.
 
 use desired::prelude::*;
 use units::prelude::*;
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn walling_a_tenant_starts_shared_memory_over() {
+fn walling_a_tenant_invalidates_the_shared_cache() {
     let mut state = FleetState::default();
     merge_in(&mut state, r#"{"tenants":{"a":{},"b":{}}}"#);
     let wall_before = state.wall_of(&"b".into());
     assert_eq!(state.wall_of(&"a".into()), wall_before);
     merge_in(&mut state, r#"{"tenants":{"a":{"walled":true}}}"#);
     assert_ne!(state.wall_of(&"a".into()).id, state.wall_of(&"b".into()).id);
-    assert_ne!(state.wall_of(&"b".into()), wall_before, "what a made unwalled must not serve b");
+    assert_ne!(state.wall_of(&"b".into()), wall_before, "blocks that a made before must not serve b");
     let first_wall = state.wall_of(&"a".into());
     merge_in(&mut state, r#"{"tenants":{"a":{"walled":false}}}"#);
     merge_in(&mut state, r#"{"tenants":{"a":{"walled":true}}}"#);
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn tenants_walled_at_once_get_walls_of_their_own() {
+fn tenants_walled_in_one_change_get_different_walls() {
     let mut state = FleetState::default();
     merge_in(&mut state, r#"{"tenants":{"a":{"walled":true},"b":{"walled":true}}}"#);
     assert_ne!(state.wall_of(&"a".into()), state.wall_of(&"b".into()));
 }
 
 #[test]
-fn a_repeated_submission_is_settled_once() {
+fn a_retried_submission_is_applied_once() {
     let mut state = FleetState::default();
     let submission = Submission {
         request: RequestId(7),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_older_listing_is_not_taken_back() {
+fn an_older_listing_is_refused() {
     let mut state = FleetState::default();
     let listing = |number| Listing { boot: "b".into(), number: ListingNumber(number), ..Listing::default() };
     assert!(matches!(submit(&mut state, Command::List(listing(5))), CommandOutcome::Applied(_)));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_plan_is_confirmed_once_and_no_step_is_done_twice() {
+fn a_plan_is_confirmed_once_and_no_step_runs_twice() {
     let mut state = FleetState::default();
     merge_in(&mut state, r#"{"models":{"m":{"weights":1}},"tenants":{"a":{}},"policies":{"p":{"weight":4}}}"#);
     submit(&mut state, Command::Appoint { kind: DutyKind::Conductor, from_term: Term(0), holder: NodeId(1) });
@@ -82,11 +82,15 @@
     let step = |term, step| Command::DoStep { term: Term(term), plan, step };
     assert!(matches!(submit(&mut state, step(1, 0)), CommandOutcome::Refused(_)), "not confirmed yet");
     let confirmed = submit(&mut state, Command::Confirm { plan });
-    assert_eq!(submit(&mut state, Command::Confirm { plan }), confirmed, "twice is once");
+    assert_eq!(
+        submit(&mut state, Command::Confirm { plan }),
+        confirmed,
+        "a repeated confirmation has the same outcome"
+    );
     assert!(matches!(submit(&mut state, step(2, 0)), CommandOutcome::Refused(_)), "another term");
     assert!(matches!(submit(&mut state, step(1, 0)), CommandOutcome::Applied(_)));
     assert_eq!(state.desired.trials[&tenants[0]], "p");
-    assert!(matches!(submit(&mut state, step(1, 0)), CommandOutcome::Refused(_)), "a step is done once");
+    assert!(matches!(submit(&mut state, step(1, 0)), CommandOutcome::Refused(_)), "a step runs once");
     assert_eq!(state.plans[&plan].status, PlanStatus::Done);
 
     let late_plan = intend(&mut state, Intent::Adopt { policy: "p".into() });
@@ -106,7 +110,7 @@
 }
 
 #[test]
-fn a_claim_is_held_until_released_by_its_own_run() {
+fn a_claim_is_held_until_its_own_run_releases_it() {
     let mut state = FleetState::default();
     let claim = |run| Command::Claim { claim: BlockHash(7), router: NodeId(1), run };
     assert!(matches!(submit(&mut state, claim(1)), CommandOutcome::Applied(_)));
