--- a/crates/desired/src/adapter_placements.rs
+++ b/crates/desired/src/adapter_placements.rs
@@ -62,6 +62,7 @@
         self.copies.iter().filter(|(_, copies)| is_warm_in(copies, adapter)).map(|(engine, _)| engine)
     }
 
+    /// The number of copies that are loading, in the whole fleet.
     fn loading_count(&self) -> usize {
         let all = self.copies.values().flatten();
         all.filter(|copy| copy.stage == CopyStage::Loading).count()
@@ -72,6 +73,7 @@
         self.copies.remove(engine);
     }
 
+    /// Sets the stage of a copy, or removes the copy if there is no stage.
     fn set_stage(&mut self, engine: &EngineName, adapter: &AdapterId, stage: Option<CopyStage>) {
         let copies = self.copies.entry(engine.clone()).or_default();
         copies.retain(|copy| copy.adapter != *adapter);
@@ -84,15 +86,15 @@
 
     /// Updates the revisions for a new document: the revision of an adapter that is new or changed its model is
     /// active at once, and the last revision of a removed adapter is remembered.
-    pub(crate) fn apply_document(&mut self, before: &DesiredState, next: &DesiredState) {
+    pub(crate) fn apply_document(&mut self, current: &DesiredState, next: &DesiredState) {
         for (name, spec) in &next.adapters {
-            let same_model = before.adapters.get(name).is_some_and(|before| before.model == spec.model);
+            let same_model = current.adapters.get(name).is_some_and(|known| known.model == spec.model);
             if !same_model {
                 self.active_revisions.insert(name.clone(), spec.revision);
             }
             self.retired_revisions.remove(name);
         }
-        let gone = before.adapters.iter().filter(|(name, _)| !next.adapters.contains_key(*name));
+        let gone = current.adapters.iter().filter(|(name, _)| !next.adapters.contains_key(*name));
         for (name, spec) in gone {
             self.active_revisions.remove(name);
             self.retired_revisions.insert(name.clone(), spec.revision);
--- a/crates/desired/src/adapters.rs
+++ b/crates/desired/src/adapters.rs
@@ -28,7 +28,7 @@
 /// How adapters are loaded onto engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WarmingSettings {
-    /// The greatest number of engines that load an adapter at once.
+    /// The greatest number of adapter copies that load at once in the fleet.
     pub loads_at_once: u64,
     /// The time constant of the request rate's moving average.
     #[serde(rename = "demand_span")]
@@ -82,23 +82,23 @@
 /// adapters they own.
 pub(crate) fn check_adapters(desired_state: &DesiredState, errors: &mut Vec<ValidationError>) {
     for (name, adapter) in &desired_state.adapters {
-        let mut complain =
+        let mut report =
             |key: &str, reason: String| errors.push(ValidationError::at(&format!("adapters.{name}.{key}"), reason));
         match desired_state.models.get(&adapter.model) {
-            None => complain("model", format!("unknown model {}", adapter.model)),
+            None => report("model", format!("unknown model {}", adapter.model)),
             Some(model) if model.adapter_places == 0 => {
-                complain("model", format!("engines of {} hold no adapters: adapter_places is 0", adapter.model));
+                report("model", format!("engines of {} hold no adapters: adapter_places is 0", adapter.model));
             }
             Some(_) => {}
         }
         if adapter.owners.is_empty() {
-            complain("owners", "at least one owner is required".into());
+            report("owners", "at least one owner is required".into());
         }
         if adapter.owners.len() > 1 && !adapter.shared {
-            complain("owners", "more than one owner, but not shared".into());
+            report("owners", "more than one owner, but not shared".into());
         }
         for owner in adapter.owners.iter().filter(|owner| !desired_state.tenants.contains_key(*owner)) {
-            complain("owners", format!("unknown tenant {owner}"));
+            report("owners", format!("unknown tenant {owner}"));
         }
     }
     for (tenant, spec) in &desired_state.tenants {
@@ -151,16 +151,16 @@
         let mut errors = Vec::new();
         for (name, spec) in &next.adapters {
             let path = format!("adapters.{name}.revision");
-            let before = self.adapters.get(name);
-            if let Some(before) = before.filter(|before| spec.revision < before.revision) {
-                let reason = format!("revisions only grow: {} is below {}", spec.revision, before.revision);
+            let current = self.adapters.get(name);
+            if let Some(current) = current.filter(|current| spec.revision < current.revision) {
+                let reason = format!("revisions only grow: {} is below {}", spec.revision, current.revision);
                 errors.push(ValidationError::at(&path, reason));
             }
-            if before.is_some_and(|before| before.model != spec.model && before.revision == spec.revision) {
+            if current.is_some_and(|current| current.model != spec.model && current.revision == spec.revision) {
                 errors.push(ValidationError::at(&path, "a change of the model requires a new revision"));
             }
             let retired =
-                retired_revisions.get(name).filter(|retired| before.is_none() && spec.revision <= **retired);
+                retired_revisions.get(name).filter(|retired| current.is_none() && spec.revision <= **retired);
             if let Some(retired) = retired {
                 let reason = format!("the name was used up to revision {retired}; the revision must be above it");
                 errors.push(ValidationError::at(&path, reason));
--- a/crates/desired/src/document.rs
+++ b/crates/desired/src/document.rs
@@ -80,11 +80,12 @@
     pub limit: Span,
     /// Retries allowed per hundred requests.
     pub retry_percent: u64,
-    /// The percentage of a trial tenant's requests that use the policy on trial, drawn at random; the others use
-    /// the default policy.
+    /// The percentage of a trial tenant's requests, drawn at random, that use the policy on trial. The others use the
+    /// default policy at the same time, for comparison.
     #[serde(default = "default_trial_percent")]
     pub trial_percent: u64,
-    /// The age from which an engine's cache events are too old to rely on.
+    /// How long an engine may be silent, or an expected cache event may be missing, before its events count as late
+    /// and are not relied on.
     pub events_late: Span,
     /// The time an engine takes to prefill a block; a fetch is compared with it.
     pub prefill_block: Span,
@@ -175,7 +176,8 @@
     });
     desired_state.kinds = document.texts("kinds").unwrap_or_default();
     document.for_each_entry("policies", |name, mut policy| {
-        let mut read_policy = Policy { weight: policy.number("weight", 0.0, 1e6).unwrap_or(1.0), rules: Vec::new() };
+        let mut parsed_policy =
+            Policy { weight: policy.number("weight", 0.0, 1e6).unwrap_or(1.0), rules: Vec::new() };
         policy.for_each_item("rules", |mut rule| {
             let band = rule.text("band").and_then(|text| {
                 let band = Band::read(&text);
@@ -187,13 +189,13 @@
             let tenant = rule.text("tenant").map(TenantName);
             let kind = rule.text("kind");
             if let Some(weight) = rule.number("weight", 0.0, 1e6) {
-                read_policy.rules.push(Rule { tenant, kind, band, weight });
+                parsed_policy.rules.push(Rule { tenant, kind, band, weight });
             } else {
                 rule.report("weight", "missing or unusable");
             }
             rule.finish();
         });
-        desired_state.policies.insert(name.to_owned(), read_policy);
+        desired_state.policies.insert(name.to_owned(), parsed_policy);
         policy.finish();
     });
     desired_state.trials =
--- a/crates/desired/src/listing.rs
+++ b/crates/desired/src/listing.rs
@@ -109,8 +109,8 @@
         }
         self.drained.retain(|engine| listing.engines.contains_key(engine));
         for (engine, known) in &self.listing.engines {
-            let moved = listing.engines.get(engine).is_none_or(|listed| listed.address != known.address);
-            if moved {
+            let is_gone_or_moved = listing.engines.get(engine).is_none_or(|listed| listed.address != known.address);
+            if is_gone_or_moved {
                 self.engine_statuses.remove(engine);
                 self.adapters.forget_engine(engine);
             }
--- a/crates/desired/src/plans.rs
+++ b/crates/desired/src/plans.rs
@@ -219,22 +219,22 @@
                     "weights",
                     format!("weights editions only grow; now {}", current.unwrap_or_default()),
                 );
-                let spec = object(&model.0, object("weights", JsonValue::Number(weights.0 as f64)));
+                let patch = object(&model.0, object("weights", JsonValue::Number(weights.0 as f64)));
                 let wait = Step::WaitWeights { model: model.clone(), weights: *weights };
-                vec![patch_step(vec![("models", spec)]), wait]
+                vec![patch_step(vec![("models", patch)]), wait]
             }
             Intent::Wall { tenant } | Intent::Unwall { tenant } => {
-                let walls = matches!(intent, Intent::Wall { .. });
+                let is_walled = matches!(intent, Intent::Wall { .. });
                 let spec = desired.tenants.get(tenant);
                 check(spec.is_some(), "tenant", format!("unknown tenant {tenant}"));
-                let is_change = spec.is_none_or(|spec| spec.walled != walls);
+                let is_change = spec.is_none_or(|spec| spec.walled != is_walled);
                 check(
                     is_change,
                     "tenant",
-                    format!("{tenant} is already {}", if walls { "walled" } else { "not walled" }),
+                    format!("{tenant} is already {}", if is_walled { "walled" } else { "not walled" }),
                 );
-                let spec = object(&tenant.0, object("walled", JsonValue::Boolean(walls)));
-                vec![patch_step(vec![("tenants", spec)])]
+                let patch = object(&tenant.0, object("walled", JsonValue::Boolean(is_walled)));
+                vec![patch_step(vec![("tenants", patch)])]
             }
             Intent::Drain { engine } => {
                 check(self.listing.engines.contains_key(engine), "engine", format!("unknown engine {engine}"));
@@ -249,6 +249,7 @@
         if errors.is_empty() { Ok(steps) } else { Err(errors) }
     }
 
+    /// The steps that make a policy of the document the default.
     fn adopt_steps(&self, policy: &str) -> Vec<Step> {
         let document = parse_bounded(&self.desired_text, DOCUMENT_BOUNDS).unwrap_or(JsonValue::Null);
         let JsonValue::Object(members) = document else { return Vec::new() };
