--- a/crates/adapters/src/demand.rs
+++ b/crates/adapters/src/demand.rs
@@ -50,7 +50,7 @@
     /// Recomputes all rates from the reports.
     pub(crate) fn recompute_rates(&mut self, state: &FleetState, now: Instant) {
         let warming = state.desired.warming;
-        let forgotten_after = Span(warming.demand_span.0.saturating_mul(10));
+        let forgotten_after = Span(warming.demand_window.0.saturating_mul(10));
         self.reports.retain(|_, (_, sent)| now.since(*sent) < forgotten_after);
         for known in self.regions.values_mut() {
             known.rate = 0.0;
@@ -58,11 +58,11 @@
         for (report, sent) in self.reports.values() {
             let region = state.desired.region_of(&report.zone);
             for (adapter, reported) in &report.rates {
-                let rate = decayed(*reported as f64 / RATE_UNIT, now.since(*sent), warming.demand_span);
+                let rate = decayed(*reported as f64 / RATE_UNIT, now.since(*sent), warming.demand_window);
                 self.regions.entry((adapter.clone(), region.clone())).or_default().rate += rate;
             }
         }
-        let one_request = rate_of_one_request(warming.demand_span);
+        let one_request = rate_of_one_request(warming.demand_window);
         for known in self.regions.values_mut() {
             known.is_active =
                 known.rate >= one_request * if known.is_active { DEACTIVATION_LEVEL } else { ACTIVATION_LEVEL };
@@ -75,7 +75,7 @@
     }
 
     /// The regions where an adapter's requests arrive, or did within the hold span, busiest first.
-    pub(crate) fn regions_of(&self, adapter: &AdapterName, warming: WarmingWish, now: Instant) -> Vec<Region> {
+    pub(crate) fn regions_of(&self, adapter: &AdapterName, warming: WarmingSettings, now: Instant) -> Vec<Region> {
         let mut found: Vec<(&Region, f64)> = self
             .regions
             .iter()
@@ -87,7 +87,7 @@
     }
 
     /// How many copies a region needs for its load.
-    pub(crate) fn copies_for(&mut self, adapter: &AdapterName, wish: &AdapterWish, region: &Region) -> u64 {
+    pub(crate) fn copies_for(&mut self, adapter: &AdapterName, wish: &AdapterSpec, region: &Region) -> u64 {
         if wish.copy_requests == 0 {
             return wish.warm_in_region;
         }
@@ -110,6 +110,6 @@
 }
 
 /// Whether a region is active, or was within the span for which copies are kept.
-fn is_held(known: &RegionDemand, warming: WarmingWish, now: Instant) -> bool {
-    known.last_active.is_some_and(|last| now.since(last) < warming.hold_span || known.is_active)
+fn is_held(known: &RegionDemand, warming: WarmingSettings, now: Instant) -> bool {
+    known.last_active.is_some_and(|last| now.since(last) < warming.hold_time || known.is_active)
 }
--- a/crates/attempts/src/messages.rs
+++ b/crates/attempts/src/messages.rs
@@ -32,11 +32,11 @@
 
 impl ClaimOutcome {
     /// Interprets the coordinator's settlement; `None` means that none came in time.
-    pub fn of(settled: Option<Settled>) -> ClaimOutcome {
+    pub fn of(settled: Option<CommandOutcome>) -> ClaimOutcome {
         let complaint = match settled {
-            Some(Settled::Taken(_)) => return ClaimOutcome::Taken,
-            Some(Settled::Refused(complaints)) => complaints.into_iter().next(),
-            Some(Settled::Stale { .. }) | None => None,
+            Some(CommandOutcome::Applied(_)) => return ClaimOutcome::Taken,
+            Some(CommandOutcome::Refused(complaints)) => complaints.into_iter().next(),
+            Some(CommandOutcome::Stale { .. }) | None => None,
         };
         match complaint {
             None => ClaimOutcome::Unknown,
--- a/crates/conductor/src/actions.rs
+++ b/crates/conductor/src/actions.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConductorAction {
     /// Put the engine's standing into the fleet state.
-    SetStanding { engine: EngineName, standing: Standing },
+    SetStanding { engine: EngineName, standing: EngineStatus },
     /// Order the engine to load weights.
     Load { engine: EngineName, address: String, weights: WeightsEdition },
     /// Order the engine to accept requests.
@@ -56,7 +56,8 @@
         observed: &BTreeMap<EngineName, EngineObservation>,
         now: Instant,
     ) -> Vec<ConductorAction> {
-        self.closed_since.retain(|engine, _| state.standings.get(engine).is_some_and(|standing| standing.closed));
+        self.closed_since
+            .retain(|engine, _| state.engine_statuses.get(engine).is_some_and(|standing| standing.closed));
         let mut slots = close_slots(state, observed, now);
         let mut actions = Vec::new();
         for (engine, listed) in &state.listing.engines {
@@ -97,7 +98,7 @@
             if may_carry_out(state, step, observed, now) {
                 actions.push(ConductorAction::DoStep { plan: number, step: done });
             } else if waited >= WAIT_LIMIT {
-                let reason = format!("step {} timed out: {}", done + 1, step.words());
+                let reason = format!("step {} timed out: {}", done + 1, step.description());
                 actions.push(ConductorAction::EndPlan { plan: number, halted: Some(reason) });
             }
         }
@@ -115,14 +116,17 @@
         slots: &mut CloseSlots,
         now: Instant,
     ) -> Option<ConductorAction> {
-        let standing = state.standings.get(engine).cloned().unwrap_or_default();
+        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
         let address = listed.address.clone();
         if seen.weights == wanted {
             if !seen.accepting {
                 return Some(ConductorAction::Open { engine: engine.clone(), address });
             }
-            let confirmed =
-                Standing { confirmed: Some((wanted, seen.boot.clone())), closed: false, ..Standing::default() };
+            let confirmed = EngineStatus {
+                confirmed: Some((wanted, seen.boot.clone())),
+                closed: false,
+                ..EngineStatus::default()
+            };
             return (standing != confirmed)
                 .then(|| ConductorAction::SetStanding { engine: engine.clone(), standing: confirmed });
         }
@@ -132,7 +136,7 @@
                 let slots_left = slots.get_mut(&(listed.model.clone(), listed.role))?;
                 *slots_left = slots_left.checked_sub(1)?;
             }
-            let closed = Standing { closed: true, ..standing };
+            let closed = EngineStatus { closed: true, ..standing };
             return Some(ConductorAction::SetStanding { engine: engine.clone(), standing: closed });
         }
         let since = *self.closed_since.entry(engine.clone()).or_insert(now);
@@ -151,7 +155,7 @@
     for (engine, listed) in &state.listing.engines {
         let is_seen = observed.get(engine).is_some_and(|seen| now.since(seen.at) < OBSERVATION_LIFETIME);
         let is_open = listed.listed == Listed::Open && !state.drained.contains(engine);
-        let standing = state.standings.get(engine).filter(|standing| standing.confirmed.is_some());
+        let standing = state.engine_statuses.get(engine).filter(|standing| standing.confirmed.is_some());
         let Some(standing) = standing.filter(|_| is_seen && is_open) else { continue };
         let (serving, closed) = counts.entry((listed.model.clone(), listed.role)).or_default();
         *serving += 1;
@@ -179,7 +183,7 @@
             .iter()
             .filter(|(_, listed)| listed.model == *model && listed.listed == Listed::Open)
             .all(|(engine, _)| {
-                let standing = state.standings.get(engine);
+                let standing = state.engine_statuses.get(engine);
                 let confirmed = standing.and_then(|standing| standing.confirmed.as_ref());
                 confirmed.is_some_and(|(edition, _)| edition >= weights)
                     && standing.is_some_and(|standing| !standing.closed)
@@ -195,11 +199,11 @@
 #[cfg(test)]
 mod tests {
     use crate::prelude::*;
-    use desired::prelude::{Command, Listing, Settled, Submission};
+    use desired::prelude::{Command, CommandOutcome, Listing, Submission};
 
     fn apply(state: &mut FleetState, command: Command) {
         let outcome = state.apply(&Submission { request: RequestId::random(), command });
-        assert!(matches!(outcome, Settled::Taken(_)), "{outcome:?}");
+        assert!(matches!(outcome, CommandOutcome::Applied(_)), "{outcome:?}");
     }
 
     /// Carries out the actions with engines that load instantly; returns the number of rounds until none is left.
@@ -210,7 +214,7 @@
     ) -> usize {
         for round in 1..100 {
             let actions = conductor.next_actions(state, engines, Instant(0));
-            let closed_count = state.standings.values().filter(|standing| standing.closed).count();
+            let closed_count = state.engine_statuses.values().filter(|standing| standing.closed).count();
             assert!(closed_count <= engines.len() / 2, "no more than half closed at a time");
             if actions.is_empty() {
                 return round;
@@ -218,10 +222,10 @@
             for action in actions {
                 match action {
                     ConductorAction::SetStanding { engine, standing } => {
-                        state.standings.insert(engine, standing);
+                        state.engine_statuses.insert(engine, standing);
                     }
                     ConductorAction::Load { engine, weights, .. } => {
-                        let confirmed = state.standings.get(&engine).is_some_and(|standing| !standing.closed);
+                        let confirmed = state.engine_statuses.get(&engine).is_some_and(|standing| !standing.closed);
                         assert!(!confirmed, "only a closed engine is loaded");
                         engines.get_mut(&engine).unwrap().weights = weights;
                     }
@@ -262,7 +266,7 @@
         let mut conductor = Conductor::default();
         apply(&mut state, Command::Merge { base: None, patch: r#"{"models":{"m":{"weights":2}}}"#.into() });
         play(&mut state, &mut observations, &mut conductor);
-        for standing in state.standings.values() {
+        for standing in state.engine_statuses.values() {
             assert_eq!(standing.confirmed, Some((WeightsEdition(2), "x".to_owned())));
             assert!(!standing.closed);
         }
@@ -294,7 +298,7 @@
             engine_names.iter().map(|name| (name.clone(), observed.clone())).collect();
         let mut conductor = Conductor::default();
         play(&mut state, &mut observations, &mut conductor);
-        assert!(state.standings.values().all(|standing| standing.confirmed.is_some()));
+        assert!(state.engine_statuses.values().all(|standing| standing.confirmed.is_some()));
         (state, observations)
     }
 }
--- a/crates/conductor/src/prelude.rs
+++ b/crates/conductor/src/prelude.rs
@@ -2,6 +2,6 @@
 
 pub use crate::actions::*;
 pub use crate::rollout::*;
-pub(crate) use desired::prelude::{FleetState, Listed, ListedEngine, Plan, Role, Standing, Step};
+pub(crate) use desired::prelude::{EngineStatus, FleetState, Listed, ListedEngine, Plan, Role, Step};
 pub(crate) use std::collections::BTreeMap;
 pub(crate) use units::prelude::*;
--- a/crates/conductor/src/rollout.rs
+++ b/crates/conductor/src/rollout.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutStep {
     /// Put the engine's standing into the fleet state.
-    SetStanding { engine: EngineName, standing: Standing },
+    SetStanding { engine: EngineName, standing: EngineStatus },
     /// Order the engine to load weights.
     Order { engine: EngineName, address: String, model: ModelName, weights: WeightsEdition },
     /// Order the engine out of turn, only if requests wait there.
@@ -139,7 +139,7 @@
         Some((*since).max(self.disturbed) + self.expedite_after?)
     }
 
-    /// The steps to take now. Their outcomes come back through `record_answer`, `record_report` and, for standings,
+    /// The steps to take now. Their outcomes come back through `record_answer`, `record_report` and, for engine_statuses,
     /// the fleet state. `may_order` is false while orders of the previous holder may still be in flight: then
     /// no order is given.
     pub fn next_steps(&mut self, state: &FleetState, may_order: bool, now: Instant) -> Vec<RolloutStep> {
@@ -179,7 +179,7 @@
         slots: &mut Slots,
         now: Instant,
     ) -> Option<RolloutStep> {
-        let standing = state.standings.get(engine).cloned().unwrap_or_default();
+        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
         let Some(load) = self.next_load(state, engine, listed, &standing) else {
             if !standing.closed {
                 self.progress.remove(engine);
@@ -203,7 +203,7 @@
             if !has_slot && !is_expedited {
                 return None;
             }
-            let closed = Standing { closed: true, ..standing };
+            let closed = EngineStatus { closed: true, ..standing };
             return Some(RolloutStep::SetStanding { engine: engine.clone(), standing: closed });
         }
         let fresh_progress = Progress { not_before: now + CLOSE_PAUSE, ..Progress::default() };
@@ -250,7 +250,7 @@
         listed: &ListedEngine,
         now: Instant,
     ) -> Option<RolloutStep> {
-        let standing = state.standings.get(engine).cloned().unwrap_or_default();
+        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
         let load = self.next_load(state, engine, listed, &standing)?;
         let held = self.held(engine, listed, &standing, &load.model);
         let from = self.expedite_from(&load.model, held)?;
@@ -281,7 +281,7 @@
         state: &FleetState,
         engine: &EngineName,
         listed: &ListedEngine,
-        standing: &Standing,
+        standing: &EngineStatus,
     ) -> Option<Load> {
         listed.models().find_map(|model| {
             let wanted = state.desired.models.get(model)?.weights;
@@ -296,7 +296,7 @@
         &self,
         engine: &EngineName,
         listed: &ListedEngine,
-        standing: &Standing,
+        standing: &EngineStatus,
         model: &ModelName,
     ) -> WeightsEdition {
         let reported = self.progress.get(engine).and_then(|progress| progress.reported.get(model)).copied();
@@ -304,10 +304,10 @@
     }
 
     /// The standing of an engine that holds the wanted weights of all its models.
-    fn opened(&self, engine: &EngineName, listed: &ListedEngine, standing: &Standing) -> Standing {
+    fn opened(&self, engine: &EngineName, listed: &ListedEngine, standing: &EngineStatus) -> EngineStatus {
         let held = |model| self.held(engine, listed, standing, model);
         let further = listed.further_models.keys().map(|model| (model.clone(), held(model)));
-        Standing {
+        EngineStatus {
             confirmed: Some((held(&listed.model), engine.0.clone())),
             closed: false,
             further_confirmed: further.collect(),
@@ -370,7 +370,7 @@
             let is_unresponsive = progress.is_some_and(|progress| progress.faults > MAX_FAULTS);
             *all += 1;
             if !is_unresponsive {
-                *closed += usize::from(state.standings.get(engine).is_some_and(|standing| standing.closed));
+                *closed += usize::from(state.engine_statuses.get(engine).is_some_and(|standing| standing.closed));
                 *loading += usize::from(progress.is_some_and(|progress| progress.ordered.is_some()));
             }
         }
--- a/crates/desired/src/traffic.rs
+++ b/crates/desired/src/traffic.rs
@@ -1,98 +1,100 @@
-//! Routes, services and limits: which requests are taken, which service's engines they go to, how often
-//! and how long they may be tried, and what callers may send.
+//! Routes, services and limits: which requests are accepted, which service's engines serve them, how often and for
+//! how long they may be attempted, and what callers may send.
 
 use crate::prelude::*;
 
-/// How a request of a route may be repeated, and what its answer looks like.
+/// Whether requests of a route may be repeated, and whether their answers are streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Variant {
-    /// May run more than once.
+pub enum RouteKind {
+    /// May run more than once, since it has no side effects.
     Pure,
     /// Runs at most once.
     #[default]
     Effectful,
-    /// Answers with a series of numbered events; runs at most once unless it may be resumed.
+    /// Answers with a stream of numbered events; runs at most once unless the route is resumable.
     Streaming,
 }
 
-/// One weighted target of a route.
+/// A weighted target of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Branch {
     pub service: ServiceName,
     pub share: u64,
 }
 
+/// A route: the requests it matches, and how they are served.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RouteWish {
+pub struct RouteSpec {
     pub host: String,
-    /// Begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    pub variant: Variant,
-    /// A broken stream may be taken up again after its last event.
+    pub variant: RouteKind,
+    /// A broken stream may be resumed after its last event.
     pub resumable: bool,
     /// The greatest number of engines one request may be sent to.
     pub attempts: u64,
     /// The longest time a request is held.
     pub limit: Span,
-    /// The time to the answer, or to a stream's first event, that earns full worth.
+    /// The target time to the answer, or to a stream's first event; an answer within it has full value.
     pub target: Span,
-    /// The longest pause between two events that still counts as in time.
+    /// The longest gap between two events of a stream that counts as on time.
     pub gap_target: Span,
     /// 0 is the most urgent.
     pub priority: u64,
-    /// Needs no key.
+    /// Requests need no key.
     pub public: bool,
     pub branches: Vec<Branch>,
 }
 
-impl RouteWish {
-    /// Whether a request that may have run may be sent to an engine again from its beginning.
+impl RouteSpec {
+    /// Whether a request that may already have run may be sent to an engine again from the start.
     pub fn is_repeatable(&self) -> bool {
         match self.variant {
-            Variant::Pure => true,
-            Variant::Effectful => false,
-            Variant::Streaming => self.resumable,
+            RouteKind::Pure => true,
+            RouteKind::Effectful => false,
+            RouteKind::Streaming => self.resumable,
         }
     }
 }
 
-/// A store of kept prompt parts.
+/// A store of cached prompt blocks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreWish {
+pub struct StoreSpec {
     pub address: String,
     pub zone: Zone,
 }
 
+/// A service: the models and the capacity of its engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ServiceWish {
+pub struct ServiceSpec {
     pub models: Vec<ModelName>,
-    /// Requests an engine works on at once.
+    /// The number of requests that an engine runs at once.
     pub slots: u64,
-    /// Connections an engine takes from all callers together.
+    /// The number of connections that an engine accepts from all clients together.
     pub connections: u64,
-    /// Tokens an engine keeps, running requests and kept parts together.
+    /// The tokens that an engine's cache holds, for running requests and cached blocks together.
     pub cache_tokens: u64,
-    /// Bytes that one kept token takes on a link.
+    /// The bytes that one cached token takes on a link.
     pub token_bytes: u64,
-    /// Megabits a second between engines.
+    /// The bandwidth between engines, in megabits per second.
     pub link_mbps: f64,
-    /// How many held event calls an engine bears at once.
+    /// The number of long-polling event calls that an engine serves at once.
     pub event_calls: u64,
     pub health_path: String,
-    /// Set for a store, which serves no requests.
-    pub store: Option<StoreWish>,
+    /// Set if the service is a store, which serves no requests.
+    pub store: Option<StoreSpec>,
 }
 
-impl ServiceWish {
-    /// Whether its engines hold no models: neither weights nor kept parts are theirs.
+impl ServiceSpec {
+    /// Whether its engines hold no models, and so have neither weights nor cached blocks.
     pub fn is_without_models(&self) -> bool {
         self.models.is_empty() && self.store.is_none()
     }
 }
 
-impl Default for ServiceWish {
+impl Default for ServiceSpec {
     fn default() -> Self {
-        ServiceWish {
+        ServiceSpec {
             models: Vec::new(),
             slots: 8,
             connections: 64,
@@ -106,7 +108,7 @@
     }
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and the duration of callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     pub header_bytes: u64,
@@ -126,110 +128,112 @@
     }
 }
 
-const MOST_BYTES: u64 = 1 << 40;
-const MOST_MILLIS: u64 = 1 << 40;
+const MAX_BYTES: u64 = 1 << 40;
+const MAX_MILLIS: u64 = 1 << 40;
 
-pub(crate) fn read_traffic(document: &mut Reader<'_>, desired_state: &mut DesiredState) {
-    document.each("services", |name, mut service| {
-        let wish = read_service(&mut service);
-        desired_state.services.insert(name.into(), wish);
-        service.close();
+/// Reads the services, routes and limits of the document.
+pub(crate) fn read_traffic(document: &mut ObjectReader<'_>, desired_state: &mut DesiredState) {
+    document.for_each_entry("services", |name, mut service| {
+        let spec = read_service(&mut service);
+        desired_state.services.insert(name.into(), spec);
+        service.finish();
     });
-    document.each("routes", |name, mut route| {
-        let wish = read_route(&mut route);
-        desired_state.routes.insert(name.into(), wish);
-        route.close();
+    document.for_each_entry("routes", |name, mut route| {
+        let spec = read_route(&mut route);
+        desired_state.routes.insert(name.into(), spec);
+        route.finish();
     });
     read_limits(document, &mut desired_state.limits);
 }
 
-fn read_service(service: &mut Reader<'_>) -> ServiceWish {
-    let usual = ServiceWish::default();
+fn read_service(service: &mut ObjectReader<'_>) -> ServiceSpec {
+    let defaults = ServiceSpec::default();
     let store = service.text("store_address").map(|address| {
         if address.parse::<std::net::SocketAddr>().is_err() {
-            service.complain("store_address", "expected an IP address and port");
+            service.report("store_address", "expected an IP address and port");
         }
-        StoreWish { address, zone: Zone(service.text("store_zone").unwrap_or_default()) }
+        StoreSpec { address, zone: Zone(service.text("store_zone").unwrap_or_default()) }
     });
-    ServiceWish {
+    ServiceSpec {
         models: service.texts("models").unwrap_or_default().into_iter().map(ModelName).collect(),
-        slots: service.whole("slots", 1, 1 << 20).unwrap_or(usual.slots),
-        connections: service.whole("connections", 1, 1 << 24).unwrap_or(usual.connections),
-        cache_tokens: service.whole("cache_tokens", 0, MOST_BYTES).unwrap_or(usual.cache_tokens),
-        token_bytes: service.whole("token_bytes", 0, MOST_BYTES).unwrap_or(usual.token_bytes),
-        link_mbps: service.number("link_mbps", 0.0, 1e12).unwrap_or(usual.link_mbps),
-        event_calls: service.whole("event_calls", 1, 1 << 20).unwrap_or(usual.event_calls),
-        health_path: service.text("health_path").unwrap_or(usual.health_path),
+        slots: service.integer("slots", 1, 1 << 20).unwrap_or(defaults.slots),
+        connections: service.integer("connections", 1, 1 << 24).unwrap_or(defaults.connections),
+        cache_tokens: service.integer("cache_tokens", 0, MAX_BYTES).unwrap_or(defaults.cache_tokens),
+        token_bytes: service.integer("token_bytes", 0, MAX_BYTES).unwrap_or(defaults.token_bytes),
+        link_mbps: service.number("link_mbps", 0.0, 1e12).unwrap_or(defaults.link_mbps),
+        event_calls: service.integer("event_calls", 1, 1 << 20).unwrap_or(defaults.event_calls),
+        health_path: service.text("health_path").unwrap_or(defaults.health_path),
         store,
     }
 }
 
-fn read_route(route: &mut Reader<'_>) -> RouteWish {
+fn read_route(route: &mut ObjectReader<'_>) -> RouteSpec {
     let variant = match route.text("variant").as_deref() {
-        Some("pure") => Variant::Pure,
-        Some("streaming") => Variant::Streaming,
-        Some("effectful") | None => Variant::Effectful,
+        Some("pure") => RouteKind::Pure,
+        Some("streaming") => RouteKind::Streaming,
+        Some("effectful") | None => RouteKind::Effectful,
         Some(_) => {
-            route.complain("variant", "expected pure, effectful or streaming");
-            Variant::Effectful
+            route.report("variant", "expected pure, effectful or streaming");
+            RouteKind::Effectful
         }
     };
-    let mut millis =
-        |key: &str, lowest: u64, usual: u64| Span::millis(route.whole(key, lowest, MOST_MILLIS).unwrap_or(usual));
+    let mut millis = |key: &str, lowest: u64, default: u64| {
+        Span::millis(route.integer(key, lowest, MAX_MILLIS).unwrap_or(default))
+    };
     let (limit, target, gap_target) =
         (millis("limit_ms", 1, 10_000), millis("target_ms", 0, 1000), millis("gap_target_ms", 0, 1000));
-    let mut wish = RouteWish {
+    let mut spec = RouteSpec {
         host: route.text("host").unwrap_or_default(),
         prefix: route.text("prefix").unwrap_or_else(|| "/".into()),
         variant,
         resumable: route.flag("resumable").unwrap_or(false),
-        attempts: route.whole("attempts", 1, 100).unwrap_or(1),
+        attempts: route.integer("attempts", 1, 100).unwrap_or(1),
         limit,
         target,
         gap_target,
-        priority: route.whole("priority", 0, 1000).unwrap_or(5),
+        priority: route.integer("priority", 0, 1000).unwrap_or(5),
         public: route.flag("public").unwrap_or(false),
         branches: Vec::new(),
     };
-    route.items("branches", |mut branch| {
+    route.for_each_item("branches", |mut branch| {
         let service = branch.text("service").unwrap_or_default();
-        let share = branch.whole("share", 0, 1 << 32).unwrap_or(1);
-        wish.branches.push(Branch { service: ServiceName(service), share });
-        branch.close();
+        let share = branch.integer("share", 0, 1 << 32).unwrap_or(1);
+        spec.branches.push(Branch { service: ServiceName(service), share });
+        branch.finish();
     });
-    if !(wish.prefix.starts_with('/') && wish.prefix.ends_with('/')) {
-        route.complain("prefix", "begins and ends with a slash");
+    if !(spec.prefix.starts_with('/') && spec.prefix.ends_with('/')) {
+        route.report("prefix", "must begin and end with a slash");
     }
-    if wish.branches.iter().all(|branch| branch.share == 0) {
-        route.complain("branches", "the shares add up to nothing");
+    if spec.branches.iter().all(|branch| branch.share == 0) {
+        route.report("branches", "the shares add up to nothing");
     }
-    wish
+    spec
 }
 
-fn read_limits(document: &mut Reader<'_>, limits: &mut CallerLimits) {
+fn read_limits(document: &mut ObjectReader<'_>, limits: &mut CallerLimits) {
     let Some(mut fields) = document.member("limits") else { return };
-    limits.header_bytes = fields.whole("header_bytes", 256, MOST_BYTES).unwrap_or(limits.header_bytes);
-    limits.body_bytes = fields.whole("body_bytes", 0, MOST_BYTES).unwrap_or(limits.body_bytes);
-    let mut millis = |key: &str, usual: Span| fields.whole(key, 1, MOST_MILLIS).map_or(usual, Span::millis);
+    limits.header_bytes = fields.integer("header_bytes", 256, MAX_BYTES).unwrap_or(limits.header_bytes);
+    limits.body_bytes = fields.integer("body_bytes", 0, MAX_BYTES).unwrap_or(limits.body_bytes);
+    let mut millis = |key: &str, default: Span| fields.integer(key, 1, MAX_MILLIS).map_or(default, Span::millis);
     limits.header_time = millis("header_ms", limits.header_time);
     limits.idle_time = millis("idle_ms", limits.idle_time);
-    fields.close();
+    fields.finish();
 }
 
-/// Routes name known services, and no two of them take the same requests.
-pub(crate) fn check_traffic(desired_state: &DesiredState, complaints: &mut Vec<Complaint>) {
-    let mut places: BTreeMap<(&str, &str), &RouteName> = BTreeMap::new();
+/// Checks that routes refer to known services and that no two routes match the same requests.
+pub(crate) fn check_traffic(desired_state: &DesiredState, errors: &mut Vec<ValidationError>) {
+    let mut matched: BTreeMap<(&str, &str), &RouteName> = BTreeMap::new();
     for (name, route) in &desired_state.routes {
         for branch in &route.branches {
-            let is_served =
+            let is_routable =
                 desired_state.services.get(&branch.service).is_some_and(|service| service.store.is_none());
-            if !is_served {
+            if !is_routable {
                 let reason = format!("unknown service {}", branch.service);
-                complaints.push(Complaint::at(&format!("routes.{name}.branches"), reason));
+                errors.push(ValidationError::at(&format!("routes.{name}.branches"), reason));
             }
         }
-        if let Some(other) = places.insert((&route.host, &route.prefix), name) {
-            complaints.push(Complaint::at(&format!("routes.{name}"), format!("same host and prefix as {other}")));
+        if let Some(other) = matched.insert((&route.host, &route.prefix), name) {
+            errors.push(ValidationError::at(&format!("routes.{name}"), format!("same host and prefix as {other}")));
         }
     }
 }
@@ -238,18 +242,18 @@
 mod tests {
     use crate::prelude::*;
 
-    fn complaints_of(text: &str) -> Vec<String> {
+    fn errors_of(text: &str) -> Vec<String> {
         let document = parse_bounded(text, DOCUMENT_BOUNDS).unwrap();
-        let complaints = read_document(&document).err().unwrap_or_default();
-        complaints.into_iter().map(|complaint| complaint.path).collect()
+        let errors = read_document(&document).err().unwrap_or_default();
+        errors.into_iter().map(|error| error.path).collect()
     }
 
     #[test]
-    fn a_route_that_cannot_be_served_is_refused_by_its_path() {
+    fn invalid_routes_are_reported_with_their_path() {
         let service = r#""services":{"s":{"models":["m"],"slots":4},"k":{"store_address":"127.0.0.1:1"}}"#;
         let route = |fields: &str| format!(r#"{{{service},"routes":{{"r":{{"host":"h",{fields}}}}}}}"#);
-        let whole = route(r#""prefix":"/a/","branches":[{"service":"s","share":1}]"#);
-        assert!(complaints_of(&whole).is_empty());
+        let valid = route(r#""prefix":"/a/","branches":[{"service":"s","share":1}]"#);
+        assert!(errors_of(&valid).is_empty());
         for (fields, path) in [
             (r#""branches":[{"service":"x","share":1}]"#, "routes.r.branches"),
             (r#""branches":[{"service":"k","share":1}]"#, "routes.r.branches"),
@@ -257,11 +261,11 @@
             (r#""prefix":"a/","branches":[{"service":"s"}]"#, "routes.r.prefix"),
             (r#""limit_ms":0,"branches":[{"service":"s"}]"#, "routes.r.limit_ms"),
         ] {
-            assert_eq!(complaints_of(&route(fields)), [path], "{fields}");
+            assert_eq!(errors_of(&route(fields)), [path], "{fields}");
         }
-        let twice = format!(
+        let duplicate = format!(
             r#"{{{service},"routes":{{"r":{{"host":"h","branches":[{{"service":"s"}}]}},"q":{{"host":"h","branches":[{{"service":"s"}}]}}}}}}"#
         );
-        assert_eq!(complaints_of(&twice), ["routes.r"]);
+        assert_eq!(errors_of(&duplicate), ["routes.r"]);
     }
 }
