--- a/crates/estimates/src/lib.rs
+++ b/crates/estimates/src/lib.rs
@@ -6,5 +6,5 @@
 
 pub mod prelude;
 
+mod prefill_speed;
 mod quantile;
-mod reading_speed;
--- a/crates/estimates/src/reading_speed.rs
+++ b/crates/estimates/src/prefill_speed.rs
@@ -18,17 +18,17 @@
 
 /// An estimate of how fast prompts are read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReadingSpeed {
+pub struct PrefillSpeed {
     estimate: QuantileEstimate,
 }
 
-impl Default for ReadingSpeed {
-    fn default() -> ReadingSpeed {
-        ReadingSpeed { estimate: QuantileEstimate::new(UNDISTURBED_QUANTILE, PRIOR_TOKENS_PER_MS) }
+impl Default for PrefillSpeed {
+    fn default() -> PrefillSpeed {
+        PrefillSpeed { estimate: QuantileEstimate::new(UNDISTURBED_QUANTILE, PRIOR_TOKENS_PER_MS) }
     }
 }
 
-impl ReadingSpeed {
+impl PrefillSpeed {
     /// An engine had so many tokens to read, and its first event came after so long.
     pub fn observe(&mut self, read_tokens: u64, waited: Span) {
         if read_tokens < SHORTEST_READ_TOKENS {
--- a/crates/estimates/tests/estimates.rs
+++ b/crates/estimates/tests/estimates.rs
@@ -23,7 +23,7 @@
     Span((((reading_ms + queue_ms) * (1.0 + 0.1 * draws.next()) + 2.0) * 1e6) as u64)
 }
 
-fn observe_reads(speed: &mut ReadingSpeed, draws: &mut Draws, tokens_per_ms: f64) {
+fn observe_reads(speed: &mut PrefillSpeed, draws: &mut Draws, tokens_per_ms: f64) {
     for _ in 0..READS {
         let tokens = 2048 + (draws.next() * 20_000.0) as u64;
         speed.observe(tokens, waited(draws, tokens, tokens_per_ms));
@@ -34,7 +34,7 @@
 fn a_reading_speed_is_found_whatever_it_is_and_followed_when_it_changes() {
     for seed in 0..SEEDS {
         let mut draws = Draws(seed);
-        let mut speed = ReadingSpeed::default();
+        let mut speed = PrefillSpeed::default();
         let first = 5.0 * 100.0_f64.powf(draws.next());
         let second = 5.0 * 100.0_f64.powf(draws.next());
         for truth in [first, second] {
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_reading_speed_says_its_prior_until_enough_was_seen() {
-    let mut speed = ReadingSpeed::default();
+    let mut speed = PrefillSpeed::default();
     let prior = speed.tokens_per_ms();
     for _ in 0..7 {
         speed.observe(4096, Span::millis(1));
@@ -66,7 +66,7 @@
         estimate.observe(absurd);
     }
     assert_eq!((estimate.value(), estimate.seen(), estimate.dropped()), (7.0, 0, 5));
-    let mut speed = ReadingSpeed::default();
+    let mut speed = PrefillSpeed::default();
     for _ in 0..100 {
         speed.observe(u64::MAX, Span(0));
         speed.observe(4096, Span(0));
--- a/crates/gateway/src/candidates.rs
+++ b/crates/gateway/src/candidates.rs
@@ -29,11 +29,11 @@
 }
 
 /// The stores that services of the document name.
-pub fn stores(desired: &DesiredState) -> BTreeMap<ServiceName, StorePlace> {
+pub fn stores(desired: &DesiredState) -> BTreeMap<ServiceName, StoreLocation> {
     let named = desired.services.iter().filter_map(|(service, wish)| {
         let store = wish.store.as_ref()?;
         let place =
-            StorePlace { address: store.address.clone(), zone: store.zone.clone(), link_mbps: wish.link_mbps };
+            StoreLocation { address: store.address.clone(), zone: store.zone.clone(), link_mbps: wish.link_mbps };
         Some((service.clone(), place))
     });
     named.collect()
--- a/crates/gateway/src/mechanism.rs
+++ b/crates/gateway/src/mechanism.rs
@@ -57,13 +57,13 @@
     for mechanism in disabled {
         match mechanism {
             Mechanism::Events => settings.events_late = Span(0),
-            Mechanism::Home => settings.home_share = 0.0,
+            Mechanism::Home => settings.home_affinity_share = 0.0,
             Mechanism::Moves => settings.fetch_least_tokens = u64::MAX,
-            Mechanism::Crowding => settings.crowd_factor = None,
-            Mechanism::UnreadAhead => settings.unread_share = 0.0,
-            Mechanism::WaitBound => settings.bounds_wait = false,
-            Mechanism::FaultCost => settings.trouble_cost = 0.0,
-            Mechanism::Lots => settings.looks_per_engine = None,
+            Mechanism::Crowding => settings.overload_factor = None,
+            Mechanism::UnreadAhead => settings.pending_prefill_share = 0.0,
+            Mechanism::WaitBound => settings.limits_queue_wait = false,
+            Mechanism::FaultCost => settings.recent_failure_cost = 0.0,
+            Mechanism::Lots => settings.samples_per_engine = None,
             Mechanism::ReadingSpeed => settings.tokens_per_ms = Some(FIXED_TOKENS_PER_MS),
             Mechanism::Store | Mechanism::ZonePenalty | Mechanism::PeerWork | Mechanism::KeptConnections => {}
         }
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -31,8 +31,8 @@
 pub(crate) use router::prelude::{CoreLine, FeedPlan, GrantNews, SharedState, keep_feed};
 pub(crate) use routes::prelude::{NamedRoute, Variant};
 pub use selection::prelude::{
-    Band, Candidate, Chosen, FaultKind, FollowOutcome, OwnWork, Selection, SelectionRequest, SelectionSettings,
-    Selector, StorePlace, store_source,
+    Band, Candidate, Chosen, FaultKind, FollowOutcome, NodeLoad, Selection, SelectionRequest, SelectionSettings,
+    Selector, StoreLocation, store_source,
 };
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -32,7 +32,7 @@
         match self.table.ask(|reply| TableCommand::Select { request, reply }).await {
             Some(Selected::Chosen(chosen)) => {
                 let tokens = self.planned.head.prompt_tokens + self.planned.head.output_tokens;
-                let seat = EngineSeat::new(&self.table, chosen.engine.clone(), tokens, chosen.unread_tokens);
+                let seat = EngineSeat::new(&self.table, chosen.engine.clone(), tokens, chosen.prefill_tokens);
                 Ok((chosen, seat))
             }
             Some(Selected::Refused { retry_after }) => {
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -191,15 +191,15 @@
     duty("table", move || {
         let settings = SelectionSettings {
             fetch_share: FETCH_SHARE,
-            home_share: HOME_SHARE,
+            home_affinity_share: HOME_SHARE,
             fetch_least_tokens: BLOCK_TOKENS,
             fetch_most_share: FETCH_MOST_SHARE,
-            unread_share: 1.0,
-            bounds_wait: true,
-            trouble_cost: TROUBLE_COST,
-            crowd_factor: Some(CROWD_FACTOR),
-            crowd_base: CROWD_BASE,
-            looks_per_engine: Some(LOOKS_PER_ENGINE),
+            pending_prefill_share: 1.0,
+            limits_queue_wait: true,
+            recent_failure_cost: TROUBLE_COST,
+            overload_factor: Some(CROWD_FACTOR),
+            overload_base: CROWD_BASE,
+            samples_per_engine: Some(LOOKS_PER_ENGINE),
             ..SelectionSettings::default()
         };
         let selector = Selector::with_settings(node, zone, without(&disabled, settings));
@@ -246,14 +246,14 @@
                 let tokens = request.planned.head.prompt_tokens + request.planned.head.output_tokens;
                 let selected = self.select(&request, now);
                 if let Err(Selected::Chosen(chosen)) = reply.send(selected) {
-                    self.end(&chosen.engine, tokens, Some(chosen.unread_tokens));
+                    self.end(&chosen.engine, tokens, Some(chosen.prefill_tokens));
                 }
             }
             TableCommand::End { engine, tokens, unread_tokens } => self.end(&engine, tokens, unread_tokens),
             TableCommand::Sent { engine, parts, unread_tokens, service, waited } => {
                 if let Some(unread_tokens) = unread_tokens {
-                    self.selector.end_reading(&engine, unread_tokens);
-                    self.selector.note_read(&service, unread_tokens, waited);
+                    self.selector.end_prefill(&engine, unread_tokens);
+                    self.selector.observe_prefill(&service, unread_tokens, waited);
                 }
                 self.selector.note_success(&engine, now);
                 self.selector.note_sent(&engine, &parts, now);
@@ -270,18 +270,18 @@
                 let _ = reply.send(self.selector.position(&source));
             }
             TableCommand::News { source, batch, heard } => {
-                if self.selector.take_events(&source, &batch, heard) == FollowOutcome::Followed {
+                if self.selector.apply_events(&source, &batch, heard) == FollowOutcome::Followed {
                     self.log.note_events(&source, &batch.events);
                     self.tell_changes();
                 }
             }
             TableCommand::List { source, list, heard } => {
                 let position = SourcePosition { epoch: list.epoch, next: list.next };
-                self.selector.take_list(&source, position, &list.kept, heard);
+                self.selector.replace_parts(&source, position, &list.kept, heard);
                 self.log.note_list(&source);
                 self.tell_changes();
             }
-            TableCommand::Unheard { source } => self.selector.note_unheard(&source),
+            TableCommand::Unheard { source } => self.selector.mark_unreachable(&source),
             TableCommand::ReadHere(sources) => {
                 self.read_here = sources;
                 self.tell_changes();
@@ -297,7 +297,7 @@
     fn end(&mut self, engine: &EngineName, tokens: u64, unread_tokens: Option<u64>) {
         self.selector.end(engine, tokens);
         if let Some(unread_tokens) = unread_tokens {
-            self.selector.end_reading(engine, unread_tokens);
+            self.selector.end_prefill(engine, unread_tokens);
         }
     }
 
@@ -306,27 +306,27 @@
     }
 
     fn relay(&self, question: &RelayQuestion, now: Instant) -> RelayNews {
-        let list = |source: &EngineName| self.selector.kept_at(source);
-        let age = |source: &EngineName| now.since(self.selector.heard_at(source));
+        let list = |source: &EngineName| self.selector.kept_parts(source);
+        let age = |source: &EngineName| now.since(self.selector.events_known_until(source));
         let mut news = self.log.answer(question, &self.read_here, list, age);
         let fresh_loads = self.loads.iter().filter(|(_, (_, told))| now.since(*told) < LOAD_AGE);
         news.loads = fresh_loads.map(|(engine, (load, told))| (engine.clone(), *load, now.since(*told))).collect();
-        let relayed = |(engine, work): (EngineName, OwnWork)| RelayedWork {
+        let relayed = |(engine, work): (EngineName, NodeLoad)| RelayedWork {
             engine,
             requests: work.requests,
             tokens: work.tokens,
-            unread_tokens: work.unread_tokens,
+            unread_tokens: work.pending_prefill_tokens,
         };
-        news.work = self.selector.own_work().into_iter().map(relayed).collect();
+        news.work = self.selector.node_load().into_iter().map(relayed).collect();
         news
     }
 
     fn take_relayed(&mut self, router: NodeId, news: RelayNews, arrived: Instant) {
         let told = news.work.into_iter().map(|RelayedWork { engine, requests, tokens, unread_tokens }| {
-            (engine, OwnWork { requests, tokens, unread_tokens })
+            (engine, NodeLoad { requests, tokens, pending_prefill_tokens: unread_tokens })
         });
         if !self.disabled.contains(&Mechanism::PeerWork) {
-            self.selector.note_peer(router, told.collect(), arrived);
+            self.selector.record_peer_report(router, told.collect(), arrived);
         }
         for (engine, EngineLoad { running, waiting, slots }, age) in news.loads {
             let load = selection::prelude::EngineLoad { running, waiting, slots };
@@ -340,8 +340,8 @@
             let parts = relayed.parts.into_iter().map(|(name, tokens)| (PartName(name), tokens));
             let parts: Vec<(PartName, u64)> = parts.collect();
             match relayed.is_list {
-                true => self.selector.take_list(&relayed.source, SourcePosition::default(), &parts, heard),
-                false => self.selector.take_changes(&relayed.source, &parts, heard),
+                true => self.selector.replace_parts(&relayed.source, SourcePosition::default(), &parts, heard),
+                false => self.selector.apply_changes(&relayed.source, &parts, heard),
             }
         }
     }
@@ -354,7 +354,7 @@
         };
         let mut named: BTreeSet<EngineName> = sight.state.listing.engines.keys().cloned().collect();
         named.extend(stores.keys().map(store_source));
-        self.selector.keep_only(&named);
+        self.selector.retain_sources(&named);
         self.selector.set_stores(stores);
         self.loads.retain(|engine, _| named.contains(engine));
         self.budgets.retain(|service, _| sight.state.desired.services.contains_key(service));
@@ -375,7 +375,7 @@
             true => sight.default_table.weight(&tenant, planned.route.name.as_str(), band),
             false => USUAL_OVERLAP_WEIGHT,
         };
-        self.selector.tend_peers(self.shared.router_count() as u64, now);
+        self.selector.expire_peer_reports(self.shared.router_count() as u64, now);
         let chosen = match self.selector.select(&candidates, &selection_request, weigh, now) {
             Selection::Refused { retry_after } => return Selected::Refused { retry_after },
             Selection::Chosen(chosen) => chosen,
@@ -384,7 +384,7 @@
             return Selected::NoBudget;
         }
         self.selector.begin(&chosen.engine, selection_request.tokens());
-        self.selector.begin_reading(&chosen.engine, chosen.unread_tokens);
+        self.selector.begin_prefill(&chosen.engine, chosen.prefill_tokens);
         Selected::Chosen(Box::new(chosen))
     }
 
--- a/crates/selection/src/bearing.rs
+++ b/crates/selection/src/bearing.rs
@@ -47,7 +47,7 @@
     known: &Known,
     request: &SelectionRequest,
     crowd: u64,
-    others: &OwnWork,
+    others: &NodeLoad,
     now: Instant,
 ) -> Result<Bearing, Span> {
     if request.prompt_tokens > candidate.cache_tokens {
--- a/crates/selection/src/choice.rs
+++ b/crates/selection/src/choice.rs
@@ -3,7 +3,7 @@
 
 use crate::prelude::*;
 
-/// Of two engines drawn by lot the better is far better than any one.
+/// Of two engines drawn at random the better is far better than any one.
 const LEAST_LOTS: usize = 2;
 
 /// A candidate that can take the request, with what is known of it.
@@ -11,7 +11,7 @@
     candidate: &'a Candidate,
     known: &'a Known,
     /// What other nodes run there.
-    others: OwnWork,
+    others: NodeLoad,
     bearing: Bearing,
 }
 
@@ -86,13 +86,13 @@
         unknown: &'a Known,
         now: Instant,
     ) -> Result<Vec<Passing<'a>>, Span> {
-        let factor = self.seen_factor(candidates);
+        let factor = self.unseen_load_factor(candidates);
         let known_of = |candidate: &Candidate| self.known.get(&candidate.engine).unwrap_or(unknown);
         let at = |candidate: &'a Candidate| {
             let known = known_of(candidate);
             (candidate, known, self.others(candidate, known, factor, now))
         };
-        let all: Vec<(&Candidate, &Known, OwnWork)> = candidates.iter().map(at).collect();
+        let all: Vec<(&Candidate, &Known, NodeLoad)> = candidates.iter().map(at).collect();
         let crowd =
             self.crowd(all.iter().map(|(_, known, others)| known.own_requests.saturating_add(others.requests)));
         let mut passing = Vec::new();
@@ -119,10 +119,10 @@
         bearing: Bearing,
         candidate: &Candidate,
         known: &Known,
-        others: &OwnWork,
+        others: &NodeLoad,
         request: &SelectionRequest,
     ) -> Result<Bearing, Span> {
-        if !self.settings.bounds_wait {
+        if !self.settings.limits_queue_wait {
             return Ok(bearing);
         }
         let wait_ms = self.unread_ahead(known, others) as f64 / self.tokens_per_ms(&candidate.service);
@@ -131,16 +131,18 @@
     }
 
     /// The scores among which the lowest cost decides: those of the engines that keep the most of the prompt, of
-    /// the prompt's home, and of some drawn by lot. Loads are known as they were a moment ago, and alike to many
+    /// the prompt's home, and of some drawn at random. Loads are known as they were a moment ago, and alike to many
     /// nodes; if all of them took the engine that was least loaded then, it would be the most loaded now.
     fn drawn<'a>(&self, mut scores: Vec<Score<'a>>, weighing: &Weighing<'_>) -> Vec<Score<'a>> {
         let lots = self.lots(scores.len());
         if lots >= scores.len() {
             return scores;
         }
-        let lot = weighing.request.lot.to_le_bytes();
+        let sampling_seed = weighing.request.sampling_seed.to_le_bytes();
         let node = self.node.0.to_le_bytes();
-        scores.sort_by_cached_key(|score| stable_hash(&[&lot, &node, score.candidate.engine.as_str().as_bytes()]));
+        scores.sort_by_cached_key(|score| {
+            stable_hash(&[&sampling_seed, &node, score.candidate.engine.as_str().as_bytes()])
+        });
         let most_kept = scores.iter().map(|score| score.kept).max().unwrap_or(0);
         let (mut place, mut keeping) = (0, 0);
         scores.retain(|score| {
@@ -156,7 +158,7 @@
     /// How many engines are drawn: all nodes together look at each engine a few times, and none at fewer than
     /// two. A node that is alone looks at all.
     fn lots(&self, engines: usize) -> usize {
-        let Some(looks) = self.settings.looks_per_engine else { return engines };
+        let Some(looks) = self.settings.samples_per_engine else { return engines };
         let share = looks * engines as f64 / self.node_count.max(1) as f64;
         (share.ceil() as usize).max(LEAST_LOTS)
     }
@@ -164,11 +166,11 @@
     /// How many requests make an engine crowded: a multiple of what the candidates have on average. However
     /// much of a prompt an engine keeps, it gets no more than that while others have room.
     fn crowd(&self, requests: impl ExactSizeIterator<Item = u64>) -> u64 {
-        let Some(factor) = self.settings.crowd_factor else { return u64::MAX };
+        let Some(factor) = self.settings.overload_factor else { return u64::MAX };
         let engines = requests.len().max(1);
         let total: u64 = requests.sum();
         let average = total as f64 / engines as f64;
-        (average * factor) as u64 + self.settings.crowd_base
+        (average * factor) as u64 + self.settings.overload_base
     }
 
     fn score<'a>(&self, passing: &Passing<'a>, weighing: &Weighing<'_>, weigh: &impl Fn(Band) -> f64) -> Score<'a> {
@@ -182,7 +184,7 @@
         let prefill_blocks = BlockCount(lacking.saturating_add(ahead).div_ceil(block_tokens));
         let decode_blocks = BlockCount(known.own_tokens.saturating_add(others.tokens).div_ceil(block_tokens));
         let zone_blocks = if candidate.zone == self.zone { 0.0 } else { request.zone_penalty_blocks };
-        let trouble = known.trouble(now) * self.settings.trouble_cost;
+        let trouble = known.trouble(now) * self.settings.recent_failure_cost;
         let cost = cost(weigh(Band::of(decode_blocks)), prefill_blocks, decode_blocks) + zone_blocks + trouble;
         Score { candidate, bearing: *bearing, kept, prefill_blocks, decode_blocks, cost, by_events }
     }
@@ -206,7 +208,7 @@
         }
         let shared: u64 = request.parts(candidate.weights).iter().rev().skip(1).map(|(_, tokens)| *tokens).sum();
         let unknown_shared = shared.saturating_sub(held.best_kept().max(kept));
-        cheapest.saturating_sub((unknown_shared as f64 * self.settings.home_share) as u64)
+        cheapest.saturating_sub((unknown_shared as f64 * self.settings.home_affinity_share) as u64)
     }
 
     /// The answer for the engine that is taken, with where it gets parts from and where it sends them.
@@ -221,7 +223,7 @@
             weights: candidate.weights,
             prefill_blocks: score.prefill_blocks,
             decode_blocks: score.decode_blocks,
-            unread_tokens: request.prompt_tokens.saturating_sub(score.kept + fetched),
+            prefill_tokens: request.prompt_tokens.saturating_sub(score.kept + fetched),
             cost: score.cost,
             by_events: score.by_events,
             is_queued: matches!(score.bearing, Bearing::Queued(_)),
@@ -231,21 +233,21 @@
     }
 
     /// Tokens of prompts that the engine has yet to read before it comes to a new one.
-    fn unread_ahead(&self, known: &Known, others: &OwnWork) -> u64 {
-        let unread = known.unread_tokens.saturating_add(others.unread_tokens);
-        (unread as f64 * self.settings.unread_share) as u64
+    fn unread_ahead(&self, known: &Known, others: &NodeLoad) -> u64 {
+        let unread = known.pending_prefill_tokens.saturating_add(others.pending_prefill_tokens);
+        (unread as f64 * self.settings.pending_prefill_share) as u64
     }
 
     /// What the other nodes run on an engine: by the engine's own count if it told one lately, or else by what
     /// the other nodes tell.
-    fn others(&self, candidate: &Candidate, known: &Known, factor: f64, now: Instant) -> OwnWork {
+    fn others(&self, candidate: &Candidate, known: &Known, factor: f64, now: Instant) -> NodeLoad {
         let estimated = self.peers.estimate(&candidate.engine, factor);
         let Some(requests) = known.others(now) else { return estimated };
         let waiting_tokens = self.told_unread(known, &candidate.service, now);
-        OwnWork {
+        NodeLoad {
             requests,
             tokens: (requests as f64 * self.average_tokens) as u64,
-            unread_tokens: estimated.unread_tokens.max(waiting_tokens),
+            pending_prefill_tokens: estimated.pending_prefill_tokens.max(waiting_tokens),
         }
     }
 
@@ -258,19 +260,20 @@
     }
 
     /// By how much the work that peers tell of is multiplied for that of all other nodes.
-    pub fn seen_factor(&self, candidates: &[Candidate]) -> f64 {
+    pub fn unseen_load_factor(&self, candidates: &[Candidate]) -> f64 {
         self.peers.factor(self.node_count.saturating_sub(1), candidates.len() as u64)
     }
 
     /// The order among equals, another on every node, so that nodes do not all choose alike.
     pub(crate) fn spread(&self, request: &SelectionRequest, engine: &EngineName) -> u64 {
-        stable_hash(&[&request.tie.to_le_bytes(), &self.node.0.to_le_bytes(), engine.as_str().as_bytes()])
+        stable_hash(&[&request.tie_break_seed.to_le_bytes(), &self.node.0.to_le_bytes(), engine.as_str().as_bytes()])
     }
 }
 
 /// The engine at which all nodes expect a prompt's shared parts that nobody is known to keep yet: by a hash of
 /// the parts and the engine alone, so that nodes that do not know of each other agree.
 fn home(passing: &[Passing<'_>], request: &SelectionRequest) -> Option<EngineName> {
-    let rank = |engine: &EngineName| stable_hash(&[&request.tie.to_le_bytes(), engine.as_str().as_bytes()]);
+    let rank =
+        |engine: &EngineName| stable_hash(&[&request.tie_break_seed.to_le_bytes(), engine.as_str().as_bytes()]);
     passing.iter().map(|passing| &passing.candidate.engine).max_by_key(|engine| rank(engine)).cloned()
 }
--- a/crates/selection/src/fetch.rs
+++ b/crates/selection/src/fetch.rs
@@ -21,7 +21,7 @@
 
 /// Where a store is.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StorePlace {
+pub struct StoreLocation {
     pub address: String,
     pub zone: Zone,
     pub link_mbps: f64,
--- a/crates/selection/src/known.rs
+++ b/crates/selection/src/known.rs
@@ -54,7 +54,7 @@
     pub own_tokens: u64,
     /// Own requests whose answers have not begun, and what the engine has to read for them.
     pub unread_requests: u64,
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
     /// The load of others, as it told last.
     others: Option<OthersLoad>,
     pub rest_until: Instant,
--- a/crates/selection/src/peers.rs
+++ b/crates/selection/src/peers.rs
@@ -8,34 +8,34 @@
 
 /// A node's own requests on one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct OwnWork {
+pub struct NodeLoad {
     /// Requests that run or wait there.
     pub requests: u64,
     /// Their tokens, of prompts and outputs.
     pub tokens: u64,
     /// Tokens that the engine has yet to read for them.
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
 }
 
-impl OwnWork {
-    fn add(&mut self, other: OwnWork) {
+impl NodeLoad {
+    fn add(&mut self, other: NodeLoad) {
         self.requests = self.requests.saturating_add(other.requests);
         self.tokens = self.tokens.saturating_add(other.tokens);
-        self.unread_tokens = self.unread_tokens.saturating_add(other.unread_tokens);
+        self.pending_prefill_tokens = self.pending_prefill_tokens.saturating_add(other.pending_prefill_tokens);
     }
 
-    fn take_away(&mut self, other: OwnWork) {
+    fn take_away(&mut self, other: NodeLoad) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.tokens = self.tokens.saturating_sub(other.tokens);
-        self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
+        self.pending_prefill_tokens = self.pending_prefill_tokens.saturating_sub(other.pending_prefill_tokens);
     }
 
-    fn scaled(self, factor: f64) -> OwnWork {
+    fn scaled(self, factor: f64) -> NodeLoad {
         let scaled = |count: u64| (count as f64 * factor) as u64;
-        OwnWork {
+        NodeLoad {
             requests: scaled(self.requests),
             tokens: scaled(self.tokens),
-            unread_tokens: scaled(self.unread_tokens),
+            pending_prefill_tokens: scaled(self.pending_prefill_tokens),
         }
     }
 }
@@ -44,20 +44,20 @@
 #[derive(Clone, Debug)]
 struct PeerReport {
     at: Instant,
-    work: Vec<(EngineName, OwnWork)>,
+    work: Vec<(EngineName, NodeLoad)>,
 }
 
 /// The latest reports of peers, and their sums by engine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerReports {
     by_peer: BTreeMap<NodeId, PeerReport>,
-    sums: HashMap<EngineName, OwnWork>,
+    sums: HashMap<EngineName, NodeLoad>,
     requests: u64,
 }
 
 impl PeerReports {
     /// Takes a peer's report of all its work, as it stood at an instant, in place of its earlier one.
-    pub fn note(&mut self, peer: NodeId, work: Vec<(EngineName, OwnWork)>, at: Instant) {
+    pub fn note(&mut self, peer: NodeId, work: Vec<(EngineName, NodeLoad)>, at: Instant) {
         if self.by_peer.get(&peer).is_some_and(|earlier| earlier.at > at) {
             return;
         }
@@ -85,14 +85,14 @@
             self.requests = self.requests.saturating_sub(told.requests);
             let Some(sum) = self.sums.get_mut(&engine) else { continue };
             sum.take_away(told);
-            if *sum == OwnWork::default() {
+            if *sum == NodeLoad::default() {
                 self.sums.remove(&engine);
             }
         }
     }
 
     /// What the nodes heard run on an engine.
-    pub fn seen(&self, engine: &EngineName) -> OwnWork {
+    pub fn seen(&self, engine: &EngineName) -> NodeLoad {
         self.sums.get(engine).copied().unwrap_or_default()
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// What all other nodes are estimated to run on an engine.
-    pub fn estimate(&self, engine: &EngineName, factor: f64) -> OwnWork {
+    pub fn estimate(&self, engine: &EngineName, factor: f64) -> NodeLoad {
         self.seen(engine).scaled(factor)
     }
 }
--- a/crates/selection/src/prelude.rs
+++ b/crates/selection/src/prelude.rs
@@ -2,11 +2,11 @@
 
 pub use crate::fetch::*;
 pub use crate::known::{EngineLoad, FaultKind};
-pub use crate::peers::OwnWork;
+pub use crate::peers::NodeLoad;
 pub use crate::request::*;
 pub use crate::selector::*;
 pub(crate) use crate::{bearing::*, known::*, peers::*};
-pub(crate) use estimates::prelude::ReadingSpeed;
+pub(crate) use estimates::prelude::PrefillSpeed;
 pub use parts::prelude::{FollowOutcome, PartBatch, PartEvent, PartName, SourcePosition};
 pub(crate) use parts::prelude::{PartIndex, SentParts, stable_hash};
 pub use policy::prelude::Band;
--- a/crates/selection/src/request.rs
+++ b/crates/selection/src/request.rs
@@ -32,9 +32,9 @@
     pub target: Span,
     pub block_tokens: u64,
     /// By which equal costs are spread: the same for requests that share a prefix.
-    pub tie: u64,
-    /// By which engines are drawn by lot: another for each request.
-    pub lot: u64,
+    pub tie_break_seed: u64,
+    /// Seeds the random sample of engines; differs for each request.
+    pub sampling_seed: u64,
     /// Added to the cost of an engine in another zone than the node's.
     pub zone_penalty_blocks: f64,
     /// Bytes moved for a token of a kept part.
@@ -72,7 +72,7 @@
     pub prefill_blocks: BlockCount,
     pub decode_blocks: BlockCount,
     /// What the engine has to read of the prompt itself: neither kept there nor fetched.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     pub cost: f64,
     /// Whether the overlap came from events, or else from the node's own history.
     pub by_events: bool,
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -21,24 +21,24 @@
     /// be computed. 1 counts them as if they were read.
     pub fetch_share: f64,
     /// How much of the shared parts that nobody is known to keep is expected at the prompt's home.
-    pub home_share: f64,
+    pub home_affinity_share: f64,
     /// A fetch that gains fewer tokens, or just as many, is not worth it.
     pub fetch_least_tokens: u64,
     /// A fetch pays if moving takes less than this share of the time that reading takes.
     pub fetch_most_share: f64,
     /// How much of the prompts that wait to be read at an engine counts as prefill blocks of the next one.
-    pub unread_share: f64,
+    pub pending_prefill_share: f64,
     /// Whether an engine gets no request that the prompts waiting there would make late.
-    pub bounds_wait: bool,
+    pub limits_queue_wait: bool,
     /// What each of its latest failures adds to an engine's cost.
-    pub trouble_cost: f64,
+    pub recent_failure_cost: f64,
     /// An engine that has so many times the average of requests, and a few more, is taken only if none has
     /// fewer; no such bound if there is no factor.
-    pub crowd_factor: Option<f64>,
-    pub crowd_base: u64,
+    pub overload_factor: Option<f64>,
+    pub overload_base: u64,
     /// How often all nodes together look at each engine when they choose, besides those that keep the prompt;
     /// every node looks at all if this is not stated.
-    pub looks_per_engine: Option<f64>,
+    pub samples_per_engine: Option<f64>,
 }
 
 impl Default for SelectionSettings {
@@ -49,15 +49,15 @@
             tokens_per_ms: None,
             fetch_setup_ms: 2.0,
             fetch_share: 1.0,
-            home_share: 0.0,
+            home_affinity_share: 0.0,
             fetch_least_tokens: FETCH_LEAST_TOKENS,
             fetch_most_share: 0.5,
-            unread_share: 0.0,
-            bounds_wait: false,
-            trouble_cost: 0.0,
-            crowd_factor: None,
-            crowd_base: 0,
-            looks_per_engine: None,
+            pending_prefill_share: 0.0,
+            limits_queue_wait: false,
+            recent_failure_cost: 0.0,
+            overload_factor: None,
+            overload_base: 0,
+            samples_per_engine: None,
         }
     }
 }
@@ -70,8 +70,8 @@
     pub(crate) index: PartIndex,
     pub(crate) sent: SentParts,
     pub(crate) known: BTreeMap<EngineName, Known>,
-    pub(crate) stores: BTreeMap<ServiceName, StorePlace>,
-    reading: BTreeMap<ServiceName, ReadingSpeed>,
+    pub(crate) stores: BTreeMap<ServiceName, StoreLocation>,
+    reading: BTreeMap<ServiceName, PrefillSpeed>,
     next_index: u32,
     pub(crate) peers: PeerReports,
     /// All nodes, this one included, as far as is known.
@@ -113,22 +113,22 @@
     }
 
     /// Another node told of all its own work, as it stood at an instant.
-    pub fn note_peer(&mut self, peer: NodeId, work: Vec<(EngineName, OwnWork)>, at: Instant) {
+    pub fn record_peer_report(&mut self, peer: NodeId, work: Vec<(EngineName, NodeLoad)>, at: Instant) {
         self.peers.note(peer, work, at);
     }
 
     /// Drops what is too old to be known; there are so many nodes.
-    pub fn tend_peers(&mut self, node_count: u64, now: Instant) {
+    pub fn expire_peer_reports(&mut self, node_count: u64, now: Instant) {
         self.node_count = node_count;
         self.peers.forget_old(now);
     }
 
     /// This node's own work on the engines, as other nodes are told it.
-    pub fn own_work(&self) -> Vec<(EngineName, OwnWork)> {
+    pub fn node_load(&self) -> Vec<(EngineName, NodeLoad)> {
         let at_work = self.known.iter().filter(|(_, known)| known.own_requests > 0);
         let told = at_work.map(|(engine, known)| {
-            let Known { own_requests: requests, own_tokens: tokens, unread_tokens, .. } = *known;
-            (engine.clone(), OwnWork { requests, tokens, unread_tokens })
+            let Known { own_requests: requests, own_tokens: tokens, pending_prefill_tokens, .. } = *known;
+            (engine.clone(), NodeLoad { requests, tokens, pending_prefill_tokens })
         });
         told.collect()
     }
@@ -140,7 +140,7 @@
     }
 
     /// An engine of the service had so much to read, and its first event came after so long.
-    pub fn note_read(&mut self, service: &ServiceName, read_tokens: u64, waited: Span) {
+    pub fn observe_prefill(&mut self, service: &ServiceName, read_tokens: u64, waited: Span) {
         self.reading.entry(service.clone()).or_default().observe(read_tokens, waited);
     }
 
@@ -160,18 +160,18 @@
     }
 
     /// The engine has so much to read of an own request before its answer begins.
-    pub fn begin_reading(&mut self, engine: &EngineName, unread_tokens: u64) {
-        self.average_unread += (unread_tokens as f64 - self.average_unread) * AVERAGE_SHARE;
+    pub fn begin_prefill(&mut self, engine: &EngineName, pending_prefill_tokens: u64) {
+        self.average_unread += (pending_prefill_tokens as f64 - self.average_unread) * AVERAGE_SHARE;
         let known = self.engine(engine);
         known.unread_requests = known.unread_requests.saturating_add(1);
-        known.unread_tokens = known.unread_tokens.saturating_add(unread_tokens);
+        known.pending_prefill_tokens = known.pending_prefill_tokens.saturating_add(pending_prefill_tokens);
     }
 
     /// The answer of that request began, or it ended before.
-    pub fn end_reading(&mut self, engine: &EngineName, unread_tokens: u64) {
+    pub fn end_prefill(&mut self, engine: &EngineName, pending_prefill_tokens: u64) {
         let Some(known) = self.known.get_mut(engine) else { return };
         known.unread_requests = known.unread_requests.saturating_sub(1);
-        known.unread_tokens = known.unread_tokens.saturating_sub(unread_tokens);
+        known.pending_prefill_tokens = known.pending_prefill_tokens.saturating_sub(pending_prefill_tokens);
     }
 
     /// Own requests on the engine, and their tokens.
@@ -196,7 +196,7 @@
     }
 
     /// A source could not be reached: until it is heard again, what it told counts for nothing.
-    pub fn note_unheard(&mut self, source: &EngineName) {
+    pub fn mark_unreachable(&mut self, source: &EngineName) {
         if let Some(known) = self.known.get_mut(source) {
             known.heard = Instant(0);
         }
@@ -220,13 +220,13 @@
     }
 
     /// The stores there are now, by service. Their events are followed under `store_source`.
-    pub fn set_stores(&mut self, stores: BTreeMap<ServiceName, StorePlace>) {
+    pub fn set_stores(&mut self, stores: BTreeMap<ServiceName, StoreLocation>) {
         self.stores = stores;
     }
 
     /// Engines and stores not named are forgotten. Of one that still runs own requests their count stays
     /// until a later call, so that it is right should the engine be listed again.
-    pub fn keep_only(&mut self, named: &BTreeSet<EngineName>) {
+    pub fn retain_sources(&mut self, named: &BTreeSet<EngineName>) {
         for (_, known) in self.known.iter_mut().filter(|(engine, _)| !named.contains(*engine)) {
             self.index.drop_source(known.index);
             self.sent.drop_source(known.index);
@@ -242,7 +242,7 @@
     }
 
     /// Takes a source's whole list. `heard` is up to when the answer is known to tell all.
-    pub fn take_list(
+    pub fn replace_parts(
         &mut self,
         source: &EngineName,
         position: SourcePosition,
@@ -259,7 +259,7 @@
 
     /// Takes a source's events. When they are lost, all that it told is dropped, and after a restart what
     /// was sent there, too.
-    pub fn take_events(&mut self, source: &EngineName, batch: &PartBatch, heard: Instant) -> FollowOutcome {
+    pub fn apply_events(&mut self, source: &EngineName, batch: &PartBatch, heard: Instant) -> FollowOutcome {
         let late_after = self.settings.events_late;
         let Some(known) = self.known.get_mut(source) else { return FollowOutcome::Lost };
         let Some(position) = known.position.as_mut() else { return FollowOutcome::Lost };
@@ -284,18 +284,18 @@
     }
 
     /// All that a source is known to keep; nothing if it is not followed.
-    pub fn kept_at(&self, source: &EngineName) -> Option<Vec<(PartName, u64)>> {
+    pub fn kept_parts(&self, source: &EngineName) -> Option<Vec<(PartName, u64)>> {
         let known = self.known.get(source).filter(|known| known.position.is_some())?;
         Some(self.index.list(known.index))
     }
 
     /// Up to when a source's events are known.
-    pub fn heard_at(&self, source: &EngineName) -> Instant {
+    pub fn events_known_until(&self, source: &EngineName) -> Instant {
         self.known.get(source).map_or(Instant(0), |known| known.heard)
     }
 
     /// Takes changes of a source that another node reads.
-    pub fn take_changes(&mut self, source: &EngineName, changes: &[(PartName, u64)], heard: Instant) {
+    pub fn apply_changes(&mut self, source: &EngineName, changes: &[(PartName, u64)], heard: Instant) {
         let late_after = self.settings.events_late;
         let Some(known) = self.known.get_mut(source).filter(|known| known.position.is_some()) else { return };
         known.heard = known.heard.max(heard);
--- a/crates/selection/tests/overload.rs
+++ b/crates/selection/tests/overload.rs
@@ -44,10 +44,10 @@
 }
 
 impl Pool {
-    fn new(seed: u64, bounds_wait: bool) -> Pool {
+    fn new(seed: u64, limits_queue_wait: bool) -> Pool {
         let settings = SelectionSettings {
-            bounds_wait,
-            unread_share: 1.0,
+            limits_queue_wait,
+            pending_prefill_share: 1.0,
             tokens_per_ms: Some(TOKENS_PER_MS),
             ..SelectionSettings::default()
         };
@@ -85,8 +85,8 @@
             priority: 0,
             target: TARGET,
             block_tokens: 16,
-            tie: self.draw.number(),
-            lot: self.draw.number(),
+            tie_break_seed: self.draw.number(),
+            sampling_seed: self.draw.number(),
             zone_penalty_blocks: 0.0,
             token_bytes: 1,
             link_mbps: 1.0,
@@ -98,7 +98,7 @@
         match self.selector.select(&Pool::candidates(), &request, |_| 1.0, at(now_ms)) {
             Selection::Chosen(chosen) => {
                 self.selector.begin(&chosen.engine, PROMPT_TOKENS);
-                self.selector.begin_reading(&chosen.engine, PROMPT_TOKENS);
+                self.selector.begin_prefill(&chosen.engine, PROMPT_TOKENS);
                 let number = (0..ENGINES).find(|number| engine(*number) == chosen.engine).unwrap();
                 let tokens_left = PROMPT_TOKENS as f64;
                 self.queues[number].push_back(Attempt { sent_ms: now_ms, is_again, left: false, tokens_left });
@@ -114,7 +114,7 @@
             for attempt in queue.iter_mut().filter(|attempt| !attempt.left) {
                 if now_ms >= attempt.sent_ms + PATIENCE_MS {
                     attempt.left = true;
-                    self.selector.end_reading(&engine(number), PROMPT_TOKENS);
+                    self.selector.end_prefill(&engine(number), PROMPT_TOKENS);
                     self.selector.end(&engine(number), PROMPT_TOKENS);
                     if !attempt.is_again {
                         self.again.push(now_ms);
@@ -140,7 +140,7 @@
                 if done.left {
                     continue;
                 }
-                self.selector.end_reading(&engine(number), PROMPT_TOKENS);
+                self.selector.end_prefill(&engine(number), PROMPT_TOKENS);
                 self.selector.end(&engine(number), PROMPT_TOKENS);
                 if now_ms - done.sent_ms <= TARGET.as_millis() {
                     self.in_time[(now_ms / 1000) as usize] += 1;
@@ -205,7 +205,7 @@
                 refused_at.entry(priority).or_insert(queued);
             }
         }
-        pool.selector.begin_reading(&engine(queued % ENGINES), 1000);
+        pool.selector.begin_prefill(&engine(queued % ENGINES), 1000);
     }
     let in_order: Vec<usize> = [9, 2, 0].map(|priority| refused_at[&priority]).into();
     assert!(in_order.is_sorted() && in_order.iter().collect::<BTreeSet<_>>().len() == 3, "{in_order:?}");
--- a/crates/selection/tests/peers.rs
+++ b/crates/selection/tests/peers.rs
@@ -23,7 +23,7 @@
     (0..count).map(|number| candidate(&format!("e{number}"))).collect()
 }
 
-fn request(tie: u64) -> SelectionRequest {
+fn request(tie_break_seed: u64) -> SelectionRequest {
     SelectionRequest {
         parts_by_weights: [(WeightsEdition(1), Vec::new())].into(),
         prompt_tokens: 1600,
@@ -32,8 +32,8 @@
         priority: 0,
         target: Span(0),
         block_tokens: 16,
-        tie,
-        lot: tie,
+        tie_break_seed,
+        sampling_seed: tie_break_seed,
         zone_penalty_blocks: 0.0,
         token_bytes: 1,
         link_mbps: 1000.0,
@@ -42,34 +42,34 @@
 
 fn selector(node_count: u64) -> Selector {
     let settings = SelectionSettings {
-        unread_share: 1.0,
+        pending_prefill_share: 1.0,
         tokens_per_ms: Some(50.0),
-        crowd_factor: Some(3.0),
-        crowd_base: 6,
+        overload_factor: Some(3.0),
+        overload_base: 6,
         ..SelectionSettings::default()
     };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
-    selector.tend_peers(node_count, NOW);
+    selector.expire_peer_reports(node_count, NOW);
     selector
 }
 
-fn chosen(selector: &Selector, candidates: &[Candidate], tie: u64) -> String {
-    match selector.select(candidates, &request(tie), |_| 1.0, NOW) {
+fn chosen(selector: &Selector, candidates: &[Candidate], tie_break_seed: u64) -> String {
+    match selector.select(candidates, &request(tie_break_seed), |_| 1.0, NOW) {
         Selection::Chosen(chosen) => chosen.engine.as_str().to_owned(),
         refused => panic!("{refused:?}"),
     }
 }
 
-fn work(requests: u64, unread_tokens: u64) -> OwnWork {
-    OwnWork { requests, tokens: requests * 2000, unread_tokens }
+fn work(requests: u64, pending_prefill_tokens: u64) -> NodeLoad {
+    NodeLoad { requests, tokens: requests * 2000, pending_prefill_tokens }
 }
 
 #[test]
 fn an_engine_that_others_are_at_is_passed_over() {
     for seed in 0..SEEDS {
         let mut selector = selector(3);
-        selector.note_peer(NodeId(2), vec![("e0".into(), work(1, 2000))], NOW);
-        selector.note_peer(NodeId(3), vec![("e0".into(), work(1, 0)), ("e1".into(), work(1, 2000))], NOW);
+        selector.record_peer_report(NodeId(2), vec![("e0".into(), work(1, 2000))], NOW);
+        selector.record_peer_report(NodeId(3), vec![("e0".into(), work(1, 0)), ("e1".into(), work(1, 2000))], NOW);
         assert_eq!(chosen(&selector, &candidates(3), seed), "e2", "seed {seed}");
     }
 }
@@ -78,12 +78,12 @@
 fn a_report_takes_the_place_of_the_one_before_and_an_older_one_counts_for_nothing() {
     for seed in 0..SEEDS {
         let mut selector = selector(2);
-        selector.note_peer(NodeId(2), vec![("e0".into(), work(2, 9000))], NOW);
-        selector.note_peer(NodeId(2), vec![("e1".into(), work(2, 9000))], NOW);
+        selector.record_peer_report(NodeId(2), vec![("e0".into(), work(2, 9000))], NOW);
+        selector.record_peer_report(NodeId(2), vec![("e1".into(), work(2, 9000))], NOW);
         assert_eq!(chosen(&selector, &candidates(2), seed), "e0", "seed {seed}");
-        selector.note_peer(NodeId(2), vec![("e0".into(), work(2, 9000))], Instant(NOW.0 - 1));
+        selector.record_peer_report(NodeId(2), vec![("e0".into(), work(2, 9000))], Instant(NOW.0 - 1));
         assert_eq!(chosen(&selector, &candidates(2), seed), "e0", "seed {seed}");
-        selector.note_peer(NodeId(2), Vec::new(), NOW);
+        selector.record_peer_report(NodeId(2), Vec::new(), NOW);
         selector.begin(&"e0".into(), 1616);
         assert_eq!(chosen(&selector, &candidates(2), seed), "e1", "seed {seed}: nothing is left of it");
     }
@@ -92,18 +92,18 @@
 #[test]
 fn what_was_told_too_long_ago_is_forgotten() {
     let mut selector = selector(2);
-    selector.note_peer(NodeId(2), vec![("e0".into(), work(5, 9000))], NOW);
-    selector.tend_peers(2, NOW + Span::millis(1400));
+    selector.record_peer_report(NodeId(2), vec![("e0".into(), work(5, 9000))], NOW);
+    selector.expire_peer_reports(2, NOW + Span::millis(1400));
     assert_eq!(chosen(&selector, &candidates(2), 7), "e1");
     selector.begin(&"e1".into(), 1616);
-    selector.tend_peers(2, NOW + Span::millis(1500));
+    selector.expire_peer_reports(2, NOW + Span::millis(1500));
     assert_eq!(chosen(&selector, &candidates(2), 7), "e0");
 }
 
 #[test]
 fn an_engine_that_tells_its_load_is_counted_by_that() {
     let mut selector = selector(2);
-    selector.note_peer(NodeId(2), vec![("e0".into(), work(1, 0))], NOW);
+    selector.record_peer_report(NodeId(2), vec![("e0".into(), work(1, 0))], NOW);
     selector.note_load(&"e0".into(), EngineLoad { running: 1, waiting: 0, slots: 64 }, NOW);
     selector.note_load(&"e1".into(), EngineLoad { running: 6, waiting: 0, slots: 64 }, NOW);
     assert_eq!(chosen(&selector, &candidates(2), 1), "e0");
@@ -138,18 +138,18 @@
                 }
             }
             if node < HEARD + 2 {
-                let mut by_engine: std::collections::BTreeMap<EngineName, OwnWork> = Default::default();
+                let mut by_engine: std::collections::BTreeMap<EngineName, NodeLoad> = Default::default();
                 for (engine, one) in told {
                     let sum = by_engine.entry(engine).or_default();
                     *sum = work(sum.requests + one.requests, 0);
                 }
-                selector.note_peer(NodeId(node), by_engine.into_iter().collect(), NOW);
+                selector.record_peer_report(NodeId(node), by_engine.into_iter().collect(), NOW);
             }
         }
         let mean = |counts: &[f64]| counts.iter().sum::<f64>() / counts.len() as f64;
         let truth: Vec<f64> = truth.iter().map(|count| *count as f64).collect();
         let estimates = |factor: f64| -> Vec<f64> { seen.iter().map(|count| *count as f64 * factor).collect() };
-        let factor = selector.seen_factor(&candidates(ENGINES));
+        let factor = selector.unseen_load_factor(&candidates(ENGINES));
         for (place, factor) in [factor, 1.0, (NODES - 1) as f64 / HEARD as f64].into_iter().enumerate() {
             let estimated = estimates(factor);
             // Only differences between engines matter to a choice.
@@ -168,12 +168,13 @@
 fn nodes_that_choose_on_the_same_old_news_do_not_pile_up() {
     const NODES: u64 = 90;
     const ENGINES: u64 = 60;
-    let most_at_one = |looks_per_engine: Option<f64>, seed: u64| {
+    let most_at_one = |samples_per_engine: Option<f64>, seed: u64| {
         let mut counts = std::collections::BTreeMap::<String, u64>::new();
         for node in 1..=NODES {
-            let settings = SelectionSettings { looks_per_engine, unread_share: 1.0, ..SelectionSettings::default() };
+            let settings =
+                SelectionSettings { samples_per_engine, pending_prefill_share: 1.0, ..SelectionSettings::default() };
             let mut selector = Selector::with_settings(NodeId(node), "a".into(), settings);
-            selector.tend_peers(NODES, NOW);
+            selector.expire_peer_reports(NODES, NOW);
             for number in 0..ENGINES {
                 let running = if number == seed { 0 } else { 1 + (number * 7 + seed) % 9 };
                 let load = EngineLoad { running, waiting: 0, slots: 64 };
@@ -193,10 +194,13 @@
 #[test]
 fn a_node_that_is_alone_looks_at_all_engines() {
     for seed in 0..SEEDS {
-        let settings =
-            SelectionSettings { looks_per_engine: Some(2.0), unread_share: 1.0, ..SelectionSettings::default() };
+        let settings = SelectionSettings {
+            samples_per_engine: Some(2.0),
+            pending_prefill_share: 1.0,
+            ..SelectionSettings::default()
+        };
         let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
-        selector.tend_peers(1, NOW);
+        selector.expire_peer_reports(1, NOW);
         for number in 0..40 {
             selector.begin(&EngineName(format!("e{number}")), if number == 23 { 100 } else { 5000 });
         }
--- a/crates/selection/tests/selection.rs
+++ b/crates/selection/tests/selection.rs
@@ -37,8 +37,8 @@
         priority: 0,
         target: Span(0),
         block_tokens: 16,
-        tie: 7,
-        lot: 7,
+        tie_break_seed: 7,
+        sampling_seed: 7,
         zone_penalty_blocks: 0.0,
         token_bytes: 18_432,
         link_mbps: 370_000.0,
@@ -51,7 +51,7 @@
 
 fn keep(selector: &mut Selector, engine: &str, kept: &[(&str, u64)]) {
     let list: Vec<(PartName, u64)> = kept.iter().map(|(id, tokens)| (name(id), *tokens)).collect();
-    selector.take_list(&engine.into(), SourcePosition { epoch: 1, next: 10 }, &list, NOW);
+    selector.replace_parts(&engine.into(), SourcePosition { epoch: 1, next: 10 }, &list, NOW);
 }
 
 fn chosen(selection: Selection) -> Chosen {
@@ -148,23 +148,23 @@
 
     selector.note_sent(&engine, &parts, NOW);
     let mut batch = PartBatch { epoch: 1, next: 10, lost: false, events: Vec::new() };
-    assert_eq!(selector.take_events(&engine, &batch, NOW + LATER), FollowOutcome::Followed);
+    assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Followed);
     assert!(!pick(&selector, &listed, &asked, NOW + LATER).by_events, "heard, but not of what was sent");
     let told = |number, place: usize| PartEvent { number, kept: true, name: parts[place].0, tokens: 800 };
     (batch.next, batch.events) = (12, vec![told(11, 0), told(12, 1)]);
-    assert_eq!(selector.take_events(&engine, &batch, NOW + LATER), FollowOutcome::Followed);
+    assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Followed);
     let picked = pick(&selector, &listed, &asked, NOW + LATER);
     assert_eq!((picked.by_events, picked.prefill_blocks), (true, BlockCount(0)));
     assert_eq!(selector.position(&engine), Some(SourcePosition { epoch: 1, next: 12 }));
 
     batch.lost = true;
-    assert_eq!(selector.take_events(&engine, &batch, NOW + LATER), FollowOutcome::Lost);
+    assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Lost);
     assert_eq!((selector.position(&engine), selector.part_count()), (None, 0));
     let picked = pick(&selector, &listed, &asked, NOW + LATER);
     assert_eq!((picked.by_events, picked.prefill_blocks), (false, BlockCount(0)), "history stays after a gap");
     keep(&mut selector, "e", &[("p", 800)]);
     batch = PartBatch { epoch: 2, ..batch };
-    assert_eq!(selector.take_events(&engine, &batch, NOW + LATER), FollowOutcome::Lost);
+    assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Lost);
     assert_eq!(pick(&selector, &listed, &asked, NOW + LATER).prefill_blocks, BlockCount(100), "it started anew");
 }
 
@@ -177,11 +177,11 @@
     selector.note_sent(&engine, &[(name("told"), 10)], NOW + Span::seconds(4));
     let asked = request(&[("p", 160)]);
     let mut batch = PartBatch { epoch: 1, next: 10, lost: false, events: Vec::new() };
-    selector.take_events(&engine, &batch, NOW + LATER);
+    selector.apply_events(&engine, &batch, NOW + LATER);
     assert!(!pick(&selector, &candidates(&["e"]), &asked, NOW + LATER).by_events);
     batch.next = 12;
     batch.events = vec![PartEvent { number: 12, kept: true, name: name("told"), tokens: 10 }];
-    selector.take_events(&engine, &batch, NOW + LATER);
+    selector.apply_events(&engine, &batch, NOW + LATER);
     assert!(pick(&selector, &candidates(&["e"]), &asked, NOW + LATER).by_events);
 }
 
@@ -291,8 +291,8 @@
     assert!(picks.len() == 4 && picks.values().all(|count| *count > 25), "{picks:?}");
     let selector = selector();
     let by_prefix: BTreeSet<EngineName> = (0..40)
-        .map(|tie| {
-            asked.tie = tie;
+        .map(|tie_break_seed| {
+            asked.tie_break_seed = tie_break_seed;
             pick(&selector, &listed, &asked, NOW).engine
         })
         .collect();
@@ -356,7 +356,7 @@
     listed[1].zone = "b".into();
     assert!(!fetches(&selector, &listed, &over_link(80_000.0)), "twice as long between zones: 22.4 ms");
     assert!(fetches(&selector, &listed, &over_link(82_000.0)));
-    selector.take_list(&"keeper".into(), SourcePosition::default(), &[(name("p"), 4000)], Instant(0));
+    selector.replace_parts(&"keeper".into(), SourcePosition::default(), &[(name("p"), 4000)], Instant(0));
     listed[1].zone = "a".into();
     assert!(!fetches(&selector, &listed, &asked), "its events are late");
 }
@@ -367,13 +367,13 @@
     let asked = request(&[("p", 4000), ("q", 1000), ("r", 200)]);
     let source = store_source(&"k".into());
     assert_eq!(source, "@store:k".into());
-    let place = StorePlace { address: "k:2".into(), zone: "a".into(), link_mbps: 150_000.0 };
+    let place = StoreLocation { address: "k:2".into(), zone: "a".into(), link_mbps: 150_000.0 };
     selector.set_stores(BTreeMap::from([("k".into(), place.clone())]));
     let kept = [(name("p"), 4000), (name("q"), 1000), (name("r"), 200)];
-    selector.take_list(&source, SourcePosition::default(), &kept, NOW);
+    selector.replace_parts(&source, SourcePosition::default(), &kept, NOW);
     let fetched = pick(&selector, &listed, &asked, NOW).fetch;
     assert_eq!(fetched, Some(FetchSource { source, address: "k:2".into(), tokens: 5200 }));
-    selector.set_stores(BTreeMap::from([("k".into(), StorePlace { link_mbps: 1000.0, ..place })]));
+    selector.set_stores(BTreeMap::from([("k".into(), StoreLocation { link_mbps: 1000.0, ..place })]));
     assert_eq!(pick(&selector, &listed, &asked, NOW).fetch.unwrap().tokens, 5000, "its link is too slow");
     selector.set_stores(BTreeMap::new());
     assert_eq!(pick(&selector, &listed, &asked, NOW).fetch.unwrap().source, "keeper".into());
@@ -386,11 +386,11 @@
     keep(&mut selector, "gone", &[("p", 160)]);
     keep(&mut selector, "idle", &[("p", 160)]);
     selector.begin(&gone, 500);
-    selector.keep_only(&BTreeSet::new());
+    selector.retain_sources(&BTreeSet::new());
     assert_eq!((selector.part_count(), selector.position(&gone), selector.position(&idle)), (0, None, None));
     assert_eq!(selector.in_flight(&gone), (1, 500));
     selector.end(&gone, 500);
-    selector.keep_only(&BTreeSet::new());
+    selector.retain_sources(&BTreeSet::new());
     selector.end(&gone, 500);
     assert_eq!(selector.in_flight(&gone), (0, 0));
 }
@@ -427,7 +427,7 @@
                     }
                     2 => selector.note_success(&engine, now),
                     3 => selector.note_sent(&engine, &parts, now),
-                    4 => selector.take_list(&engine, SourcePosition::default(), &parts, now),
+                    4 => selector.replace_parts(&engine, SourcePosition::default(), &parts, now),
                     5 => {
                         let numbers = [source.int_in_range(0..=2)?, source.int_in_range(0..=u64::MAX)?];
                         let load = EngineLoad { running: numbers[0], waiting: numbers[1] % 3, slots: numbers[1] % 5 };
@@ -439,9 +439,9 @@
                         let event = PartEvent { number, kept: true, name: name("p"), tokens: number };
                         let (epoch, lost) = (source.int_in_range(0..=1)?, source.ratio(1, 8)?);
                         let batch = PartBatch { epoch, next: number, lost, events: vec![event] };
-                        selector.take_events(&engine, &batch, now);
+                        selector.apply_events(&engine, &batch, now);
                     }
-                    7 => selector.keep_only(&BTreeSet::from([engine])),
+                    7 => selector.retain_sources(&BTreeSet::from([engine])),
                     8 if !running.is_empty() => {
                         let (engine, tokens) = running.swap_remove(source.choose_index(running.len())?);
                         selector.end(&engine, tokens);
@@ -497,7 +497,7 @@
 
 #[test]
 fn an_engine_that_fails_is_used_less_until_it_succeeds_or_time_has_passed() {
-    let settings = SelectionSettings { trouble_cost: 100.0, ..SelectionSettings::default() };
+    let settings = SelectionSettings { recent_failure_cost: 100.0, ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
     let (failing, other): (EngineName, EngineName) = ("failing".into(), "other".into());
     let listed = candidates(&["failing", "other"]);
@@ -536,12 +536,12 @@
 
 #[test]
 fn a_crowded_engine_gets_no_more_however_much_it_keeps() {
-    let settings = SelectionSettings { crowd_factor: Some(2.0), crowd_base: 2, ..SelectionSettings::default() };
+    let settings = SelectionSettings { overload_factor: Some(2.0), overload_base: 2, ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
     let keeping: EngineName = "keeping".into();
     let listed = candidates(&["keeping", "b", "c", "d"]);
     let asked = request(&[("p", 16_000), ("own", 16)]);
-    selector.take_list(&keeping, SourcePosition::default(), &[(name("p"), 16_000)], NOW);
+    selector.replace_parts(&keeping, SourcePosition::default(), &[(name("p"), 16_000)], NOW);
     let mut taken = 0;
     while pick(&selector, &listed, &asked, NOW).engine == keeping {
         selector.begin(&keeping, 16);
@@ -558,12 +558,12 @@
 fn a_source_that_cannot_be_reached_counts_for_nothing_until_it_is_heard() {
     let mut selector = selector();
     let engine: EngineName = "e".into();
-    selector.take_list(&engine, SourcePosition::default(), &[(name("p"), 160)], NOW);
+    selector.replace_parts(&engine, SourcePosition::default(), &[(name("p"), 160)], NOW);
     let listed = candidates(&["e"]);
     assert!(pick(&selector, &listed, &request(&[("p", 160)]), NOW).by_events);
-    selector.note_unheard(&engine);
+    selector.mark_unreachable(&engine);
     assert!(!pick(&selector, &listed, &request(&[("p", 160)]), NOW).by_events);
-    selector.take_events(&engine, &PartBatch::default(), NOW);
+    selector.apply_events(&engine, &PartBatch::default(), NOW);
     assert!(pick(&selector, &listed, &request(&[("p", 160)]), NOW).by_events);
 }
 
@@ -588,20 +588,20 @@
     // A kept token takes 0.007 ms within a zone and 0.014 ms between zones; reading takes 0.01 ms.
     let over_slow_links = SelectionRequest { link_mbps: 20_000.0, ..request(&[("p", 16_000), ("own", 160)]) };
     let picked = pick(&selector, &listed, &over_slow_links, NOW);
-    assert_eq!((picked.engine.as_str(), picked.unread_tokens), ("near", 160));
+    assert_eq!((picked.engine.as_str(), picked.prefill_tokens), ("near", 160));
     assert_eq!(picked.fetch.map(|fetch| fetch.tokens), Some(16_000));
     selector.begin(&"near".into(), 16 * 160);
     let picked = pick(&selector, &listed, &over_slow_links, NOW);
     assert_eq!(picked.engine.as_str(), "near", "160 blocks of load are less than the 250 that a move spares");
     selector.begin(&"near".into(), 16 * 200);
     let picked = pick(&selector, &listed, &over_slow_links, NOW);
-    assert_eq!((picked.engine.as_str(), picked.unread_tokens), ("far", 16_160));
+    assert_eq!((picked.engine.as_str(), picked.prefill_tokens), ("far", 16_160));
     assert_eq!(picked.fetch, None, "between zones the move takes longer than reading");
 }
 
 #[test]
 fn prompts_that_wait_to_be_read_count_as_prefill_blocks_of_the_next() {
-    let settings = SelectionSettings { unread_share: 1.0, ..SelectionSettings::default() };
+    let settings = SelectionSettings { pending_prefill_share: 1.0, ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
     let listed = candidates(&["keeping", "idle"]);
     let asked = request(&[("p", 1600)]);
@@ -610,21 +610,22 @@
     keep(&mut selector, "idle", &[]);
     let picked = pick(&selector, &listed, &asked, NOW);
     assert_eq!((picked.engine.as_str(), picked.prefill_blocks), ("keeping", BlockCount(50)));
-    selector.begin_reading(&keeping, 640);
+    selector.begin_prefill(&keeping, 640);
     let picked = pick(&selector, &listed, &asked, NOW);
     assert_eq!((picked.engine.as_str(), picked.prefill_blocks), ("keeping", BlockCount(90)));
-    selector.begin_reading(&keeping, 320);
+    selector.begin_prefill(&keeping, 320);
     assert_eq!(pick(&selector, &listed, &asked, NOW).engine.as_str(), "idle", "60 blocks wait, 50 are kept");
-    selector.end_reading(&keeping, 640);
+    selector.end_prefill(&keeping, 640);
     assert_eq!(pick(&selector, &listed, &asked, NOW).engine, keeping);
-    selector.end_reading(&keeping, 320);
-    selector.end_reading(&keeping, 320);
+    selector.end_prefill(&keeping, 320);
+    selector.end_prefill(&keeping, 320);
     assert_eq!(pick(&selector, &listed, &asked, NOW).prefill_blocks, BlockCount(50), "never below nothing");
 }
 
 #[test]
 fn what_others_wait_for_counts_and_is_read_as_time_passes() {
-    let settings = SelectionSettings { unread_share: 1.0, tokens_per_ms: Some(10.0), ..SelectionSettings::default() };
+    let settings =
+        SelectionSettings { pending_prefill_share: 1.0, tokens_per_ms: Some(10.0), ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
     let listed = candidates(&["keeping", "idle"]);
     let asked = request(&[("p", 1600)]);
@@ -636,7 +637,7 @@
     assert_eq!(pick_weighted(&selector, NOW).engine.as_str(), "idle", "two average prompts wait");
     let later = NOW + Span::millis(100);
     assert_eq!(pick_weighted(&selector, later).engine, keeping, "a thousand tokens were read since");
-    selector.begin_reading(&keeping, 16);
+    selector.begin_prefill(&keeping, 16);
     selector.note_load(&keeping, EngineLoad { running: 0, waiting: 1, slots: 8 }, NOW);
     assert_eq!(pick_weighted(&selector, NOW).prefill_blocks, BlockCount(51), "only the own one waits");
 }
