--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -60,7 +60,7 @@
 }
 
 /// The last look before the first byte of an attempt.
-pub fn may_start(sight: &FleetSight, lease_until: Instant, ground: &Ground, now: Instant) -> Result<(), StartBar> {
+pub fn may_start(sight: &FleetSnapshot, lease_until: Instant, ground: &Ground, now: Instant) -> Result<(), StartBar> {
     if !is_leased(lease_until, now) {
         return Err(StartBar::NoLease);
     }
@@ -87,7 +87,7 @@
 
 /// Whether an attempt is for the adapter that its tenant's requests run on now, if they run on one, and its
 /// engine holds exactly that warm.
-fn runs_on_its_adapter(sight: &FleetSight, ground: &Ground) -> bool {
+fn runs_on_its_adapter(sight: &FleetSnapshot, ground: &Ground) -> bool {
     if sight.state.adapter_for(&ground.tenant, &ground.model) != ground.adapter {
         return false;
     }
@@ -106,7 +106,7 @@
 
 /// Whether work for a key may go on. A router long without a lease cannot know of withdrawn keys.
 pub fn may_go_on(
-    sight: &FleetSight,
+    sight: &FleetSnapshot,
     lease_until: Instant,
     key_hash: &str,
     tenant: &TenantName,
@@ -164,7 +164,7 @@
     }
 
     fn starts(state: FleetState, ground: &Ground) -> Result<(), StartBar> {
-        let sight = FleetSight::default().following(state, None, NOW);
+        let sight = FleetSnapshot::default().after_change(state, None, NOW);
         may_start(&sight, NOW + Span::seconds(1), ground, NOW)
     }
 
@@ -231,10 +231,11 @@
 
     #[test]
     fn a_shot_at_a_leaving_engine_starts_on_its_last_copy_alone_and_within_the_bound() {
-        let before = FleetSight::default().following(fleet(), None, NOW);
+        let before = FleetSnapshot::default().after_change(fleet(), None, NOW);
         let mut leaving = fleet();
         leaving.listing.engines.get_mut(&"e".into()).unwrap().listed = Listed::Leaving;
-        let sight = before.following(leaving, None, NOW).heard_under(&before.state, NOW + Span::millis(900));
+        let sight =
+            before.after_change(leaving, None, NOW).with_leaving_deadline(&before.state, NOW + Span::millis(900));
         let start = |ground: &Ground, now: Instant| may_start(&sight, NOW + Span::seconds(2), ground, now);
         let own = ground(Some(AdapterId::new("x", 1)));
         assert_eq!(start(&own, NOW), Ok(()));
--- a/crates/attempts/src/prelude.rs
+++ b/crates/attempts/src/prelude.rs
@@ -7,5 +7,5 @@
 pub use crate::messages::*;
 pub(crate) use blocks::prelude::Salt;
 pub(crate) use desired::prelude::{CLAIMS_FULL, Settled};
-pub(crate) use placement::prelude::FleetSight;
+pub(crate) use placement::prelude::FleetSnapshot;
 pub(crate) use units::prelude::*;
--- a/crates/gateway/src/candidates.rs
+++ b/crates/gateway/src/candidates.rs
@@ -5,7 +5,7 @@
 
 /// The candidates for a service's requests, with the address each is reached at.
 pub fn candidates(
-    sight: &FleetSight,
+    sight: &FleetSnapshot,
     service: &ServiceName,
     model: Option<&ModelName>,
     now: Instant,
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -114,7 +114,7 @@
 }
 
 /// How many readers the source bears that bears the fewest.
-fn readers_per_source(sight: &FleetSight) -> u64 {
+fn readers_per_source(sight: &FleetSnapshot) -> u64 {
     let services = sight.state.desired.services.values();
     let kept_parts = services.filter(|service| service.store.is_some() || !service.models.is_empty());
     kept_parts.map(|service| service.event_calls).min().unwrap_or_default()
@@ -165,7 +165,7 @@
 }
 
 /// Engines that keep named parts, and stores.
-fn sources(sight: &FleetSight) -> BTreeSet<(EngineName, String)> {
+fn sources(sight: &FleetSnapshot) -> BTreeSet<(EngineName, String)> {
     let engines = sight.state.listing.engines.iter().filter(|(_, listed)| listed.weights.is_some());
     let mut sources: BTreeSet<(EngineName, String)> =
         engines.map(|(engine, listed)| (engine.clone(), listed.address.clone())).collect();
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -133,7 +133,7 @@
     }
 
     /// Without a lease or a configuration nobody knows what is in force.
-    fn check_ready(&self, sight: &FleetSight, now: Instant) -> Result<(), Refusal> {
+    fn check_ready(&self, sight: &FleetSnapshot, now: Instant) -> Result<(), Refusal> {
         if sight.state.configuration.revision.0 == 0 {
             return Err(Refusal::later("no configuration is in force here yet", RETRY_SOON));
         }
@@ -148,7 +148,7 @@
 const DRAW_STEP: u64 = 0x9e37_79b9;
 
 fn find_tenant(
-    sight: &FleetSight,
+    sight: &FleetSnapshot,
     route: &NamedRoute,
     head: &CallerHead,
 ) -> Result<Option<(TenantName, String)>, Refusal> {
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -28,7 +28,12 @@
 }
 
 /// The last look before the first byte.
-pub fn may_start(sight: &FleetSight, lease_until: Instant, ground: &AttemptGround, now: Instant) -> Result<(), Bar> {
+pub fn may_start(
+    sight: &FleetSnapshot,
+    lease_until: Instant,
+    ground: &AttemptGround,
+    now: Instant,
+) -> Result<(), Bar> {
     if !is_leased(lease_until, now) {
         return Err(Bar::NoLease);
     }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -36,12 +36,12 @@
     let callers = bind(plan.callers).map_err(|fault| miette!("callers: {}: {fault}", plan.callers))?;
     let address = callers.local_addr().map_err(|fault| miette!("callers: {fault}"))?;
     let shared = Arc::new(SharedState::under(plan.timing));
-    let old_weights_span = OldWeightsSpan(plan.timing.old_weights_span);
+    let old_weights_span = OldWeightsGracePeriod(plan.timing.old_weights_span);
     let disturbed = match plan.counts_undisturbed_time {
         true => shared.count_undisturbed_time(),
         false => Arc::default(),
     };
-    shared.publish(FleetSight { old_weights_span, disturbed, ..FleetSight::default() });
+    shared.publish(FleetSnapshot { old_weights_span, disturbed, ..FleetSnapshot::default() });
     let (table, changes) =
         start_table(node, plan.zone.clone(), Arc::clone(&shared), plan.retry_bounds, plan.disabled.clone());
     let bounds = Arc::new(CallerBounds::default());
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -114,7 +114,7 @@
         chosen: &Chosen,
         salt: Option<&Salt>,
         last_event: Option<u64>,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
     ) -> Request<Full<Bytes>> {
         let planned = &self.planned;
         let mut request = Request::new(Full::new(planned.body.clone()));
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -39,13 +39,13 @@
     }
 
     /// How urgent the request is to an engine: the tenant's priority goes before the route's.
-    pub fn priority(&self, sight: &FleetSight) -> u64 {
+    pub fn priority(&self, sight: &FleetSnapshot) -> u64 {
         let tenant = self.tenant.as_ref().and_then(|(tenant, _)| sight.state.desired.tenants.get(tenant));
         tenant.and_then(|wish| wish.priority).unwrap_or(self.route.wish.priority).min(MOST_URGENCY)
     }
 
     /// Under which text an engine on these weights keeps the parts of this tenant's prompts.
-    pub fn salt(&self, sight: &FleetSight, weights: WeightsEdition) -> Option<Salt> {
+    pub fn salt(&self, sight: &FleetSnapshot, weights: WeightsEdition) -> Option<Salt> {
         let model = self.head.model.as_ref()?;
         let unknown = TenantName::default();
         let tenant = self.tenant.as_ref().map_or(&unknown, |(tenant, _)| tenant);
@@ -54,13 +54,13 @@
     }
 
     /// The parts of the prompt by the names under which they are kept on these weights.
-    pub fn named_parts(&self, sight: &FleetSight, weights: WeightsEdition) -> Vec<(PartName, u64)> {
+    pub fn named_parts(&self, sight: &FleetSnapshot, weights: WeightsEdition) -> Vec<(PartName, u64)> {
         let Some(salt) = self.salt(sight, weights) else { return Vec::new() };
         self.head.parts.iter().map(|part| (PartName::of(&salt.0, &part.id), part.tokens)).collect()
     }
 
     /// A name for the parts that the prompt shares with others: all but the last.
-    fn shared_prefix(&self, sight: &FleetSight, weights: Option<WeightsEdition>) -> u64 {
+    fn shared_prefix(&self, sight: &FleetSnapshot, weights: Option<WeightsEdition>) -> u64 {
         let salt = weights.and_then(|weights| self.salt(sight, weights)).unwrap_or(Salt(String::new()));
         let shared = self.head.parts.iter().rev().skip(1).rev();
         shared.fold(PartName::of(&salt.0, "").0, |prefix, part| PartName::of(&prefix.to_string(), &part.id).0)
@@ -69,7 +69,7 @@
     /// What the selection is asked; `lot` differs for each question.
     pub fn selection(
         &self,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         candidates: &[Candidate],
         tried: &[EngineName],
         lot: u64,
--- a/crates/gateway/tests/several_models.rs
+++ b/crates/gateway/tests/several_models.rs
@@ -2,12 +2,12 @@
 
 use desired::prelude::*;
 use gateway::prelude::*;
-use placement::prelude::FleetSight;
+use placement::prelude::FleetSnapshot;
 
 const NOW: Instant = Instant(1_000_000_000_000);
 
 /// One engine with two models and one with the first alone; the second model is on its third weights.
-fn sight() -> FleetSight {
+fn sight() -> FleetSnapshot {
     let mut state = FleetState::default();
     let mut apply = |command| {
         let outcome = state.apply(&Submission { request: RequestId::random(), command });
@@ -25,10 +25,10 @@
     let both = ListedEngine { further_models: [("m1".into(), WeightsEdition(3))].into(), ..single.clone() };
     let engines = [("both".into(), both), ("single".into(), single)].into();
     apply(Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines }));
-    FleetSight::default().following(state, None, NOW)
+    FleetSnapshot::default().after_change(state, None, NOW)
 }
 
-fn found(sight: &FleetSight, model: &str) -> Vec<(String, u64)> {
+fn found(sight: &FleetSnapshot, model: &str) -> Vec<(String, u64)> {
     let found = candidates(sight, &"s".into(), Some(&model.into()), NOW);
     found.into_iter().map(|candidate| (candidate.engine.0, candidate.weights.0)).collect()
 }
--- a/crates/gateway/tests/without_models.rs
+++ b/crates/gateway/tests/without_models.rs
@@ -3,7 +3,7 @@
 
 use desired::prelude::*;
 use gateway::prelude::*;
-use placement::prelude::FleetSight;
+use placement::prelude::FleetSnapshot;
 
 const NOW: Instant = Instant(1_000_000_000_000);
 
@@ -42,11 +42,11 @@
     state
 }
 
-fn sight(state: FleetState) -> FleetSight {
-    FleetSight::default().following(state, None, NOW)
+fn sight(state: FleetState) -> FleetSnapshot {
+    FleetSnapshot::default().after_change(state, None, NOW)
 }
 
-fn found(sight: &FleetSight, service: &str, model: Option<&str>) -> Vec<String> {
+fn found(sight: &FleetSnapshot, service: &str, model: Option<&str>) -> Vec<String> {
     let model = model.map(ModelName::from);
     let found = candidates(sight, &service.into(), model.as_ref(), NOW);
     found.into_iter().map(|candidate| candidate.engine.0).collect()
--- a/crates/measure/src/picks.rs
+++ b/crates/measure/src/picks.rs
@@ -7,7 +7,7 @@
 const PICKS: u32 = 300;
 
 /// A fleet of so many open engines of one model.
-pub fn engines_sight(engines: usize) -> FleetSight {
+pub fn engines_sight(engines: usize) -> FleetSnapshot {
     let mut state = FleetState::default();
     let document = r#"{"models":{"m":{"weights":1}},"tenants":{"t":{}},"kinds":["k"]}"#;
     let submit = |state: &mut FleetState, command| {
@@ -36,7 +36,7 @@
             Standing { confirmed: Some((WeightsEdition(1), "x".into())), closed: false, ..Standing::default() };
         state.standings.insert(EngineName(format!("e{number}")), standing);
     }
-    FleetSight::default().following(state, None, boot_now())
+    FleetSnapshot::default().after_change(state, None, boot_now())
 }
 
 /// A prompt of so many blocks for that fleet.
@@ -50,8 +50,8 @@
         adapter: None,
         blocks: BlockCount(names.len() as u64),
         names: BTreeMap::from([(WeightsEdition(1), names)]),
-        outcome_blocks: BlockCount(1),
-        lot: 0,
+        output_blocks: BlockCount(1),
+        trial_bucket: 0,
         tried: Vec::new(),
     }
 }
--- a/crates/measure/src/prelude.rs
+++ b/crates/measure/src/prelude.rs
@@ -7,7 +7,7 @@
 pub(crate) use blocks::prelude::{KeptEvent, Salt, cut};
 pub(crate) use desired::prelude::{Command, FleetState, Listed, ListedEngine, Listing, Standing, Submission};
 pub(crate) use figures::prelude::{Figures, PolicyBook};
-pub(crate) use placement::prelude::{FleetSight, Picker, Prompt};
+pub(crate) use placement::prelude::{FleetSnapshot, Picker, Prompt};
 pub(crate) use process::prelude::*;
 pub(crate) use std::collections::BTreeMap;
 pub(crate) use testbed::prelude::{
--- a/crates/placement/src/fetch.rs
+++ b/crates/placement/src/fetch.rs
@@ -37,7 +37,7 @@
 
 impl Picker {
     /// Plans where the chosen engine gets the blocks it lacks.
-    pub fn plan_fetch(&self, sight: &FleetSight, names: &[BlockHash], chosen: &Score) -> Vec<FetchRun> {
+    pub fn plan_fetch(&self, sight: &FleetSnapshot, names: &[BlockHash], chosen: &Score) -> Vec<FetchRun> {
         let routing = &sight.state.desired.routing;
         let mut place = names.len().saturating_sub(chosen.prefill_blocks.0 as usize);
         let mut runs = Vec::new();
@@ -68,7 +68,7 @@
         runs
     }
 
-    fn sources(&self, sight: &FleetSight, chosen: &Score) -> Vec<FetchSource> {
+    fn sources(&self, sight: &FleetSnapshot, chosen: &Score) -> Vec<FetchSource> {
         let listing = &sight.state.listing.engines;
         let fetch = &sight.state.desired.routing.fetch;
         let chosen_zone = listing.get(&chosen.engine).map(|listed| listed.zone.clone());
--- a/crates/placement/src/sight.rs
+++ b/crates/placement/src/fleet_snapshot.rs
@@ -5,11 +5,11 @@
 
 /// How long weights may be used after newer ones were committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OldWeightsSpan(pub Span);
+pub struct OldWeightsGracePeriod(pub Span);
 
-impl Default for OldWeightsSpan {
-    fn default() -> OldWeightsSpan {
-        OldWeightsSpan(Span::seconds(15))
+impl Default for OldWeightsGracePeriod {
+    fn default() -> OldWeightsGracePeriod {
+        OldWeightsGracePeriod(Span::seconds(15))
     }
 }
 
@@ -21,7 +21,7 @@
 
 /// The fleet as a router knows it.
 #[derive(Clone, Debug, Default)]
-pub struct FleetSight {
+pub struct FleetSnapshot {
     /// The state in force here.
     pub state: Arc<FleetState>,
     /// The default policy, compiled.
@@ -38,16 +38,16 @@
     /// The routes, compiled.
     pub routes: Arc<RouteTable>,
     /// How long weights may be used after newer ones were committed.
-    pub old_weights_span: OldWeightsSpan,
+    pub old_weights_span: OldWeightsGracePeriod,
     /// When the core was last seen disturbed, where the bound on old weights is counted in undisturbed time
     /// alone; shared with whoever hears of it, and 0 where every moment counts.
     pub disturbed: Arc<AtomicU64>,
 }
 
-impl FleetSight {
+impl FleetSnapshot {
     /// The sight after a change. `committed` is when the change was, at the earliest; when that is not
     /// known, old weights are given up at once.
-    pub fn following(&self, state: FleetState, committed: Option<Instant>, now: Instant) -> FleetSight {
+    pub fn after_change(&self, state: FleetState, committed: Option<Instant>, now: Instant) -> FleetSnapshot {
         let mut old_until = self.old_until.clone();
         for (model, wanted) in &state.desired.models {
             let Some(known_model) = self.state.desired.models.get(model) else { continue };
@@ -81,7 +81,7 @@
                 tenants_by_key.insert(key_hash.clone(), tenant.clone());
             }
         }
-        FleetSight {
+        FleetSnapshot {
             default_table: compile(DEFAULT_POLICY),
             trial_tables,
             tenants_by_key,
@@ -97,7 +97,7 @@
     /// The sight after a change that was heard of under a lease. Engines that it lists as leaving go on serving
     /// the last copy of an adapter for as long as that lease: a router that did not hear of the change would
     /// have used them no longer.
-    pub fn heard_under(mut self, before: &FleetState, lease_until: Instant) -> FleetSight {
+    pub fn with_leaving_deadline(mut self, before: &FleetState, lease_until: Instant) -> FleetSnapshot {
         for (engine, listed) in &self.state.listing.engines {
             if listed.listed == Listed::Leaving && is_listed(before, engine, Listed::Open) {
                 self.leaving_until.insert(engine.clone(), lease_until);
@@ -107,13 +107,13 @@
     }
 
     /// The sight of a whole state, told with when the weights lately given up gave way.
-    pub fn starting_over(
+    pub fn after_full_transfer(
         &self,
         state: FleetState,
         gave_way: &[(ModelName, WeightsEdition, Instant)],
         now: Instant,
-    ) -> FleetSight {
-        let mut sight = self.following(state, None, now);
+    ) -> FleetSnapshot {
+        let mut sight = self.after_change(state, None, now);
         for (model, weights, since) in gave_way {
             let until = *since + self.old_weights_span.0;
             if now < until {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod prelude;
 
 mod fetch;
+mod fleet_snapshot;
 mod known_engine;
 mod pick;
 mod picker;
 mod placement;
-mod sight;
--- a/crates/placement/src/pick.rs
+++ b/crates/placement/src/pick.rs
@@ -5,7 +5,7 @@
 impl Picker {
     /// The lowest-cost engine among those that pass; nothing if none does. In a split pool the engine
     /// that prefills is picked by overlap, and the one that decodes by blocks in use and added.
-    pub fn pick(&mut self, sight: &FleetSight, prompt: &Prompt, now: Instant) -> Option<Placement> {
+    pub fn pick(&mut self, sight: &FleetSnapshot, prompt: &Prompt, now: Instant) -> Option<Placement> {
         let (policy, table) = table_for(sight, prompt);
         let scores = self.score(sight, prompt, table, now);
         let (mut candidates, prefillers): (Vec<Score>, Vec<Score>) =
@@ -39,7 +39,7 @@
     /// What the default policy would have chosen, and what the chosen engine costs more than that one.
     fn compared_with_default(
         &self,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         prompt: &Prompt,
         chosen: &Score,
         now: Instant,
@@ -54,7 +54,7 @@
     /// In a split pool: the cheapest engine on the same weights prefills, and the chosen one fetches from it.
     fn place_prefill(
         &self,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         prompt: &Prompt,
         prefillers: Vec<Score>,
         names: &[BlockHash],
@@ -71,7 +71,7 @@
     }
 
     /// The scores of all engines that pass; those that rest count only if all do.
-    fn score(&self, sight: &FleetSight, prompt: &Prompt, table: &Table, now: Instant) -> Vec<Score> {
+    fn score(&self, sight: &FleetSnapshot, prompt: &Prompt, table: &Table, now: Instant) -> Vec<Score> {
         let overlaps = prompt
             .names
             .iter()
@@ -104,7 +104,7 @@
 /// What all engines are scored by for one prompt.
 struct Scoring<'a> {
     picker: &'a Picker,
-    sight: &'a FleetSight,
+    sight: &'a FleetSnapshot,
     prompt: &'a Prompt,
     table: &'a Table,
     /// Leading blocks that each source keeps, under each edition in use.
@@ -132,7 +132,7 @@
         let prefill_blocks = BlockCount(prompt.blocks.0 - overlap.0.min(prompt.blocks.0));
         let weight = self.table.weight(&prompt.tenant, &prompt.kind, Band::of(decode_blocks));
         let cost = match listed.role {
-            Role::Decode => (decode_blocks.0 + prompt.blocks.0 + prompt.outcome_blocks.0) as f64,
+            Role::Decode => (decode_blocks.0 + prompt.blocks.0 + prompt.output_blocks.0) as f64,
             _ => cost(weight, prefill_blocks, decode_blocks),
         };
         let distance_blocks = self.distance_blocks(listed);
@@ -193,8 +193,8 @@
 }
 
 /// The policy that a prompt is placed by, and its table: the trial's for a share of a tenant's prompts.
-fn table_for<'a>(sight: &'a FleetSight, prompt: &Prompt) -> (&'a str, &'a Table) {
-    let is_drawn = prompt.lot < sight.state.desired.routing.trial_percent;
+fn table_for<'a>(sight: &'a FleetSnapshot, prompt: &Prompt) -> (&'a str, &'a Table) {
+    let is_drawn = prompt.trial_bucket < sight.state.desired.routing.trial_percent;
     match sight.trial_tables.get(&prompt.tenant).filter(|_| is_drawn) {
         Some((name, table)) => (name, table),
         None => (DEFAULT_POLICY, &sight.default_table),
--- a/crates/placement/src/picker.rs
+++ b/crates/placement/src/picker.rs
@@ -44,7 +44,7 @@
     }
 
     /// Engines no longer listed are forgotten, with all that was known of them.
-    pub fn keep_only(&mut self, sight: &FleetSight) {
+    pub fn retain_listed(&mut self, sight: &FleetSnapshot) {
         let stays = |engine: &EngineName| match engine.as_str() {
             STORE_SOURCE => sight.state.desired.store.is_some(),
             _ => sight.state.listing.engines.contains_key(engine),
@@ -63,7 +63,7 @@
     }
 
     /// The place from which an engine's events are to be asked; nothing if its snapshot is needed.
-    pub fn place_of(&mut self, engine: &EngineName) -> Option<SourcePlace> {
+    pub fn event_position(&mut self, engine: &EngineName) -> Option<SourcePlace> {
         self.engine(engine).place.clone()
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Takes an engine's own count of running requests.
-    pub fn take_count(&mut self, engine: &EngineName, running: u64, asked: Instant) {
+    pub fn record_running_count(&mut self, engine: &EngineName, running: u64, asked: Instant) {
         self.engine(engine).counted = Some((running, asked));
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// The first piece came: the prompt's blocks are kept there now, and events should soon say so.
-    pub fn note_kept(&mut self, engine: &EngineName, names: &[BlockHash], now: Instant) {
+    pub fn record_kept(&mut self, engine: &EngineName, names: &[BlockHash], now: Instant) {
         let index = SourceIndex(self.engine(engine).index);
         self.history.record(index, names);
         let Some(last_name) = names.last().copied().filter(|name| !self.tree.keeps(index, *name)) else { return };
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -18,9 +18,9 @@
     /// How many blocks it has.
     pub blocks: BlockCount,
     /// How many blocks its answer may add.
-    pub outcome_blocks: BlockCount,
+    pub output_blocks: BlockCount,
     /// From 0 to 99, by which requests of a tenant on trial are told apart.
-    pub lot: u64,
+    pub trial_bucket: u64,
     /// Engines already tried for this request.
     pub tried: Vec<EngineName>,
 }
--- a/crates/placement/src/prelude.rs
+++ b/crates/placement/src/prelude.rs
@@ -1,11 +1,11 @@
 //! The one import of this package's files.
 
 pub use crate::fetch::*;
+pub use crate::fleet_snapshot::*;
 pub(crate) use crate::known_engine::*;
 pub use crate::pick::*;
 pub use crate::picker::*;
 pub use crate::placement::*;
-pub use crate::sight::*;
 pub use blocks::prelude::{KeptEvent, PrefixTree, SentHistory, SourceIndex, SourcePlace};
 pub use desired::prelude::Role;
 pub(crate) use desired::prelude::{FleetState, Listed, ListedEngine, Policy, Sight, Standing};
--- a/crates/placement/tests/picker.rs
+++ b/crates/placement/tests/picker.rs
@@ -10,7 +10,7 @@
 
 const NOW: Instant = Instant(1_000_000_000_000);
 
-fn fleet(engine_names: &[&str], document: &str) -> FleetSight {
+fn fleet(engine_names: &[&str], document: &str) -> FleetSnapshot {
     let mut state = FleetState::default();
     let mut submit = |command| {
         let outcome = state.apply(&Submission { request: RequestId::random(), command });
@@ -32,7 +32,7 @@
             Standing { confirmed: Some((WeightsEdition(1), "x".into())), closed: false, ..Standing::default() };
         state.standings.insert((*name).into(), standing);
     }
-    FleetSight::default().following(state, None, NOW)
+    FleetSnapshot::default().after_change(state, None, NOW)
 }
 
 fn prompt(text: &str) -> Prompt {
@@ -45,8 +45,8 @@
         adapter: None,
         blocks: BlockCount(names.len() as u64),
         names: BTreeMap::from([(WeightsEdition(1), names)]),
-        outcome_blocks: BlockCount(1),
-        lot: 0,
+        output_blocks: BlockCount(1),
+        trial_bucket: 0,
         tried: Vec::new(),
     }
 }
@@ -83,7 +83,7 @@
     for engine in ["one", "two"] {
         picker.take_snapshot(&engine.into(), "x", 1, Vec::new(), NOW);
     }
-    picker.note_kept(&"two".into(), &names, NOW);
+    picker.record_kept(&"two".into(), &names, NOW);
     let later = NOW + Span::millis(2100);
     for engine in ["one", "two"] {
         assert!(picker.take_events(&engine.into(), "x", 1, &[], later));
@@ -107,7 +107,7 @@
     state.standings.get_mut(&"closed".into()).unwrap().closed = true;
     state.listing.engines.remove(&"gone".into());
     state.listing.engines.get_mut(&"leaving".into()).unwrap().listed = Listed::Leaving;
-    let sight = sight.following(state, None, NOW);
+    let sight = sight.after_change(state, None, NOW);
     let mut picker = Picker::new(NodeId(1), "a".into());
     picker.note_fault(&"resting".into(), NOW);
     let asked_prompt = Prompt { tried: vec!["tried".into()], ..prompt("z") };
@@ -122,12 +122,12 @@
         "policies":{"p":{"weight":4}},"trials":{"t":"p"},"routing":{"trial_percent":30}}"#;
     let sight = fleet(&["one", "two"], document);
     let mut picker = Picker::new(NodeId(1), "a".into());
-    let mut on_trial = |tenant: &str, lot| {
-        let asked = Prompt { tenant: tenant.into(), lot, ..prompt("z") };
+    let mut on_trial = |tenant: &str, trial_bucket| {
+        let asked = Prompt { tenant: tenant.into(), trial_bucket, ..prompt("z") };
         picker.pick(&sight, &asked, NOW).unwrap().policy == "p"
     };
-    assert_eq!((0..100).filter(|lot| on_trial("t", *lot)).count(), 30);
-    assert_eq!((0..100).filter(|lot| on_trial("u", *lot)).count(), 0);
+    assert_eq!((0..100).filter(|trial_bucket| on_trial("t", *trial_bucket)).count(), 30);
+    assert_eq!((0..100).filter(|trial_bucket| on_trial("u", *trial_bucket)).count(), 0);
 }
 
 #[test]
@@ -136,18 +136,18 @@
     let mut state = (*sight.state).clone();
     state.desired.models.get_mut(&"m".into()).unwrap().weights = WeightsEdition(2);
     let five_ago = Instant(NOW.0 - Span::seconds(5).0);
-    let pushed_sight = sight.following(state.clone(), Some(five_ago), NOW);
+    let pushed_sight = sight.after_change(state.clone(), Some(five_ago), NOW);
     let engine = "one".into();
     assert_eq!(pushed_sight.usable_weights(&engine, NOW + Span::millis(9999)), Some(WeightsEdition(1)));
     assert_eq!(pushed_sight.usable_weights(&engine, NOW + Span::seconds(10)), None);
-    assert_eq!(sight.following(state.clone(), None, NOW).usable_weights(&engine, NOW), None);
+    assert_eq!(sight.after_change(state.clone(), None, NOW).usable_weights(&engine, NOW), None);
     let told = [("m".into(), WeightsEdition(1), five_ago)];
-    let fresh_sight = FleetSight::default().starting_over(state.clone(), &told, NOW);
+    let fresh_sight = FleetSnapshot::default().after_full_transfer(state.clone(), &told, NOW);
     assert_eq!(fresh_sight.usable_weights(&engine, NOW + Span::millis(9999)), Some(WeightsEdition(1)));
     assert_eq!(fresh_sight.usable_weights(&engine, NOW + Span::seconds(10)), None);
     state.desired.models.get_mut(&"m".into()).unwrap().weights = WeightsEdition(3);
     let later = NOW + Span::seconds(9);
-    let moved_again = pushed_sight.following(state, Some(later), later);
+    let moved_again = pushed_sight.after_change(state, Some(later), later);
     assert_eq!(moved_again.usable_weights(&engine, later), Some(WeightsEdition(1)));
     let past = NOW + Span::seconds(10);
     assert_eq!(moved_again.usable_weights(&engine, past), None, "a further move does not prolong the old edition");
@@ -167,7 +167,7 @@
         let sight = fleet(&["chosen", "peer"], &document(other_zone_us));
         let mut state = (*sight.state).clone();
         state.listing.engines.get_mut(&"peer".into()).unwrap().zone = "b".into();
-        let sight = sight.following(state, None, NOW);
+        let sight = sight.after_change(state, None, NOW);
         let mut picker = Picker::new(NodeId(1), "a".into());
         picker.take_snapshot(&"chosen".into(), "x", 1, names[..10].to_vec(), NOW);
         picker.take_snapshot(&"peer".into(), "x", 1, names[..peer_blocks].to_vec(), NOW);
@@ -193,7 +193,7 @@
         let listed = state.listing.engines.get_mut(&name.into()).unwrap();
         (listed.zone, listed.role) = (zone.into(), role);
     }
-    let sight = sight.following(state, None, NOW);
+    let sight = sight.after_change(state, None, NOW);
     let mut picker = Picker::new(NodeId(1), "a".into());
     let asked_prompt = prompt(&"s".repeat(640));
     let names = asked_prompt.names[&WeightsEdition(1)].clone();
@@ -222,7 +222,7 @@
         let copy = AdapterCopy { adapter: AdapterId::new("x", revision), stage };
         state.adapters.copies.insert(name.into(), vec![copy]);
     }
-    let sight = sight.following(state, None, NOW);
+    let sight = sight.after_change(state, None, NOW);
     let mut picker = Picker::new(NodeId(1), "a".into());
     let adapted = Prompt { adapter: Some(AdapterId::new("x", 2)), ..prompt(&"a".repeat(640)) };
     let chosen = |picker: &mut Picker, prompt: &Prompt| {
@@ -250,13 +250,13 @@
         listed.further_models.insert("n".into(), WeightsEdition(listed_weights));
         let copy = AdapterCopy { adapter: adapter.clone(), stage: CopyStage::Warm { boot: "x".into() } };
         state.adapters.copies.insert("both".into(), vec![copy]);
-        sight.following(state, None, NOW)
+        sight.after_change(state, None, NOW)
     };
     assert!(holding(3).is_warm_anywhere(&adapter, NOW));
     assert!(!holding(2).is_warm_anywhere(&adapter, NOW), "on weights given up, though the first model's are wanted");
     let mut outdated = (*holding(3).state).clone();
     outdated.desired.models.get_mut(&"m".into()).unwrap().weights = WeightsEdition(2);
-    let outdated = FleetSight::default().following(outdated, None, NOW);
+    let outdated = FleetSnapshot::default().after_change(outdated, None, NOW);
     assert!(outdated.is_warm_anywhere(&adapter, NOW), "whatever the first model's weights are");
 }
 
@@ -268,32 +268,34 @@
     let warm = || vec![AdapterCopy { adapter: adapter.clone(), stage: CopyStage::Warm { boot: "x".into() } }];
     let mut open = (*fleet(&["bare", "holder"], document).state).clone();
     open.adapters.copies.insert("holder".into(), warm());
-    let before = FleetSight::default().following(open, None, NOW);
+    let before = FleetSnapshot::default().after_change(open, None, NOW);
     let mut leaving = (*before.state).clone();
     leaving.listing.engines.get_mut(&"holder".into()).unwrap().listed = Listed::Leaving;
     let lease_until = NOW + Span::millis(900);
-    let sight = before.following(leaving.clone(), None, NOW).heard_under(&before.state, lease_until);
+    let sight = before.after_change(leaving.clone(), None, NOW).with_leaving_deadline(&before.state, lease_until);
     let mut picker = Picker::new(NodeId(1), "a".into());
     let adapted = Prompt { adapter: Some(adapter.clone()), ..prompt("adapted") };
-    let mut chosen = |sight: &FleetSight, prompt: &Prompt, now: Instant| {
+    let mut chosen = |sight: &FleetSnapshot, prompt: &Prompt, now: Instant| {
         picker.pick(sight, prompt, now).map(|placement| placement.chosen.engine)
     };
     assert_eq!(chosen(&sight, &adapted, NOW), Some("holder".into()));
     assert!(sight.is_warm_anywhere(&adapter, NOW));
     assert_eq!(chosen(&sight, &prompt("bare"), NOW), Some("bare".into()), "nothing on the bare model");
     // What comes after it under a later lease does not prolong it.
-    let later = sight.following(leaving.clone(), None, NOW).heard_under(&leaving, lease_until + Span::seconds(1));
+    let later = sight
+        .after_change(leaving.clone(), None, NOW)
+        .with_leaving_deadline(&leaving, lease_until + Span::seconds(1));
     for known in [&sight, &later] {
         assert_eq!(chosen(known, &adapted, lease_until), None);
         assert!(!known.is_warm_anywhere(&adapter, lease_until));
     }
     let mut replaced = leaving.clone();
     replaced.adapters.copies.insert("bare".into(), warm());
-    let replaced = sight.following(replaced, None, NOW);
+    let replaced = sight.after_change(replaced, None, NOW);
     for _ in 0..8 {
         assert_eq!(chosen(&replaced, &adapted, NOW), Some("bare".into()), "its replacement is warm");
     }
-    let unheard = FleetSight::default().following(leaving, None, NOW);
+    let unheard = FleetSnapshot::default().after_change(leaving, None, NOW);
     assert_eq!(chosen(&unheard, &adapted, NOW), None, "without a lease under which it was heard");
 }
 
@@ -331,7 +333,7 @@
                     _ => passing.push(engine.clone()),
                 }
             }
-            let sight = sight.following(state, None, NOW);
+            let sight = sight.after_change(state, None, NOW);
             let mut picker = Picker::new(NodeId(1), "a".into());
             for number in 0..6 {
                 let busy_blocks = source.int_in_range(0..=2000)?;
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -115,7 +115,7 @@
             LinkEvent::Said(_, RouterDown::Snapshot { state, gave_way }) => {
                 let current = self.plan.shared.sight();
                 if state.edition > current.state.edition {
-                    self.put_in_force(current.starting_over(*state, &gave_way, boot_now()));
+                    self.put_in_force(current.after_full_transfer(*state, &gave_way, boot_now()));
                 }
             }
             LinkEvent::Said(_, RouterDown::Push { number, submission, committed }) => {
@@ -132,13 +132,13 @@
                 }
                 let mut state = (*current.state).clone();
                 state.follow(&submission);
-                let next = current.following(state, committed, boot_now());
-                self.put_in_force(next.heard_under(&current.state, self.plan.shared.lease_until()));
+                let next = current.after_change(state, committed, boot_now());
+                self.put_in_force(next.with_leaving_deadline(&current.state, self.plan.shared.lease_until()));
             }
         }
     }
 
-    fn put_in_force(&mut self, sight: FleetSight) {
+    fn put_in_force(&mut self, sight: FleetSnapshot) {
         let edition = sight.state.edition;
         self.plan.shared.publish(sight);
         (self.plan.on_change)();
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -13,7 +13,7 @@
 /// An attempt under way, dropped as a whole when it ends.
 pub(super) struct Attempt {
     pub(super) placement: Box<Placement>,
-    pub(super) sight: Arc<FleetSight>,
+    pub(super) sight: Arc<FleetSnapshot>,
     /// The adapter it runs on; none for the bare model.
     pub(super) adapter: Option<AdapterId>,
     pub(super) place: AttemptPlace,
@@ -27,7 +27,7 @@
 impl Attempt {
     fn new(
         placement: Box<Placement>,
-        sight: Arc<FleetSight>,
+        sight: Arc<FleetSnapshot>,
         adapter: Option<AdapterId>,
         place: AttemptPlace,
     ) -> Attempt {
--- a/crates/router/src/plan.rs
+++ b/crates/router/src/plan.rs
@@ -70,7 +70,7 @@
         request: CallerRequest,
         form: Form,
         headers: &HeaderFields,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         run: (String, u64),
         now: Instant,
     ) -> Result<Plan, Refusal> {
@@ -132,18 +132,18 @@
     }
 
     /// The adapter it runs on; none for the bare model.
-    pub fn adapter(&self, sight: &FleetSight) -> Option<AdapterId> {
+    pub fn adapter(&self, sight: &FleetSnapshot) -> Option<AdapterId> {
         sight.state.adapter_for(&self.tenant, &self.model)
     }
 
     /// The salt of this tenant's memory under an edition of the weights and its adapter.
-    pub fn salt(&self, sight: &FleetSight, weights: WeightsEdition) -> Salt {
+    pub fn salt(&self, sight: &FleetSnapshot, weights: WeightsEdition) -> Salt {
         let wall = sight.state.wall_of(&self.tenant);
         Salt::of(&self.model, weights, wall.id, wall.edition).under(self.adapter(sight).as_ref())
     }
 
     /// What the picker is asked: block names under every edition in use.
-    pub fn prompt(&self, sight: &FleetSight, tried: &[EngineName], now: Instant) -> Prompt {
+    pub fn prompt(&self, sight: &FleetSnapshot, tried: &[EngineName], now: Instant) -> Prompt {
         let names = sight
             .editions_in_use(&self.model, now)
             .into_iter()
@@ -156,8 +156,8 @@
             adapter: self.adapter(sight),
             names,
             blocks: blocks_of(self.prompt_text.len()),
-            outcome_blocks: BlockCount(self.max_tokens.div_ceil(BLOCK_TOKENS as u64)),
-            lot: BlockHash::over(&[b"lot", self.run.as_bytes()]).0 % 100,
+            output_blocks: BlockCount(self.max_tokens.div_ceil(BLOCK_TOKENS as u64)),
+            trial_bucket: BlockHash::over(&[b"lot", self.run.as_bytes()]).0 % 100,
             tried: tried.to_vec(),
         }
     }
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub struct SharedState {
     news: tokio::sync::watch::Sender<u64>,
-    sight: RwLock<Arc<FleetSight>>,
+    sight: RwLock<Arc<FleetSnapshot>>,
     /// The end of the lease as the watch tells it, for those who only look at it.
     lease_until: AtomicU64,
     grants: Mutex<GrantWatch>,
@@ -73,13 +73,13 @@
         SharedState { grants: Mutex::new(GrantWatch::new(timing)), ..SharedState::default() }
     }
 
-    pub fn sight(&self) -> Arc<FleetSight> {
+    pub fn sight(&self) -> Arc<FleetSnapshot> {
         Arc::clone(&self.sight.read().expect("no holder of this lock panics"))
     }
 
     /// Puts a sight in force. Figures of a policy that was changed, and of a tenant whose trial was, begin
     /// anew, so that both sides of a trial are of the same time.
-    pub fn publish(&self, sight: FleetSight) {
+    pub fn publish(&self, sight: FleetSnapshot) {
         let earlier = self.sight();
         let (old_policies, new_policies) = (&earlier.state.desired.policies, &sight.state.desired.policies);
         let names = old_policies.keys().chain(new_policies.keys());
--- a/crates/router/src/table.rs
+++ b/crates/router/src/table.rs
@@ -120,7 +120,7 @@
     }
 
     pub async fn pick(&self, prompt: Prompt, is_retry: bool) -> Option<(Picked, Option<AttemptPlace>)> {
-        let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
+        let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
         let picked = self.ask(|reply| TableCommand::Pick { prompt: Box::new(prompt), is_retry, reply }).await?;
         let place = match &picked {
             Picked::Placed(placement) => {
@@ -159,7 +159,7 @@
     fn take(&mut self, command: TableCommand) {
         let now = boot_now();
         match command {
-            TableCommand::Fleet => self.picker.keep_only(&self.shared.sight()),
+            TableCommand::Fleet => self.picker.retain_listed(&self.shared.sight()),
             TableCommand::Admit { tenant, share, reply } => {
                 let admitted = self.shares.take(&tenant, share);
                 if reply.send(admitted).is_err() && admitted {
@@ -170,16 +170,16 @@
             TableCommand::Pick { prompt, is_retry, reply } => {
                 let picked = self.pick(&prompt, is_retry, now);
                 if let Err(Picked::Placed(placement)) = reply.send(picked) {
-                    let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
+                    let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
                     self.picker.end_attempt(&placement.chosen.engine, blocks);
                 }
             }
             TableCommand::EndAttempt { engine, blocks } => self.picker.end_attempt(&engine, blocks),
-            TableCommand::Kept { engine, names } => self.picker.note_kept(&engine, &names, now),
+            TableCommand::Kept { engine, names } => self.picker.record_kept(&engine, &names, now),
             TableCommand::Fault { engine } => self.picker.note_fault(&engine, now),
             TableCommand::Cold { engine, adapter } => self.picker.note_cold(&engine, &adapter, now),
             TableCommand::Place { engine, reply } => {
-                let _ = reply.send(self.picker.place_of(&engine));
+                let _ = reply.send(self.picker.event_position(&engine));
             }
             TableCommand::Snapshot { engine, snapshot, names, asked } => {
                 self.picker.take_snapshot(&engine, &snapshot.boot, snapshot.next, names, asked);
@@ -188,7 +188,9 @@
                 let followed = self.picker.take_events(&engine, &batch.boot, batch.first, &events, asked);
                 let _ = reply.send(followed);
             }
-            TableCommand::Count { engine, running, asked } => self.picker.take_count(&engine, running, asked),
+            TableCommand::Count { engine, running, asked } => {
+                self.picker.record_running_count(&engine, running, asked)
+            }
         }
     }
 
@@ -206,14 +208,14 @@
             self.budget.earn(sight.state.desired.routing.retry_percent);
         }
         Counts::add(&self.shared.counts.attempts, 1);
-        let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
+        let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
         self.picker.begin_attempt(&placement.chosen.engine, blocks);
         Picked::Placed(Box::new(placement))
     }
 }
 
 /// Why no engine passes.
-fn unplaced(sight: &FleetSight, prompt: &Prompt, now: Instant) -> Picked {
+fn unplaced(sight: &FleetSnapshot, prompt: &Prompt, now: Instant) -> Picked {
     let is_cold = prompt.adapter.as_ref().is_some_and(|adapter| !sight.is_warm_anywhere(adapter, now));
     if is_cold { Picked::NoAdapter } else { Picked::NoEngine }
 }
--- a/crates/simulator/src/effects.rs
+++ b/crates/simulator/src/effects.rs
@@ -31,7 +31,7 @@
             CarriageEffect::Write => self.write(node, router_id, run, local_now, inputs),
             CarriageEffect::Began => {
                 if let (Some(router), Some(attempt)) = (self.nodes[node].router.as_mut(), &run.attempt) {
-                    router.picker.note_kept(&attempt.ground.engine, &attempt.names, local_now);
+                    router.picker.record_kept(&attempt.ground.engine, &attempt.names, local_now);
                 }
                 if run.request.resumes && run.request.streams {
                     run.held = Some(HeldEvents::default());
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -105,7 +105,7 @@
 /// The router: what is in force, until when it may start, and what it has under way.
 pub struct SimRouter {
     pub id: NodeId,
-    pub sight: FleetSight,
+    pub sight: FleetSnapshot,
     pub lease_until: Instant,
     pub picker: Picker,
     pub budget: RetryBudget,
@@ -122,7 +122,7 @@
     pub fn new(id: NodeId, zone: Zone) -> SimRouter {
         SimRouter {
             id,
-            sight: FleetSight::default(),
+            sight: FleetSnapshot::default(),
             lease_until: Instant(0),
             picker: Picker::new(id, zone),
             budget: RetryBudget::default(),
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -225,7 +225,7 @@
                 if state.edition <= router.sight.state.edition {
                     return;
                 }
-                router.sight.starting_over(*state, &gave_way, local_now)
+                router.sight.after_full_transfer(*state, &gave_way, local_now)
             }
             RouterDown::Push { number, submission, committed } => {
                 let expected = router.sight.state.edition.next();
@@ -237,15 +237,15 @@
                 }
                 let mut state = (*router.sight.state).clone();
                 state.follow(&submission);
-                let next = router.sight.following(state, committed, local_now);
-                next.heard_under(&router.sight.state, router.lease_until)
+                let next = router.sight.after_change(state, committed, local_now);
+                next.with_leaving_deadline(&router.sight.state, router.lease_until)
             }
         };
         let edition = sight.state.edition;
         let last_settled = sight.state.last_settled();
         let state = sight.state.clone();
         router.sight = sight;
-        router.picker.keep_only(&router.sight);
+        router.picker.retain_listed(&router.sight);
         if let Some(request) = last_settled {
             self.see_committed(edition, request, &format!("n{node_number}"));
         }
--- a/crates/simulator/src/placing.rs
+++ b/crates/simulator/src/placing.rs
@@ -29,8 +29,8 @@
             adapter: adapter.clone(),
             names,
             blocks: blocks_of(run.request.text.len()),
-            outcome_blocks: BlockCount(run.request.tokens.div_ceil(16)),
-            lot: 0,
+            output_blocks: BlockCount(run.request.tokens.div_ceil(16)),
+            trial_bucket: 0,
             tried,
         };
         let Some(placement) = router.picker.pick(sight, &prompt, local_now) else {
@@ -48,7 +48,7 @@
         router.attempts += 1;
         let weights = placement.chosen.weights;
         let engine_name = placement.chosen.engine.clone();
-        let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
+        let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
         let ground = Ground {
             key_hash: run.request.key_hash.clone(),
             tenant: run.request.tenant.clone(),
--- a/crates/simulator/src/polling.rs
+++ b/crates/simulator/src/polling.rs
@@ -17,7 +17,7 @@
             for engine in self.engines.iter().filter(|engine| engine.up && engine.listed.is_some()) {
                 let hides = engine.hides_until > now;
                 follow(&mut router.picker, &engine.name, &engine.memory, hides, local_now);
-                router.picker.take_count(&engine.name, engine.attempts.len() as u64, local_now);
+                router.picker.record_running_count(&engine.name, engine.attempts.len() as u64, local_now);
             }
             if self.store_up {
                 follow(&mut router.picker, &EngineName::from(STORE_SOURCE), &self.store, false, local_now);
@@ -30,7 +30,7 @@
 
 fn follow(picker: &mut Picker, source: &EngineName, memory: &SimMemory, hides: bool, local_now: Instant) {
     let boot = memory.boot.to_string();
-    match picker.place_of(source) {
+    match picker.event_position(source) {
         None => picker.take_snapshot(source, &boot, memory.next_number(), memory.names(), local_now),
         Some(place) => {
             let (first, events) = memory.news_from(place.next_number);
--- a/crates/simulator/src/prelude.rs
+++ b/crates/simulator/src/prelude.rs
@@ -26,7 +26,7 @@
 pub(crate) use coordinator::prelude::*;
 pub(crate) use desired::prelude::{ConfigurationChange, Intent, Listed, ListedEngine, Role};
 pub(crate) use placement::prelude::{
-    FetchFrom, FetchRun, FleetSight, KeptEvent, Picker, Placement, Prompt, STORE_SOURCE,
+    FetchFrom, FetchRun, FleetSnapshot, KeptEvent, Picker, Placement, Prompt, STORE_SOURCE,
 };
 pub(crate) use std::cmp::Reverse;
 pub(crate) use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
