--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,5 +1,5 @@
-//! Who may start, and who may try again: how many requests a tenant runs at once on this router, and
-//! the budget that keeps second attempts a small share of all.
+//! Admission control: the limit on a tenant's concurrent requests on this router, and the budget that keeps
+//! retries to a small share of all attempts.
 
 pub mod prelude;
 
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -1,14 +1,16 @@
-//! Tenant shares: requests running at once.
+//! Limits on the number of requests that a tenant runs concurrently.
 
 use crate::prelude::*;
 
+/// The number of running requests per tenant on this router.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
+pub struct ConcurrencyShares {
     running: BTreeMap<TenantName, u64>,
 }
 
-impl Shares {
-    pub fn take(&mut self, tenant: &TenantName, share: u64) -> bool {
+impl ConcurrencyShares {
+    /// Counts one more running request of the tenant, or returns false if it already runs `share` of them.
+    pub fn try_acquire(&mut self, tenant: &TenantName, share: u64) -> bool {
         let running = self.running.entry(tenant.clone()).or_insert(0);
         if *running >= share {
             return false;
@@ -17,6 +19,7 @@
         true
     }
 
+    /// Counts one running request of the tenant less.
     pub fn release(&mut self, tenant: &TenantName) {
         let Some(running) = self.running.get_mut(tenant) else { return };
         *running = running.saturating_sub(1);
@@ -33,11 +36,11 @@
     #[test]
     fn one_tenants_share_does_not_touch_anothers() {
         let (large, small) = (TenantName::from("large"), TenantName::from("small"));
-        let mut shares = Shares::default();
-        assert!(shares.take(&large, 2) && shares.take(&large, 2));
-        assert!(!shares.take(&large, 2));
-        assert!(shares.take(&small, 1));
+        let mut shares = ConcurrencyShares::default();
+        assert!(shares.try_acquire(&large, 2) && shares.try_acquire(&large, 2));
+        assert!(!shares.try_acquire(&large, 2));
+        assert!(shares.try_acquire(&small, 1));
         shares.release(&large);
-        assert!(shares.take(&large, 2));
+        assert!(shares.try_acquire(&large, 2));
     }
 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -392,11 +392,11 @@
     fn draw_on_budget(&mut self, service: &ServiceName, is_further: bool) -> bool {
         let budget = self.budgets.entry(service.clone()).or_default();
         let own_slack = self.bounds.slack * BUDGET_USE / self.shared.router_count() as f64;
-        budget.save_at_most(own_slack as u64);
+        budget.set_max_attempts(own_slack as u64);
         if is_further {
-            return budget.spend();
+            return budget.try_withdraw();
         }
-        budget.earn((self.bounds.ratio * BUDGET_USE * 100.0) as u64);
+        budget.deposit((self.bounds.ratio * BUDGET_USE * 100.0) as u64);
         true
     }
 }
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -14,7 +14,7 @@
 pub use crate::shared_state::*;
 pub use crate::table::*;
 pub use adapters::prelude::{DemandMeter, DemandReport};
-pub use admission::prelude::{RetryBudget, Shares};
+pub use admission::prelude::{ConcurrencyShares, RetryBudget};
 pub use attempts::prelude::*;
 pub use blocks::prelude::{BLOCK_TOKENS, Salt, blocks_of, cut};
 pub use contract::prelude::*;
--- a/crates/router/src/table.rs
+++ b/crates/router/src/table.rs
@@ -137,7 +137,7 @@
     duty("table", move || {
         let mut table = Table {
             picker: Picker::new(router, zone),
-            shares: Shares::default(),
+            shares: ConcurrencyShares::default(),
             budget: RetryBudget::default(),
             shared,
         };
@@ -150,7 +150,7 @@
 
 struct Table {
     picker: Picker,
-    shares: Shares,
+    shares: ConcurrencyShares,
     budget: RetryBudget,
     shared: Arc<SharedState>,
 }
@@ -161,7 +161,7 @@
         match command {
             TableCommand::Fleet => self.picker.retain_listed(&self.shared.sight()),
             TableCommand::Admit { tenant, share, reply } => {
-                let admitted = self.shares.take(&tenant, share);
+                let admitted = self.shares.try_acquire(&tenant, share);
                 if reply.send(admitted).is_err() && admitted {
                     self.shares.release(&tenant);
                 }
@@ -200,12 +200,12 @@
             return unplaced(&sight, prompt, now);
         };
         if is_retry {
-            if !self.budget.spend() {
+            if !self.budget.try_withdraw() {
                 return Picked::NoBudget;
             }
             Counts::add(&self.shared.counts.retries, 1);
         } else {
-            self.budget.earn(sight.state.desired.routing.retry_percent);
+            self.budget.deposit(sight.state.desired.routing.retry_percent);
         }
         Counts::add(&self.shared.counts.attempts, 1);
         let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
--- a/crates/simulator/src/placing.rs
+++ b/crates/simulator/src/placing.rs
@@ -38,12 +38,12 @@
             return if is_cold { PickOutcome::NoAdapter } else { PickOutcome::NoEngine };
         };
         if is_retry {
-            if !router.budget.spend() {
+            if !router.budget.try_withdraw() {
                 return PickOutcome::NoBudget;
             }
             router.retries += 1;
         } else {
-            router.budget.earn(sight.state.desired.routing.retry_percent);
+            router.budget.deposit(sight.state.desired.routing.retry_percent);
         }
         router.attempts += 1;
         let weights = placement.chosen.weights;
