--- a/crates/selection/src/choice.rs
+++ b/crates/selection/src/choice.rs
@@ -1,41 +1,40 @@
-//! The choice of an engine: which candidates pass, what each would cost by the source's formula, and which of
-//! them is taken.
+//! The selection of an engine: filters the available candidates, computes the cost of each, and takes the lowest.
 
 use crate::prelude::*;
 
-/// Of two engines drawn at random the better is far better than any one.
-const LEAST_LOTS: usize = 2;
+/// The better of two randomly sampled engines is far better than a single one: the power of two choices.
+const MIN_SAMPLES: usize = 2;
 
-/// A candidate that can take the request, with what is known of it.
-struct Passing<'a> {
+/// A candidate that can accept the request, with its state.
+struct AvailableCandidate<'a> {
     candidate: &'a Candidate,
-    known: &'a Known,
-    /// What other nodes run there.
-    others: NodeLoad,
-    bearing: Bearing,
+    state: &'a SourceState,
+    /// The load of other nodes.
+    foreign_load: NodeLoad,
+    availability: Availability,
 }
 
-/// What all candidates of one question are weighed with.
-struct Weighing<'a> {
+/// The inputs that all candidates of one selection are scored with.
+struct ScoringContext<'a> {
     request: &'a SelectionRequest,
-    holdings: BTreeMap<WeightsEdition, Holdings>,
-    nothing_held: Holdings,
+    cached_prefixes: BTreeMap<WeightsEdition, CachedPrefixes>,
+    no_prefixes: CachedPrefixes,
     home: Option<EngineName>,
     now: Instant,
 }
 
-impl Weighing<'_> {
-    /// What sources keep of the prompt on these weights.
-    fn held_on(&self, weights: WeightsEdition) -> &Holdings {
-        self.holdings.get(&weights).unwrap_or(&self.nothing_held)
+impl ScoringContext<'_> {
+    /// What sources cache of the prompt for these weights.
+    fn prefixes_for(&self, weights: WeightsEdition) -> &CachedPrefixes {
+        self.cached_prefixes.get(&weights).unwrap_or(&self.no_prefixes)
     }
 }
 
-/// A passing candidate's cost, with what went into it.
+/// The cost of an available candidate, and its inputs.
 struct Score<'a> {
     candidate: &'a Candidate,
-    bearing: Bearing,
-    kept: u64,
+    availability: Availability,
+    cached_tokens: u64,
     prefill_blocks: BlockCount,
     decode_blocks: BlockCount,
     cost: f64,
@@ -43,129 +42,133 @@
 }
 
 impl Selector {
-    /// The lowest-cost engine among those that pass. Those with a place free go before those whose queue
-    /// takes it, and these before those that rest after a fault.
+    /// Selects the available engine with the lowest cost. Engines with a free slot take precedence over those that
+    /// would queue the request, and these over engines that back off after a fault.
     pub fn select(
         &self,
         candidates: &[Candidate],
         request: &SelectionRequest,
-        weigh: impl Fn(Band) -> f64,
+        weight_of: impl Fn(Band) -> f64,
         now: Instant,
     ) -> Selection {
-        let unknown = Known::default();
-        let passing = match self.passing(candidates, request, &unknown, now) {
-            Ok(passing) => passing,
+        let unknown = SourceState::default();
+        let available = match self.available(candidates, request, &unknown, now) {
+            Ok(available) => available,
             Err(retry_after) => return Selection::Refused { retry_after },
         };
-        let weighing = Weighing {
+        let context = ScoringContext {
             request,
-            holdings: self.holdings(candidates, request, now),
-            nothing_held: Holdings::default(),
-            home: home(&passing, request),
+            cached_prefixes: self.cached_prefixes(candidates, request, now),
+            no_prefixes: CachedPrefixes::default(),
+            home: home_engine(&available, request),
             now,
         };
-        let best = passing.iter().map(|passing| passing.bearing).min();
-        let scores = passing.iter().filter(|passing| Some(passing.bearing) == best);
-        let scores = scores.map(|passing| self.score(passing, &weighing, &weigh)).collect();
-        let spread = |score: &Score<'_>| self.spread(request, &score.candidate.engine);
-        let lowest = self
-            .drawn(scores, &weighing)
-            .into_iter()
-            .min_by(|left, right| left.cost.total_cmp(&right.cost).then_with(|| spread(left).cmp(&spread(right))));
+        let best = available.iter().map(|candidate| candidate.availability).min();
+        let scores = available.iter().filter(|candidate| Some(candidate.availability) == best);
+        let scores = scores.map(|candidate| self.score(candidate, &context, &weight_of)).collect();
+        let tie_break = |score: &Score<'_>| self.tie_break(request, &score.candidate.engine);
+        let lowest = self.sampled(scores, &context).into_iter().min_by(|left, right| {
+            left.cost.total_cmp(&right.cost).then_with(|| tie_break(left).cmp(&tie_break(right)))
+        });
         match lowest {
-            Some(score) => Selection::Chosen(self.chosen(&score, &weighing)),
-            None => Selection::Refused { retry_after: retry_after(std::iter::empty(), request.priority) },
+            Some(score) => Selection::Chosen(self.chosen(&score, &context)),
+            None => Selection::Refused { retry_after: retry_delay(std::iter::empty(), request.priority) },
         }
     }
 
-    /// The candidates that can take the request; or when one may, if none can.
-    fn passing<'a>(
+    /// The candidates that can accept the request; if there are none, the delay after which one may.
+    fn available<'a>(
         &'a self,
         candidates: &'a [Candidate],
         request: &SelectionRequest,
-        unknown: &'a Known,
+        unknown: &'a SourceState,
         now: Instant,
-    ) -> Result<Vec<Passing<'a>>, Span> {
-        let factor = self.unseen_load_factor(candidates);
-        let known_of = |candidate: &Candidate| self.known.get(&candidate.engine).unwrap_or(unknown);
-        let at = |candidate: &'a Candidate| {
-            let known = known_of(candidate);
-            (candidate, known, self.others(candidate, known, factor, now))
+    ) -> Result<Vec<AvailableCandidate<'a>>, Span> {
+        let load_factor = self.unseen_load_factor(candidates);
+        let state_of = |candidate: &Candidate| self.sources.get(&candidate.engine).unwrap_or(unknown);
+        let with_state = |candidate: &'a Candidate| {
+            let state = state_of(candidate);
+            (candidate, state, self.foreign_load(candidate, state, load_factor, now))
         };
-        let all: Vec<(&Candidate, &Known, NodeLoad)> = candidates.iter().map(at).collect();
-        let crowd =
-            self.crowd(all.iter().map(|(_, known, others)| known.own_requests.saturating_add(others.requests)));
-        let mut passing = Vec::new();
-        let mut refusals = Vec::new();
-        for (candidate, known, others) in all {
+        let all: Vec<(&Candidate, &SourceState, NodeLoad)> = candidates.iter().map(with_state).collect();
+        let request_counts =
+            all.iter().map(|(_, state, foreign)| state.own_requests.saturating_add(foreign.requests));
+        let overload_bound = self.overload_bound(request_counts);
+        let mut available = Vec::new();
+        let mut retry_delays = Vec::new();
+        for (candidate, state, foreign_load) in all {
             if request.tried.contains(&candidate.engine) {
                 continue;
             }
-            let bearing = bearing_of(candidate, known, request, crowd, &others, now);
-            match bearing.and_then(|bearing| self.in_time(bearing, candidate, known, &others, request)) {
-                Ok(bearing) => passing.push(Passing { candidate, known, others, bearing }),
-                Err(span) => refusals.push(span),
+            let availability = availability_of(candidate, state, request, overload_bound, &foreign_load, now);
+            match availability
+                .and_then(|found| self.within_wait_limit(found, candidate, state, &foreign_load, request))
+            {
+                Ok(availability) => {
+                    available.push(AvailableCandidate { candidate, state, foreign_load, availability });
+                }
+                Err(delay) => retry_delays.push(delay),
             }
         }
-        match passing.is_empty() {
-            true => Err(retry_after(refusals.into_iter(), request.priority)),
-            false => Ok(passing),
+        match available.is_empty() {
+            true => Err(retry_delay(retry_delays.into_iter(), request.priority)),
+            false => Ok(available),
         }
     }
 
-    /// Whether the prompts that wait at an engine leave the request in time, or else when they may.
-    fn in_time(
+    /// Rejects an engine whose pending prefill would make the request late, with the delay after which it may not.
+    fn within_wait_limit(
         &self,
-        bearing: Bearing,
+        availability: Availability,
         candidate: &Candidate,
-        known: &Known,
-        others: &NodeLoad,
+        state: &SourceState,
+        foreign_load: &NodeLoad,
         request: &SelectionRequest,
-    ) -> Result<Bearing, Span> {
+    ) -> Result<Availability, Span> {
         if !self.settings.limits_queue_wait {
-            return Ok(bearing);
+            return Ok(availability);
         }
-        let wait_ms = self.unread_ahead(known, others) as f64 / self.tokens_per_ms(&candidate.service);
-        let excess_ms = wait_ms - longest_wait_ms(request);
-        if excess_ms > 0.0 { Err(retry_when_read(excess_ms)) } else { Ok(bearing) }
+        let wait_ms = self.pending_prefill(state, foreign_load) as f64 / self.tokens_per_ms(&candidate.service);
+        let excess_ms = wait_ms - max_wait_ms(request);
+        if excess_ms > 0.0 { Err(prefill_retry_delay(excess_ms)) } else { Ok(availability) }
     }
 
-    /// The scores among which the lowest cost decides: those of the engines that keep the most of the prompt, of
-    /// the prompt's home, and of some drawn at random. Loads are known as they were a moment ago, and alike to many
-    /// nodes; if all of them took the engine that was least loaded then, it would be the most loaded now.
-    fn drawn<'a>(&self, mut scores: Vec<Score<'a>>, weighing: &Weighing<'_>) -> Vec<Score<'a>> {
-        let lots = self.lots(scores.len());
-        if lots >= scores.len() {
+    /// The scores among which the lowest cost decides: those of the engines that cache the most of the prompt, of
+    /// the prompt's home engine, and of a random sample. Load reports are delayed, and many nodes see the same ones;
+    /// if all of them took the engine that was least loaded, it would become the most loaded.
+    fn sampled<'a>(&self, mut scores: Vec<Score<'a>>, context: &ScoringContext<'_>) -> Vec<Score<'a>> {
+        let samples = self.sample_size(scores.len());
+        if samples >= scores.len() {
             return scores;
         }
-        let sampling_seed = weighing.request.sampling_seed.to_le_bytes();
+        let sampling_seed = context.request.sampling_seed.to_le_bytes();
         let node = self.node.0.to_le_bytes();
         scores.sort_by_cached_key(|score| {
             stable_hash(&[&sampling_seed, &node, score.candidate.engine.as_str().as_bytes()])
         });
-        let most_kept = scores.iter().map(|score| score.kept).max().unwrap_or(0);
-        let (mut place, mut keeping) = (0, 0);
+        let longest = scores.iter().map(|score| score.cached_tokens).max().unwrap_or(0);
+        let (mut rank, mut longest_count) = (0, 0);
         scores.retain(|score| {
-            let keeps_most = most_kept > 0 && score.kept == most_kept;
-            place += 1;
-            keeping += usize::from(keeps_most);
-            let is_home = weighing.home.as_ref() == Some(&score.candidate.engine);
-            place <= lots || (keeps_most && keeping <= lots) || is_home
+            let is_longest = longest > 0 && score.cached_tokens == longest;
+            rank += 1;
+            longest_count += usize::from(is_longest);
+            let is_home = context.home.as_ref() == Some(&score.candidate.engine);
+            rank <= samples || (is_longest && longest_count <= samples) || is_home
         });
         scores
     }
 
-    /// How many engines are drawn: all nodes together look at each engine a few times, and none at fewer than
-    /// two. A node that is alone looks at all.
-    fn lots(&self, engines: usize) -> usize {
-        let Some(looks) = self.settings.samples_per_engine else { return engines };
-        let share = looks * engines as f64 / self.node_count.max(1) as f64;
-        (share.ceil() as usize).max(LEAST_LOTS)
+    /// The number of sampled engines, so that all nodes together sample each engine a few times and no node samples
+    /// fewer than two. A single node considers all engines.
+    fn sample_size(&self, engines: usize) -> usize {
+        let Some(samples) = self.settings.samples_per_engine else { return engines };
+        let share = samples * engines as f64 / self.node_count.max(1) as f64;
+        (share.ceil() as usize).max(MIN_SAMPLES)
     }
 
-    /// How many requests make an engine crowded: a multiple of what the candidates have on average. However
-    /// much of a prompt an engine keeps, it gets no more than that while others have room.
-    fn crowd(&self, requests: impl ExactSizeIterator<Item = u64>) -> u64 {
+    /// The number of requests from which on an engine is overloaded: a multiple of the candidates' average. However
+    /// much of a prompt an engine caches, it gets no more than that while others have room.
+    fn overload_bound(&self, requests: impl ExactSizeIterator<Item = u64>) -> u64 {
         let Some(factor) = self.settings.overload_factor else { return u64::MAX };
         let engines = requests.len().max(1);
         let total: u64 = requests.sum();
@@ -173,77 +176,93 @@
         (average * factor) as u64 + self.settings.overload_base
     }
 
-    fn score<'a>(&self, passing: &Passing<'a>, weighing: &Weighing<'_>, weigh: &impl Fn(Band) -> f64) -> Score<'a> {
-        let Passing { candidate, known, others, bearing } = passing;
-        let (request, now) = (weighing.request, weighing.now);
-        let by_events = !known.events_are_late(self.settings.events_late, now);
-        let kept = self.kept_tokens(known, request.parts(candidate.weights), by_events).min(request.prompt_tokens);
+    fn score<'a>(
+        &self,
+        available: &AvailableCandidate<'a>,
+        context: &ScoringContext<'_>,
+        weight_of: &impl Fn(Band) -> f64,
+    ) -> Score<'a> {
+        let AvailableCandidate { candidate, state, foreign_load, availability } = available;
+        let (request, now) = (context.request, context.now);
+        let by_events = !state.events_are_late(self.settings.events_late, now);
+        let parts = request.parts(candidate.weights);
+        let cached_tokens = self.cached_tokens(state, parts, by_events).min(request.prompt_tokens);
         let block_tokens = request.block_tokens.max(1);
-        let lacking = self.lacking_tokens(weighing, candidate, kept);
-        let ahead = self.unread_ahead(known, others);
-        let prefill_blocks = BlockCount(lacking.saturating_add(ahead).div_ceil(block_tokens));
-        let decode_blocks = BlockCount(known.own_tokens.saturating_add(others.tokens).div_ceil(block_tokens));
+        let lacking = self.prefill_cost(context, candidate, cached_tokens);
+        let pending = self.pending_prefill(state, foreign_load);
+        let prefill_blocks = BlockCount(lacking.saturating_add(pending).div_ceil(block_tokens));
+        let decode_blocks = BlockCount(state.own_tokens.saturating_add(foreign_load.tokens).div_ceil(block_tokens));
         let zone_blocks = if candidate.zone == self.zone { 0.0 } else { request.zone_penalty_blocks };
-        let trouble = known.trouble(now) * self.settings.recent_failure_cost;
-        let cost = cost(weigh(Band::of(decode_blocks)), prefill_blocks, decode_blocks) + zone_blocks + trouble;
-        Score { candidate, bearing: *bearing, kept, prefill_blocks, decode_blocks, cost, by_events }
+        let failure_cost = state.recent_failures(now) * self.settings.recent_failure_cost;
+        let cost =
+            cost(weight_of(Band::of(decode_blocks)), prefill_blocks, decode_blocks) + zone_blocks + failure_cost;
+        Score {
+            candidate,
+            availability: *availability,
+            cached_tokens,
+            prefill_blocks,
+            decode_blocks,
+            cost,
+            by_events,
+        }
     }
 
-    /// Tokens of the prompt's beginning that the engine keeps: by its events, or by what was sent there.
-    fn kept_tokens(&self, known: &Known, parts: &[(PartName, u64)], by_events: bool) -> u64 {
+    /// Tokens of the prompt's prefix that the engine caches, by its events or by the record of sent parts.
+    fn cached_tokens(&self, state: &SourceState, parts: &[(PartName, u64)], by_events: bool) -> u64 {
         match by_events {
-            true => self.index.kept_tokens(known.index, parts),
-            false => self.sent.kept_tokens(known.index, parts),
+            true => self.index.kept_tokens(state.index, parts),
+            false => self.sent.kept_tokens(state.index, parts),
         }
     }
 
-    /// Tokens that the engine would have to read. What another source keeps may be fetched for less; what
-    /// nobody is known to keep may be on its way to the prompt's home.
-    fn lacking_tokens(&self, weighing: &Weighing<'_>, candidate: &Candidate, kept: u64) -> u64 {
-        let request = weighing.request;
-        let held = weighing.held_on(candidate.weights);
-        let cheapest = self.cheapest_tokens(held, request, candidate, kept);
-        if weighing.home.as_ref() != Some(&candidate.engine) {
+    /// The cost of the tokens that the engine lacks, expressed in tokens to prefill. Fetching what another source
+    /// caches may cost less. Parts without a known cached copy may already be on their way to the home engine.
+    fn prefill_cost(&self, context: &ScoringContext<'_>, candidate: &Candidate, cached_tokens: u64) -> u64 {
+        let request = context.request;
+        let prefixes = context.prefixes_for(candidate.weights);
+        let cheapest = self.min_prefill_cost(prefixes, request, candidate, cached_tokens);
+        if context.home.as_ref() != Some(&candidate.engine) {
             return cheapest;
         }
         let shared: u64 = request.parts(candidate.weights).iter().rev().skip(1).map(|(_, tokens)| *tokens).sum();
-        let unknown_shared = shared.saturating_sub(held.best_kept().max(kept));
+        let unknown_shared = shared.saturating_sub(prefixes.longest().max(cached_tokens));
         cheapest.saturating_sub((unknown_shared as f64 * self.settings.home_affinity_share) as u64)
     }
 
-    /// The answer for the engine that is taken, with where it gets parts from and where it sends them.
-    fn chosen(&self, score: &Score<'_>, weighing: &Weighing<'_>) -> Chosen {
-        let (request, candidate) = (weighing.request, score.candidate);
-        let fetch = self.fetch_source(weighing.held_on(candidate.weights), request, candidate, score.kept);
+    /// The result for the selected engine, with the sources and the sink of its parts.
+    fn chosen(&self, score: &Score<'_>, context: &ScoringContext<'_>) -> Chosen {
+        let (request, candidate) = (context.request, score.candidate);
+        let fetch =
+            self.fetch_source(context.prefixes_for(candidate.weights), request, candidate, score.cached_tokens);
         let fetched = fetch.as_ref().map_or(0, |fetch| fetch.tokens);
-        let sink = self.sink(request, candidate, score.kept + fetched, weighing.now);
+        let sink = self.sink(request, candidate, score.cached_tokens + fetched, context.now);
         Chosen {
             engine: candidate.engine.clone(),
             address: candidate.address.clone(),
             weights: candidate.weights,
             prefill_blocks: score.prefill_blocks,
             decode_blocks: score.decode_blocks,
-            prefill_tokens: request.prompt_tokens.saturating_sub(score.kept + fetched),
+            prefill_tokens: request.prompt_tokens.saturating_sub(score.cached_tokens + fetched),
             cost: score.cost,
             by_events: score.by_events,
-            is_queued: matches!(score.bearing, Bearing::Queued(_)),
+            is_queued: matches!(score.availability, Availability::Queued(_)),
             fetch,
             sink,
         }
     }
 
-    /// Tokens of prompts that the engine has yet to read before it comes to a new one.
-    fn unread_ahead(&self, known: &Known, others: &NodeLoad) -> u64 {
-        let unread = known.pending_prefill_tokens.saturating_add(others.pending_prefill_tokens);
-        (unread as f64 * self.settings.pending_prefill_share) as u64
+    /// Tokens that the engine has yet to prefill before it starts on a new prompt.
+    fn pending_prefill(&self, state: &SourceState, foreign_load: &NodeLoad) -> u64 {
+        let pending = state.pending_prefill_tokens.saturating_add(foreign_load.pending_prefill_tokens);
+        (pending as f64 * self.settings.pending_prefill_share) as u64
     }
 
-    /// What the other nodes run on an engine: by the engine's own count if it told one lately, or else by what
-    /// the other nodes tell.
-    fn others(&self, candidate: &Candidate, known: &Known, factor: f64, now: Instant) -> NodeLoad {
-        let estimated = self.peers.estimate(&candidate.engine, factor);
-        let Some(requests) = known.others(now) else { return estimated };
-        let waiting_tokens = self.told_unread(known, &candidate.service, now);
+    /// The load of other nodes on an engine: by the engine's own report if it is recent, or else by the peers'
+    /// reports.
+    fn foreign_load(&self, candidate: &Candidate, state: &SourceState, load_factor: f64, now: Instant) -> NodeLoad {
+        let estimated = self.peers.estimate(&candidate.engine, load_factor);
+        let Some(requests) = state.foreign_requests(now) else { return estimated };
+        let waiting_tokens = self.foreign_pending_prefill(state, &candidate.service, now);
         NodeLoad {
             requests,
             tokens: (requests as f64 * self.average_tokens) as u64,
@@ -251,29 +270,30 @@
         }
     }
 
-    /// Tokens that an engine has yet to read for others, as it told by the number of those that wait; since then
-    /// it has gone on reading.
-    fn told_unread(&self, known: &Known, service: &ServiceName, now: Instant) -> u64 {
-        let (others_waiting, age) = known.others_waiting(now);
-        let read_since = age.0 as f64 / 1e6 * self.tokens_per_ms(service);
-        (others_waiting as f64 * self.average_unread - read_since).max(0.0) as u64
+    /// Tokens that an engine has yet to prefill for other nodes, by the number of waiting requests that it reported,
+    /// less what it prefilled since then.
+    fn foreign_pending_prefill(&self, state: &SourceState, service: &ServiceName, now: Instant) -> u64 {
+        let (waiting, age) = state.foreign_waiting(now);
+        let prefilled_since = age.0 as f64 / 1e6 * self.tokens_per_ms(service);
+        (waiting as f64 * self.average_prefill_tokens - prefilled_since).max(0.0) as u64
     }
 
-    /// By how much the work that peers tell of is multiplied for that of all other nodes.
+    /// The factor that scales the load reported by peers to the load of all other nodes.
     pub fn unseen_load_factor(&self, candidates: &[Candidate]) -> f64 {
         self.peers.factor(self.node_count.saturating_sub(1), candidates.len() as u64)
     }
 
-    /// The order among equals, another on every node, so that nodes do not all choose alike.
-    pub(crate) fn spread(&self, request: &SelectionRequest, engine: &EngineName) -> u64 {
+    /// The order among engines of equal cost. It differs between nodes, so that they
+    /// don't all choose the same engine.
+    pub(crate) fn tie_break(&self, request: &SelectionRequest, engine: &EngineName) -> u64 {
         stable_hash(&[&request.tie_break_seed.to_le_bytes(), &self.node.0.to_le_bytes(), engine.as_str().as_bytes()])
     }
 }
 
-/// The engine at which all nodes expect a prompt's shared parts that nobody is known to keep yet: by a hash of
-/// the parts and the engine alone, so that nodes that do not know of each other agree.
-fn home(passing: &[Passing<'_>], request: &SelectionRequest) -> Option<EngineName> {
+/// The home engine, at which all nodes expect a prompt's shared parts that have no known cached copy yet. It is
+/// chosen by rendezvous hashing of the prefix and the engine, so that nodes agree without communication.
+fn home_engine(available: &[AvailableCandidate<'_>], request: &SelectionRequest) -> Option<EngineName> {
     let rank =
         |engine: &EngineName| stable_hash(&[&request.tie_break_seed.to_le_bytes(), engine.as_str().as_bytes()]);
-    passing.iter().map(|passing| &passing.candidate.engine).max_by_key(|engine| rank(engine)).cloned()
+    available.iter().map(|available| &available.candidate.engine).max_by_key(|engine| rank(engine)).cloned()
 }
--- a/crates/selection/src/lib.rs
+++ b/crates/selection/src/lib.rs
@@ -1,14 +1,15 @@
-//! A node's selection of an engine, as a pure machine without clock or sockets. It owns the index of kept
-//! prompt parts, the node's own history, the load derived from its own requests, and each engine's coarse,
-//! late count. The source's formula decides among the engines that pass; which engines are listed, on which
-//! weights and behind which wall is judged by the caller, who gives the candidates.
+//! Selects the engine for a request. It is a pure state machine without a clock or sockets. It owns the index of
+//! cached prompt parts, the history of parts that this node sent, the load of this node's own requests, and the
+//! coarse, delayed load that each engine reports. A cost function decides among the available engines. The
+//! caller supplies the candidates: it decides which engines are listed, run usable weights and belong to the
+//! tenant's isolation domain.
 
 pub mod prelude;
 
-mod bearing;
+mod availability;
 mod choice;
 mod fetch;
-mod known;
 mod peers;
 mod request;
 mod selector;
+mod source_state;
--- a/crates/selection/src/request.rs
+++ b/crates/selection/src/request.rs
@@ -1,8 +1,9 @@
-//! What a selection is given and what it answers.
+//! The input and the result of a selection.
 
 use crate::prelude::*;
 
-/// An engine that the caller allows: listed, of the right service, on usable weights, not drained.
+/// An engine that the caller permits: it is listed, belongs to the right service, runs usable weights and is not
+/// drained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     pub engine: EngineName,
@@ -10,41 +11,41 @@
     pub zone: Zone,
     pub service: ServiceName,
     pub slots: u64,
-    /// Memory shared by running requests and kept parts.
+    /// Memory shared by running requests and cached parts.
     pub cache_tokens: u64,
     pub weights: WeightsEdition,
 }
 
-/// A request to be placed.
+/// A request that needs an engine.
 #[derive(Clone, Debug)]
 pub struct SelectionRequest {
-    /// The prompt's parts and their sizes, named under the salt of each edition in use.
+    /// The prompt's parts and their sizes in tokens, named with the salt of each weights edition in use.
     pub parts_by_weights: BTreeMap<WeightsEdition, Vec<(PartName, u64)>>,
     pub prompt_tokens: u64,
-    /// The most it puts out.
+    /// The upper bound of the output.
     pub output_tokens: u64,
     /// Engines already tried for this request.
     pub tried: Vec<EngineName>,
-    /// 0 is the most urgent. It never lets a request past another engine's bounds; when refused, a less
-    /// urgent one is told a later time.
+    /// 0 is the most urgent. A higher urgency never lets a request exceed an engine's memory or slot bounds.
+    /// A less urgent request has a shorter queue bound and gets a longer retry delay when it is refused.
     pub priority: u64,
-    /// The time within which its answer should begin; none if that is zero.
+    /// The target for the time to the first token; zero means no target.
     pub target: Span,
     pub block_tokens: u64,
-    /// By which equal costs are spread: the same for requests that share a prefix.
+    /// Orders engines of equal cost; the same for requests that share a prefix.
     pub tie_break_seed: u64,
     /// Seeds the random sample of engines; differs for each request.
     pub sampling_seed: u64,
     /// Added to the cost of an engine in another zone than the node's.
     pub zone_penalty_blocks: f64,
-    /// Bytes moved for a token of a kept part.
+    /// Bytes transferred for each token of a cached part.
     pub token_bytes: u64,
-    /// The engines' links.
+    /// The bandwidth of the engines' links.
     pub link_mbps: f64,
 }
 
 impl SelectionRequest {
-    /// What the request takes of an engine's memory at most.
+    /// The upper bound of the request's use of an engine's memory, in tokens.
     pub fn tokens(&self) -> u64 {
         self.prompt_tokens.saturating_add(self.output_tokens)
     }
@@ -54,16 +55,17 @@
     }
 }
 
+/// The result of a selection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Selection {
     Chosen(Chosen),
-    /// No engine can take it now. The time is an estimate of when one may.
+    /// No engine can accept the request now; one is estimated to after the delay.
     Refused {
         retry_after: Span,
     },
 }
 
-/// The engine chosen, with all that went into its cost.
+/// The chosen engine and the inputs of its cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chosen {
     pub engine: EngineName,
@@ -71,14 +73,14 @@
     pub weights: WeightsEdition,
     pub prefill_blocks: BlockCount,
     pub decode_blocks: BlockCount,
-    /// What the engine has to read of the prompt itself: neither kept there nor fetched.
+    /// The tokens that the engine must prefill: neither cached there nor fetched.
     pub prefill_tokens: u64,
     pub cost: f64,
-    /// Whether the overlap came from events, or else from the node's own history.
+    /// Whether the cached tokens are known from the engine's events; otherwise from the parts that this node sent.
     pub by_events: bool,
-    /// The engine has no place free as far as is known, so the request will wait there.
+    /// No slot or memory is known to be free, so the request will wait at the engine.
     pub is_queued: bool,
     pub fetch: Option<FetchSource>,
-    /// The store that is to get the parts once they are read.
+    /// The store to which the engine sends the parts after prefill.
     pub sink: Option<String>,
 }
--- a/crates/selection/tests/overload.rs
+++ b/crates/selection/tests/overload.rs
@@ -1,5 +1,6 @@
-//! A pool of engines that a burst drives into overload. Callers leave when their answer does not begin, and come
-//! again; an engine reads on what nobody waits for any more. Service must be back soon after the burst.
+//! Guards against metastable overload of a pool of engines after a burst. Clients disconnect if their answer does
+//! not begin in time and retry, while the engine still prefills the abandoned prompt. Service must recover soon
+//! after the burst.
 
 use selection::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,29 +10,29 @@
 const TOKENS_PER_MS: f64 = 100.0;
 const PROMPT_TOKENS: u64 = 10_000;
 const TARGET: Span = Span::millis(500);
-const PATIENCE_MS: u64 = 2000;
-/// With each attempt read once, the usual load takes so much of what the engines read.
+const CLIENT_TIMEOUT_MS: u64 = 2000;
+/// The share of the engines' prefill capacity that the usual load takes if each prompt is prefilled once.
 const USUAL_LOAD: f64 = 0.75;
 const BURST_LOAD: f64 = 3.0;
 const BURST_MS: std::ops::Range<u64> = 5_000..9_000;
-const DAY_MS: u64 = 40_000;
+const DURATION_MS: u64 = 40_000;
 const SEEDS: u64 = 30;
 
 struct Attempt {
     sent_ms: u64,
-    is_again: bool,
-    left: bool,
+    is_retry: bool,
+    is_abandoned: bool,
     tokens_left: f64,
 }
 
 struct Pool {
     selector: Selector,
-    draw: Draw,
+    random: Draw,
     queues: Vec<VecDeque<Attempt>>,
-    /// Requests that come again, and when.
-    again: Vec<u64>,
-    /// By second: requests that began, and those whose answer began in time.
-    asked: Vec<u64>,
+    /// When pending retries are due, in milliseconds.
+    retries: Vec<u64>,
+    /// Per second: new requests, and requests whose answer began in time.
+    requested: Vec<u64>,
     in_time: Vec<u64>,
 }
 
@@ -51,13 +52,13 @@
             tokens_per_ms: Some(TOKENS_PER_MS),
             ..SelectionSettings::default()
         };
-        let seconds = (DAY_MS / 1000) as usize + 1;
+        let seconds = (DURATION_MS / 1000) as usize + 1;
         Pool {
             selector: Selector::with_settings(NodeId(1), "a".into(), settings),
-            draw: Draw::new(seed),
+            random: Draw::new(seed),
             queues: (0..ENGINES).map(|_| VecDeque::new()).collect(),
-            again: Vec::new(),
-            asked: vec![0; seconds],
+            retries: Vec::new(),
+            requested: vec![0; seconds],
             in_time: vec![0; seconds],
         }
     }
@@ -76,7 +77,7 @@
     }
 
     fn request(&mut self) -> SelectionRequest {
-        let own_part = PartName::of("s", &self.draw.number().to_string());
+        let own_part = PartName::of("s", &self.random.number().to_string());
         SelectionRequest {
             parts_by_weights: BTreeMap::from([(WeightsEdition(1), vec![(own_part, PROMPT_TOKENS)])]),
             prompt_tokens: PROMPT_TOKENS,
@@ -85,15 +86,15 @@
             priority: 0,
             target: TARGET,
             block_tokens: 16,
-            tie_break_seed: self.draw.number(),
-            sampling_seed: self.draw.number(),
+            tie_break_seed: self.random.number(),
+            sampling_seed: self.random.number(),
             zone_penalty_blocks: 0.0,
             token_bytes: 1,
             link_mbps: 1.0,
         }
     }
 
-    fn arrive(&mut self, now_ms: u64, is_again: bool) {
+    fn arrive(&mut self, now_ms: u64, is_retry: bool) {
         let request = self.request();
         match self.selector.select(&Pool::candidates(), &request, |_| 1.0, at(now_ms)) {
             Selection::Chosen(chosen) => {
@@ -101,43 +102,48 @@
                 self.selector.begin_prefill(&chosen.engine, PROMPT_TOKENS);
                 let number = (0..ENGINES).find(|number| engine(*number) == chosen.engine).unwrap();
                 let tokens_left = PROMPT_TOKENS as f64;
-                self.queues[number].push_back(Attempt { sent_ms: now_ms, is_again, left: false, tokens_left });
+                self.queues[number].push_back(Attempt {
+                    sent_ms: now_ms,
+                    is_retry,
+                    is_abandoned: false,
+                    tokens_left,
+                });
             }
-            Selection::Refused { retry_after } if !is_again => self.again.push(now_ms + retry_after.as_millis()),
+            Selection::Refused { retry_after } if !is_retry => self.retries.push(now_ms + retry_after.as_millis()),
             Selection::Refused { .. } => {}
         }
     }
 
-    /// Callers whose answer has not begun in time leave; their attempt counts no more, and they come once again.
-    fn lose_patience(&mut self, now_ms: u64) {
+    /// Clients whose answer has not begun in time abandon their attempt and retry once.
+    fn time_out(&mut self, now_ms: u64) {
         for (number, queue) in self.queues.iter_mut().enumerate() {
-            for attempt in queue.iter_mut().filter(|attempt| !attempt.left) {
-                if now_ms >= attempt.sent_ms + PATIENCE_MS {
-                    attempt.left = true;
+            for attempt in queue.iter_mut().filter(|attempt| !attempt.is_abandoned) {
+                if now_ms >= attempt.sent_ms + CLIENT_TIMEOUT_MS {
+                    attempt.is_abandoned = true;
                     self.selector.end_prefill(&engine(number), PROMPT_TOKENS);
                     self.selector.end(&engine(number), PROMPT_TOKENS);
-                    if !attempt.is_again {
-                        self.again.push(now_ms);
+                    if !attempt.is_retry {
+                        self.retries.push(now_ms);
                     }
                 }
             }
         }
     }
 
-    fn read(&mut self, now_ms: u64) {
+    fn prefill(&mut self, now_ms: u64) {
         for (number, queue) in self.queues.iter_mut().enumerate() {
             let mut tokens = TOKENS_PER_MS;
             while tokens > 0.0
                 && let Some(first) = queue.front_mut()
             {
-                let read = first.tokens_left.min(tokens);
-                first.tokens_left -= read;
-                tokens -= read;
+                let prefilled = first.tokens_left.min(tokens);
+                first.tokens_left -= prefilled;
+                tokens -= prefilled;
                 if first.tokens_left > 0.0 {
                     break;
                 }
                 let Some(done) = queue.pop_front() else { break };
-                if done.left {
+                if done.is_abandoned {
                     continue;
                 }
                 self.selector.end_prefill(&engine(number), PROMPT_TOKENS);
@@ -149,58 +155,58 @@
         }
     }
 
-    fn play(mut self) -> Pool {
+    fn run(mut self) -> Pool {
         let per_ms = ENGINES as f64 * TOKENS_PER_MS / PROMPT_TOKENS as f64;
-        for now_ms in 0..DAY_MS {
+        for now_ms in 0..DURATION_MS {
             let load = if BURST_MS.contains(&now_ms) { BURST_LOAD } else { USUAL_LOAD };
-            if self.draw.below(1_000_000) < (load * per_ms * 1e6) as u64 {
-                self.asked[(now_ms / 1000) as usize] += 1;
+            if self.random.below(1_000_000) < (load * per_ms * 1e6) as u64 {
+                self.requested[(now_ms / 1000) as usize] += 1;
                 self.arrive(now_ms, false);
             }
-            let due = self.again.extract_if(.., |due_ms| *due_ms <= now_ms).count();
+            let due = self.retries.extract_if(.., |due_ms| *due_ms <= now_ms).count();
             (0..due).for_each(|_| self.arrive(now_ms, true));
-            self.lose_patience(now_ms);
-            self.read(now_ms);
+            self.time_out(now_ms);
+            self.prefill(now_ms);
         }
         self
     }
 
-    /// Of the requests of some seconds, the share whose answer began in time.
+    /// The share of the requests in these seconds whose answer began in time.
     fn share_in_time(&self, seconds: std::ops::Range<usize>) -> f64 {
         let in_time: u64 = self.in_time[seconds.clone()].iter().sum();
-        let asked: u64 = self.asked[seconds].iter().sum();
-        in_time as f64 / asked.max(1) as f64
+        let requested: u64 = self.requested[seconds].iter().sum();
+        in_time as f64 / requested.max(1) as f64
     }
 }
 
 #[test]
-fn service_is_back_soon_after_a_burst() {
+fn service_recovers_soon_after_a_burst() {
     for seed in 0..SEEDS {
-        let pool = Pool::new(seed, true).play();
+        let pool = Pool::new(seed, true).run();
         let (before, after) = (pool.share_in_time(1..5), pool.share_in_time(11..40));
         assert!(before > 0.9, "seed {seed}: {before}");
-        assert!(after > 0.9, "seed {seed}: two seconds after the burst {after} are in time");
-        let last_second = pool.asked.len() - 2;
+        assert!(after > 0.9, "seed {seed}: from two seconds after the burst on, {after} are in time");
+        let last_second = pool.requested.len() - 2;
         let within = (9..last_second).find(|second| pool.share_in_time(*second..*second + 1) > 0.8);
-        assert!(within.is_some_and(|second| second <= 11), "seed {seed}: back only at {within:?}");
+        assert!(within.is_some_and(|second| second <= 11), "seed {seed}: recovered only at second {within:?}");
     }
 }
 
 #[test]
-fn without_the_bound_a_burst_ends_service_for_good() {
-    let lost = (0..SEEDS).filter(|seed| Pool::new(*seed, false).play().share_in_time(30..40) < 0.5).count();
-    assert!(lost as u64 > SEEDS / 2, "the pool of this test does not collapse: {lost} of {SEEDS}");
+fn without_the_wait_limit_a_burst_collapses_the_pool() {
+    let collapsed = (0..SEEDS).filter(|seed| Pool::new(*seed, false).run().share_in_time(30..40) < 0.5).count();
+    assert!(collapsed as u64 > SEEDS / 2, "the pool of this test does not collapse: {collapsed} of {SEEDS}");
 }
 
 #[test]
-fn the_less_urgent_are_turned_away_first_and_told_when_to_come_back() {
+fn less_urgent_requests_are_refused_first_with_a_retry_delay() {
     let mut pool = Pool::new(1, true);
     let candidates = Pool::candidates();
     let mut refused_at = BTreeMap::new();
     for queued in 0..400 {
         for priority in [0, 2, 9] {
-            let asked = SelectionRequest { priority, ..pool.request() };
-            if let Selection::Refused { retry_after } = pool.selector.select(&candidates, &asked, |_| 1.0, at(0)) {
+            let request = SelectionRequest { priority, ..pool.request() };
+            if let Selection::Refused { retry_after } = pool.selector.select(&candidates, &request, |_| 1.0, at(0)) {
                 assert!(retry_after > Span(0) && retry_after <= Span::seconds(2));
                 refused_at.entry(priority).or_insert(queued);
             }
@@ -209,6 +215,6 @@
     }
     let in_order: Vec<usize> = [9, 2, 0].map(|priority| refused_at[&priority]).into();
     assert!(in_order.is_sorted() && in_order.iter().collect::<BTreeSet<_>>().len() == 3, "{in_order:?}");
-    let patient = SelectionRequest { target: Span(0), ..pool.request() };
-    assert!(matches!(pool.selector.select(&candidates, &patient, |_| 1.0, at(0)), Selection::Chosen(_)));
+    let without_target = SelectionRequest { target: Span(0), ..pool.request() };
+    assert!(matches!(pool.selector.select(&candidates, &without_target, |_| 1.0, at(0)), Selection::Chosen(_)));
 }
--- a/crates/selection/tests/peers.rs
+++ b/crates/selection/tests/peers.rs
@@ -1,5 +1,5 @@
-//! What other nodes tell of their own work moves a node's choice: it is multiplied for those that are not heard,
-//! it is forgotten when it is old, and an engine's own count goes before it.
+//! A node's selection takes account of the loads that its peers report: reports are scaled up for nodes that don't
+//! report, they expire, and an engine's own load report takes precedence.
 
 use selection::prelude::*;
 use units::prelude::*;
@@ -60,39 +60,43 @@
     }
 }
 
-fn work(requests: u64, pending_prefill_tokens: u64) -> NodeLoad {
+fn load(requests: u64, pending_prefill_tokens: u64) -> NodeLoad {
     NodeLoad { requests, tokens: requests * 2000, pending_prefill_tokens }
 }
 
 #[test]
-fn an_engine_that_others_are_at_is_passed_over() {
+fn an_engine_that_peers_use_is_avoided() {
     for seed in 0..SEEDS {
         let mut selector = selector(3);
-        selector.record_peer_report(NodeId(2), vec![("e0".into(), work(1, 2000))], NOW);
-        selector.record_peer_report(NodeId(3), vec![("e0".into(), work(1, 0)), ("e1".into(), work(1, 2000))], NOW);
+        selector.record_peer_report(NodeId(2), vec![("e0".into(), load(1, 2000))], NOW);
+        selector.record_peer_report(NodeId(3), vec![("e0".into(), load(1, 0)), ("e1".into(), load(1, 2000))], NOW);
         assert_eq!(chosen(&selector, &candidates(3), seed), "e2", "seed {seed}");
     }
 }
 
 #[test]
-fn a_report_takes_the_place_of_the_one_before_and_an_older_one_counts_for_nothing() {
+fn a_report_replaces_the_earlier_one_and_an_older_one_is_ignored() {
     for seed in 0..SEEDS {
         let mut selector = selector(2);
-        selector.record_peer_report(NodeId(2), vec![("e0".into(), work(2, 9000))], NOW);
-        selector.record_peer_report(NodeId(2), vec![("e1".into(), work(2, 9000))], NOW);
+        selector.record_peer_report(NodeId(2), vec![("e0".into(), load(2, 9000))], NOW);
+        selector.record_peer_report(NodeId(2), vec![("e1".into(), load(2, 9000))], NOW);
         assert_eq!(chosen(&selector, &candidates(2), seed), "e0", "seed {seed}");
-        selector.record_peer_report(NodeId(2), vec![("e0".into(), work(2, 9000))], Instant(NOW.0 - 1));
+        selector.record_peer_report(NodeId(2), vec![("e0".into(), load(2, 9000))], Instant(NOW.0 - 1));
         assert_eq!(chosen(&selector, &candidates(2), seed), "e0", "seed {seed}");
         selector.record_peer_report(NodeId(2), Vec::new(), NOW);
         selector.begin(&"e0".into(), 1616);
-        assert_eq!(chosen(&selector, &candidates(2), seed), "e1", "seed {seed}: nothing is left of it");
+        assert_eq!(
+            chosen(&selector, &candidates(2), seed),
+            "e1",
+            "seed {seed}: nothing remains of the earlier report"
+        );
     }
 }
 
 #[test]
-fn what_was_told_too_long_ago_is_forgotten() {
+fn old_reports_expire() {
     let mut selector = selector(2);
-    selector.record_peer_report(NodeId(2), vec![("e0".into(), work(5, 9000))], NOW);
+    selector.record_peer_report(NodeId(2), vec![("e0".into(), load(5, 9000))], NOW);
     selector.expire_peer_reports(2, NOW + Span::millis(1400));
     assert_eq!(chosen(&selector, &candidates(2), 7), "e1");
     selector.begin(&"e1".into(), 1616);
@@ -101,20 +105,20 @@
 }
 
 #[test]
-fn an_engine_that_tells_its_load_is_counted_by_that() {
+fn an_engines_own_load_report_takes_precedence() {
     let mut selector = selector(2);
-    selector.record_peer_report(NodeId(2), vec![("e0".into(), work(1, 0))], NOW);
+    selector.record_peer_report(NodeId(2), vec![("e0".into(), load(1, 0))], NOW);
     selector.note_load(&"e0".into(), EngineLoad { running: 1, waiting: 0, slots: 64 }, NOW);
     selector.note_load(&"e1".into(), EngineLoad { running: 6, waiting: 0, slots: 64 }, NOW);
     assert_eq!(chosen(&selector, &candidates(2), 1), "e0");
 }
 
-/// Where few of many nodes are heard, an engine's load is estimated nearer to the truth than by what is seen
-/// alone, and than by the share of nodes that are heard.
+/// If few of many nodes report, the estimate of an engine's load is closer to the truth than the reported load alone,
+/// and than that load divided by the share of reporting nodes.
 #[test]
-fn the_load_of_nodes_that_are_not_heard_is_estimated() {
+fn the_load_of_nodes_that_do_not_report_is_estimated() {
     const NODES: u64 = 90;
-    const HEARD: u64 = 18;
+    const REPORTING: u64 = 18;
     const ENGINES: u64 = 60;
     let mut errors = [0.0_f64; 3];
     for seed in 0..SEEDS {
@@ -127,21 +131,21 @@
         let mut truth = vec![0_u64; ENGINES as usize];
         let mut seen = vec![0_u64; ENGINES as usize];
         for node in 2..=NODES {
-            let mut told = Vec::new();
+            let mut reported = Vec::new();
             for _ in 0..2 {
-                // Some engines have far more to do than others.
+                // Some engines have a far higher load than others.
                 let engine = (next(ENGINES) * next(ENGINES) / ENGINES) as usize;
                 truth[engine] += 1;
-                if node < HEARD + 2 {
+                if node < REPORTING + 2 {
                     seen[engine] += 1;
-                    told.push((EngineName(format!("e{engine}")), work(1, 0)));
+                    reported.push((EngineName(format!("e{engine}")), load(1, 0)));
                 }
             }
-            if node < HEARD + 2 {
+            if node < REPORTING + 2 {
                 let mut by_engine: std::collections::BTreeMap<EngineName, NodeLoad> = Default::default();
-                for (engine, one) in told {
+                for (engine, one) in reported {
                     let sum = by_engine.entry(engine).or_default();
-                    *sum = work(sum.requests + one.requests, 0);
+                    *sum = load(sum.requests + one.requests, 0);
                 }
                 selector.record_peer_report(NodeId(node), by_engine.into_iter().collect(), NOW);
             }
@@ -150,9 +154,9 @@
         let truth: Vec<f64> = truth.iter().map(|count| *count as f64).collect();
         let estimates = |factor: f64| -> Vec<f64> { seen.iter().map(|count| *count as f64 * factor).collect() };
         let factor = selector.unseen_load_factor(&candidates(ENGINES));
-        for (place, factor) in [factor, 1.0, (NODES - 1) as f64 / HEARD as f64].into_iter().enumerate() {
+        for (place, factor) in [factor, 1.0, (NODES - 1) as f64 / REPORTING as f64].into_iter().enumerate() {
             let estimated = estimates(factor);
-            // Only differences between engines matter to a choice.
+            // Only differences between engines matter to the selection.
             let shift = mean(&truth) - mean(&estimated);
             let squares = truth.iter().zip(&estimated).map(|(truth, found)| (truth - found - shift).powi(2));
             errors[place] += squares.sum::<f64>();
@@ -162,10 +166,10 @@
     assert!(estimated < as_seen && estimated < by_share, "{estimated} {as_seen} {by_share}");
 }
 
-/// With lots, many nodes that choose on the same news of a moment ago spread over the engines; without, all take
-/// the engine that was least loaded then.
+/// With sampling, many nodes that select by the same outdated load reports spread over the engines; without it, all
+/// of them take the engine that was least loaded.
 #[test]
-fn nodes_that_choose_on_the_same_old_news_do_not_pile_up() {
+fn nodes_with_the_same_outdated_reports_do_not_all_take_one_engine() {
     const NODES: u64 = 90;
     const ENGINES: u64 = 60;
     let most_at_one = |samples_per_engine: Option<f64>, seed: u64| {
@@ -185,14 +189,14 @@
         counts.values().max().copied().unwrap_or(0)
     };
     for seed in 0..20 {
-        let (all, drawn) = (most_at_one(None, seed), most_at_one(Some(2.0), seed));
-        assert!(drawn <= 16, "seed {seed}: {drawn} of {NODES} at one engine");
-        assert_eq!(all, NODES, "seed {seed}: without lots");
+        let (all, sampled) = (most_at_one(None, seed), most_at_one(Some(2.0), seed));
+        assert!(sampled <= 16, "seed {seed}: {sampled} of {NODES} at one engine");
+        assert_eq!(all, NODES, "seed {seed}: without sampling");
     }
 }
 
 #[test]
-fn a_node_that_is_alone_looks_at_all_engines() {
+fn a_single_node_considers_all_engines() {
     for seed in 0..SEEDS {
         let settings = SelectionSettings {
             samples_per_engine: Some(2.0),
