--- a/crates/estimates/src/lib.rs
+++ b/crates/estimates/src/lib.rs
@@ -1,6 +1,6 @@
-//! Quantities estimated from what a node observes, in place of constants that hold on one deployment alone.
-//! Each estimate is a small pure machine: it has a prior for as long as little was seen, follows what changes,
-//! stays within bounds, and drops observations that cannot be.
+//! Estimates of quantities from a node's observations, in place of constants that suit only one deployment. Each
+//! estimate is a small pure state machine: it starts with a prior, tracks changes, stays within bounds, and drops
+//! impossible observations.
 
 #![warn(missing_docs)]
 
--- a/crates/estimates/src/prefill_speed.rs
+++ b/crates/estimates/src/prefill_speed.rs
@@ -1,22 +1,23 @@
-//! How fast the engines of a service read prompts, learnt from the time to the first event of requests of which
-//! much had to be read.
+//! The prefill speed of a service's engines, estimated from the time to the first event of requests with a long
+//! prefill.
 
 use crate::prelude::*;
 
-/// Said until enough was seen: a guess of the right order for engines of any kind.
+/// Used until there are enough observations: the right order of magnitude for any kind of engine.
 const PRIOR_TOKENS_PER_MS: f64 = 50.0;
-/// So few observations are no ground for an estimate yet.
-const LEAST_SEEN: u64 = 8;
-/// What an engine does besides reading weighs too much in the time of shorter reads.
-const SHORTEST_READ_TOKENS: u64 = 2048;
-/// Requests that had to wait, or that found more kept than was known, lie to both sides of the engines' own
-/// speed; the former are many more.
+/// The prior is used until there are this many observations.
+const MIN_OBSERVATIONS: u64 = 8;
+/// For a shorter prefill, the engine's other work takes too large a share of the time.
+const MIN_PREFILL_TOKENS: u64 = 2048;
+/// Requests that waited in the queue appear slower than the engine's speed, and requests that found more cached
+/// tokens than known appear faster; the former are far more frequent.
 const UNDISTURBED_QUANTILE: f64 = 0.75;
-/// Beyond these no engine reads, whatever was observed.
-const SLOWEST_TOKENS_PER_MS: f64 = 0.5;
-const FASTEST_TOKENS_PER_MS: f64 = 5000.0;
+/// No engine is slower, whatever was observed.
+const MIN_TOKENS_PER_MS: f64 = 0.5;
+/// No engine is faster, whatever was observed.
+const MAX_TOKENS_PER_MS: f64 = 5000.0;
 
-/// An estimate of how fast prompts are read.
+/// An estimate of the prefill speed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefillSpeed {
     estimate: QuantileEstimate,
@@ -29,24 +30,24 @@
 }
 
 impl PrefillSpeed {
-    /// An engine had so many tokens to read, and its first event came after so long.
-    pub fn observe(&mut self, read_tokens: u64, waited: Span) {
-        if read_tokens < SHORTEST_READ_TOKENS {
+    /// Records that an engine prefilled these tokens and sent its first event after `waited`.
+    pub fn observe(&mut self, prefill_tokens: u64, waited: Span) {
+        if prefill_tokens < MIN_PREFILL_TOKENS {
             return;
         }
-        self.estimate.observe(read_tokens as f64 / (waited.0 as f64 / 1e6));
+        self.estimate.observe(prefill_tokens as f64 / (waited.0 as f64 / 1e6));
     }
 
-    /// Tokens read in a millisecond.
+    /// Tokens prefilled per millisecond.
     pub fn tokens_per_ms(&self) -> f64 {
-        if self.estimate.seen() < LEAST_SEEN {
+        if self.estimate.observations() < MIN_OBSERVATIONS {
             return PRIOR_TOKENS_PER_MS;
         }
-        self.estimate.value().clamp(SLOWEST_TOKENS_PER_MS, FASTEST_TOKENS_PER_MS)
+        self.estimate.value().clamp(MIN_TOKENS_PER_MS, MAX_TOKENS_PER_MS)
     }
 
-    /// How many reads it rests on.
-    pub fn seen(&self) -> u64 {
-        self.estimate.seen()
+    /// The number of observations that the estimate is based on.
+    pub fn observations(&self) -> u64 {
+        self.estimate.observations()
     }
 }
--- a/crates/estimates/src/prelude.rs
+++ b/crates/estimates/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of others for estimates.
+//! The prelude: everything that the modules of this crate and its users import.
 
 pub use crate::prefill_speed::*;
 pub use crate::quantile::*;
--- a/crates/estimates/tests/estimates.rs
+++ b/crates/estimates/tests/estimates.rs
@@ -1,44 +1,44 @@
-//! Estimates find what is there, follow what changes, and drop what cannot be.
+//! Estimates converge on the observed quantity, track its changes, and drop impossible observations.
 
 use estimates::prelude::*;
 use units::prelude::*;
 
 const SEEDS: u64 = 50;
-const READS: usize = 400;
+const OBSERVATIONS: usize = 400;
 
-/// A small generator of numbers between 0 and 1; the same for the same seed.
-struct Draws(u64);
+/// A small pseudorandom generator of numbers between 0 and 1; deterministic for each seed.
+struct Generator(u64);
 
-impl Draws {
+impl Generator {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// The time to the first event of a read on an engine that reads so fast; a third of the requests wait first.
-fn waited(draws: &mut Draws, tokens: u64, tokens_per_ms: f64) -> Span {
-    let reading_ms = tokens as f64 / tokens_per_ms;
-    let queue_ms = if draws.next() < 0.33 { reading_ms * draws.next() * 2.0 } else { 0.0 };
-    Span((((reading_ms + queue_ms) * (1.0 + 0.1 * draws.next()) + 2.0) * 1e6) as u64)
+/// The time to the first event on an engine of this speed; a third of the requests wait in the queue first.
+fn waited(random: &mut Generator, tokens: u64, tokens_per_ms: f64) -> Span {
+    let prefill_ms = tokens as f64 / tokens_per_ms;
+    let queue_ms = if random.next() < 0.33 { prefill_ms * random.next() * 2.0 } else { 0.0 };
+    Span((((prefill_ms + queue_ms) * (1.0 + 0.1 * random.next()) + 2.0) * 1e6) as u64)
 }
 
-fn observe_reads(speed: &mut PrefillSpeed, draws: &mut Draws, tokens_per_ms: f64) {
-    for _ in 0..READS {
-        let tokens = 2048 + (draws.next() * 20_000.0) as u64;
-        speed.observe(tokens, waited(draws, tokens, tokens_per_ms));
+fn observe_prefills(speed: &mut PrefillSpeed, random: &mut Generator, tokens_per_ms: f64) {
+    for _ in 0..OBSERVATIONS {
+        let tokens = 2048 + (random.next() * 20_000.0) as u64;
+        speed.observe(tokens, waited(random, tokens, tokens_per_ms));
     }
 }
 
 #[test]
-fn a_reading_speed_is_found_whatever_it_is_and_followed_when_it_changes() {
+fn any_prefill_speed_is_estimated_and_its_changes_are_tracked() {
     for seed in 0..SEEDS {
-        let mut draws = Draws(seed);
+        let mut random = Generator(seed);
         let mut speed = PrefillSpeed::default();
-        let first = 5.0 * 100.0_f64.powf(draws.next());
-        let second = 5.0 * 100.0_f64.powf(draws.next());
+        let first = 5.0 * 100.0_f64.powf(random.next());
+        let second = 5.0 * 100.0_f64.powf(random.next());
         for truth in [first, second] {
-            observe_reads(&mut speed, &mut draws, truth);
+            observe_prefills(&mut speed, &mut random, truth);
             let found = speed.tokens_per_ms();
             assert!((0.6..1.3).contains(&(found / truth)), "seed {seed}: {found} for {truth}");
         }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_reading_speed_says_its_prior_until_enough_was_seen() {
+fn a_prefill_speed_equals_its_prior_until_there_are_enough_observations() {
     let mut speed = PrefillSpeed::default();
     let prior = speed.tokens_per_ms();
     for _ in 0..7 {
@@ -56,30 +56,30 @@
     for _ in 0..100 {
         speed.observe(100, Span::millis(1));
     }
-    assert_eq!(speed.seen(), 7, "short reads tell nothing");
+    assert_eq!(speed.observations(), 7, "a short prefill is no observation");
 }
 
 #[test]
-fn absurd_observations_are_dropped_and_counted() {
+fn impossible_observations_are_dropped_and_counted() {
     let mut estimate = QuantileEstimate::new(0.5, 7.0);
-    for absurd in [0.0, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        estimate.observe(absurd);
+    for impossible in [0.0, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
+        estimate.observe(impossible);
     }
-    assert_eq!((estimate.value(), estimate.seen(), estimate.dropped()), (7.0, 0, 5));
+    assert_eq!((estimate.value(), estimate.observations(), estimate.dropped()), (7.0, 0, 5));
     let mut speed = PrefillSpeed::default();
     for _ in 0..100 {
         speed.observe(u64::MAX, Span(0));
         speed.observe(4096, Span(0));
     }
-    assert_eq!(speed.seen(), 0, "no time at all is no observation");
+    assert_eq!(speed.observations(), 0, "a duration of zero is no observation");
     for _ in 0..100 {
         speed.observe(u64::MAX, Span(1));
     }
-    assert!(speed.tokens_per_ms() <= 5000.0, "a speed that no engine has is bounded");
+    assert!(speed.tokens_per_ms() <= 5000.0, "an impossible speed is clamped");
 }
 
 #[test]
-fn one_wild_observation_moves_an_estimate_little() {
+fn a_single_outlier_moves_an_estimate_little() {
     let mut estimate = QuantileEstimate::new(0.5, 1.0);
     for number in 0..1000 {
         estimate.observe(if number % 2 == 0 { 90.0 } else { 110.0 });
@@ -91,11 +91,11 @@
 }
 
 #[test]
-fn an_estimate_stays_positive_and_finite_whatever_comes() {
-    arbtest::arbtest(|draws| {
-        let mut estimate = QuantileEstimate::new(f64::from(draws.arbitrary::<u8>()?) / 255.0, 1.0);
+fn an_estimate_stays_positive_and_finite_for_any_observations() {
+    arbtest::arbtest(|source| {
+        let mut estimate = QuantileEstimate::new(f64::from(source.arbitrary::<u8>()?) / 255.0, 1.0);
         for _ in 0..200 {
-            estimate.observe(draws.arbitrary()?);
+            estimate.observe(source.arbitrary()?);
             assert!(estimate.value() > 0.0 && estimate.value().is_finite());
         }
         Ok(())
--- a/crates/parts/src/lib.rs
+++ b/crates/parts/src/lib.rs
@@ -1,6 +1,6 @@
-//! Kept prompt parts: how a part is named, how a source's numbered events are followed, which source keeps
-//! how much of which part, and a node's own record of what it sent where. A name covers its salt, so a part
-//! made under other weights or behind another wall has another name.
+//! Cached prompt parts: their names, the numbered events of the sources that cache them, the index of cached tokens
+//! by source, and a node's record of the parts that it sent. A name includes a salt, so a part of other weights or
+//! of another isolation domain has another name.
 
 pub mod prelude;
 
--- a/crates/parts/src/prelude.rs
+++ b/crates/parts/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files.
+//! The prelude: everything that the modules of this crate and its users import.
 
 pub use crate::events::*;
 pub use crate::index::*;
--- a/crates/parts/tests/parts.rs
+++ b/crates/parts/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Names, following, overlap and history of prompt parts.
+//! Names, events, cached prefixes and sent records of prompt parts.
 
 use parts::prelude::*;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_name_is_stable_and_covers_salt_and_id_apart() {
+fn a_name_is_stable_and_depends_on_salt_and_id() {
     assert_eq!(PartName::of("s1", "5c1e07a2"), PartName::of("s1", "5c1e07a2"));
     assert_ne!(PartName::of("s1", "5c1e07a2"), PartName::of("s2", "5c1e07a2"));
     assert_ne!(PartName::of("ab", "c"), PartName::of("a", "bc"));
@@ -21,26 +21,26 @@
 }
 
 #[test]
-fn overlap_is_the_leading_whole_parts_and_what_is_kept_of_the_next() {
+fn the_cached_prefix_is_the_leading_whole_parts_and_the_cached_tokens_of_the_next() {
     let prompt = [(name(1), 800), (name(2), 410), (name(3), 250)];
     let mut index = PartIndex::default();
     index.replace_all(1, &[(name(1), 800), (name(2), 410), (name(3), 250)]);
     assert_eq!(index.kept_tokens(1, &prompt), 1460);
     index.apply(1, &PartEvent { number: 7, kept: false, name: name(2), tokens: 128 });
-    assert_eq!(index.kept_tokens(1, &prompt), 928, "the third part is behind one that is not whole");
+    assert_eq!(index.kept_tokens(1, &prompt), 928, "the third part follows an incomplete one");
     assert_eq!((index.part_count(1), index.token_count(1)), (3, 1178));
     index.apply(1, &PartEvent { number: 8, kept: false, name: name(1), tokens: 0 });
     assert_eq!(index.kept_tokens(1, &prompt), 0);
     assert_eq!((index.part_count(1), index.token_count(1)), (2, 378));
     index.apply(1, &PartEvent { number: 9, kept: true, name: name(1), tokens: 5000 });
-    assert_eq!(index.kept_tokens(1, &prompt), 928, "no more than the part's size counts");
+    assert_eq!(index.kept_tokens(1, &prompt), 928, "at most the part's size counts");
     assert_eq!(index.kept_tokens(2, &prompt), 0, "another source");
     index.drop_source(1);
     assert_eq!((index.kept_tokens(1, &prompt), index.source_count(), index.entry_count()), (0, 0, 0));
 }
 
 #[test]
-fn a_source_is_followed_until_another_epoch_or_a_loss() {
+fn a_source_is_followed_until_the_epoch_changes_or_events_are_lost() {
     let mut index = PartIndex::default();
     let mut position = SourcePosition { epoch: 77120, next: 118 };
     index.replace_all(1, &[(name(1), 10)]);
@@ -49,9 +49,13 @@
     assert_eq!((position.next, index.tokens_of(1, name(1)), index.tokens_of(1, name(2))), (120, 0, 20));
 
     let later = PartBatch { next: 123, events: vec![event(120, 1, 99), event(123, 1, 30)], ..batch.clone() };
-    assert_eq!(index.follow(1, &mut position, &later), FollowOutcome::Followed, "a number left out is no loss");
-    assert_eq!(index.tokens_of(1, name(1)), 30, "a known number is passed over");
-    assert_eq!(index.follow(1, &mut position, &batch), FollowOutcome::Followed, "overtaken and harmless");
+    assert_eq!(index.follow(1, &mut position, &later), FollowOutcome::Followed, "a gap in the numbers is no loss");
+    assert_eq!(index.tokens_of(1, name(1)), 30, "a known event is skipped");
+    assert_eq!(
+        index.follow(1, &mut position, &batch),
+        FollowOutcome::Followed,
+        "a batch that arrives late is harmless"
+    );
     assert_eq!((position.next, index.tokens_of(1, name(1))), (123, 30));
 
     let lost = PartBatch { next: 900, lost: true, ..later.clone() };
@@ -64,7 +68,7 @@
 }
 
 #[test]
-fn history_is_bounded_and_first_in_first_out() {
+fn the_sent_record_is_limited_and_first_in_first_out() {
     let mut sent = SentParts::new(3);
     let prompt = [(name(1), 100), (name(2), 50)];
     sent.record(1, &prompt);
@@ -73,12 +77,12 @@
     assert_eq!(sent.kept_tokens(2, &prompt), 0);
     sent.record(1, &[(name(1), 100), (name(3), 9), (name(4), 9)]);
     assert_eq!(sent.part_count(1), 3);
-    assert_eq!(sent.kept_tokens(1, &prompt), 0, "the first in went first");
+    assert_eq!(sent.kept_tokens(1, &prompt), 0, "the oldest part was removed");
     sent.drop_source(1);
     assert_eq!(sent.part_count(1), 0);
 }
 
-/// The index against a plain map, over any sequence of changes.
+/// Compares the index with a plain map over arbitrary sequences of changes.
 #[test]
 fn the_index_agrees_with_a_plain_map() {
     let changes = std::cell::Cell::new(0);
