--- a/crates/selection/tests/selection.rs
+++ b/crates/selection/tests/selection.rs
@@ -1,4 +1,4 @@
-//! The selection of an engine as a whole.
+//! The selection of an engine, from cached parts, loads, faults, fetches and stores.
 
 use selection::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn toy_case_of_the_paper() {
+fn the_papers_example_holds() {
     let mut selector = selector();
     for (engine, kept, busy_blocks) in
         [("busy", &[("p", 800), ("q", 640)][..], 300), ("middle", &[("p", 800)][..], 170), ("idle", &[][..], 40)]
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_weight_follows_the_band_and_another_zone_costs_its_penalty() {
+fn the_weight_depends_on_the_band_and_another_zone_costs_a_penalty() {
     let mut selector = selector();
     keep(&mut selector, "keeper", &[("p", 1600)]);
     keep(&mut selector, "other", &[]);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn others_requests_are_counted_by_the_coarse_load_while_it_is_fresh() {
+fn requests_of_other_nodes_are_counted_by_a_recent_load_report() {
     let mut selector = selector();
     let engine: EngineName = "e".into();
     let load = EngineLoad { running: 3, waiting: 1, slots: 8 };
@@ -125,12 +125,16 @@
     let asked = request(&[("p", 160)]);
     assert_eq!(pick(&selector, &listed, &asked, NOW).decode_blocks, BlockCount(32 + 3 * 32));
     selector.end(&engine, 512);
-    assert_eq!(pick(&selector, &listed, &asked, NOW).decode_blocks, BlockCount(3 * 32), "others stay as counted");
+    assert_eq!(
+        pick(&selector, &listed, &asked, NOW).decode_blocks,
+        BlockCount(3 * 32),
+        "the count of other nodes' requests stays"
+    );
     assert_eq!(pick(&selector, &listed, &asked, NOW + LATER).decode_blocks, BlockCount(0));
 }
 
 #[test]
-fn late_events_fall_back_to_history() {
+fn late_events_fall_back_to_the_sent_record() {
     let mut selector = selector();
     let engine: EngineName = "e".into();
     let listed = candidates(&["e"]);
@@ -144,14 +148,14 @@
     let picked = pick(&selector, &listed, &asked, NOW);
     assert_eq!((picked.by_events, picked.prefill_blocks), (true, BlockCount(100)));
     let picked = pick(&selector, &listed, &asked, NOW + LATER);
-    assert_eq!((picked.by_events, picked.prefill_blocks), (false, BlockCount(50)), "nothing heard");
+    assert_eq!((picked.by_events, picked.prefill_blocks), (false, BlockCount(50)), "no events received");
 
     selector.note_sent(&engine, &parts, NOW);
     let mut batch = PartBatch { epoch: 1, next: 10, lost: false, events: Vec::new() };
     assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Followed);
-    assert!(!pick(&selector, &listed, &asked, NOW + LATER).by_events, "heard, but not of what was sent");
-    let told = |number, place: usize| PartEvent { number, kept: true, name: parts[place].0, tokens: 800 };
-    (batch.next, batch.events) = (12, vec![told(11, 0), told(12, 1)]);
+    assert!(!pick(&selector, &listed, &asked, NOW + LATER).by_events, "events received, but none for the sent parts");
+    let stored = |number, part: usize| PartEvent { number, kept: true, name: parts[part].0, tokens: 800 };
+    (batch.next, batch.events) = (12, vec![stored(11, 0), stored(12, 1)]);
     assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Followed);
     let picked = pick(&selector, &listed, &asked, NOW + LATER);
     assert_eq!((picked.by_events, picked.prefill_blocks), (true, BlockCount(0)));
@@ -161,15 +165,19 @@
     assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Lost);
     assert_eq!((selector.position(&engine), selector.part_count()), (None, 0));
     let picked = pick(&selector, &listed, &asked, NOW + LATER);
-    assert_eq!((picked.by_events, picked.prefill_blocks), (false, BlockCount(0)), "history stays after a gap");
+    assert_eq!(
+        (picked.by_events, picked.prefill_blocks),
+        (false, BlockCount(0)),
+        "the sent record stays after a gap"
+    );
     keep(&mut selector, "e", &[("p", 800)]);
     batch = PartBatch { epoch: 2, ..batch };
     assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Lost);
-    assert_eq!(pick(&selector, &listed, &asked, NOW + LATER).prefill_blocks, BlockCount(100), "it started anew");
+    assert_eq!(pick(&selector, &listed, &asked, NOW + LATER).prefill_blocks, BlockCount(100), "the engine restarted");
 }
 
 #[test]
-fn an_event_that_never_comes_does_not_make_later_ones_late() {
+fn an_event_that_never_arrives_does_not_make_later_ones_late() {
     let mut selector = selector();
     let engine: EngineName = "e".into();
     keep(&mut selector, "e", &[]);
@@ -186,7 +194,7 @@
 }
 
 #[test]
-fn full_engines_are_passed_over_and_refused_only_when_none_is_free() {
+fn full_engines_are_skipped_and_requests_refused_only_if_none_is_free() {
     let mut selector = selector();
     let (full, free): (EngineName, EngineName) = ("full".into(), "free".into());
     keep(&mut selector, "full", &[("p", 1600)]);
@@ -196,7 +204,7 @@
     let listed = candidates(&["full", "free"]);
     let asked = request(&[("p", 1600)]);
     let picked = chosen(selector.select(&listed, &asked, |_| 1000.0, NOW));
-    assert_eq!((picked.engine, picked.is_queued), (free.clone(), false), "whatever it keeps");
+    assert_eq!((picked.engine, picked.is_queued), (free.clone(), false), "regardless of cached parts");
     for _ in 0..9 {
         selector.begin(&free, 1);
     }
@@ -207,22 +215,23 @@
         selector.begin(&free, 1);
     }
     let urgent = refusal(selector.select(&listed, &asked, |_| 1.0, NOW));
-    let patient = refusal(selector.select(&listed, &SelectionRequest { priority: 4, ..asked.clone() }, |_| 1.0, NOW));
-    assert!(Span(0) < urgent && urgent < patient && patient <= Span::seconds(2));
+    let less_urgent =
+        refusal(selector.select(&listed, &SelectionRequest { priority: 4, ..asked.clone() }, |_| 1.0, NOW));
+    assert!(Span(0) < urgent && urgent < less_urgent && less_urgent <= Span::seconds(2));
     for _ in 0..6 {
         selector.end(&free, 1);
     }
-    assert_eq!(pick(&selector, &listed, &asked, NOW).engine, free, "a place came free");
+    assert_eq!(pick(&selector, &listed, &asked, NOW).engine, free, "a slot became free");
 }
 
 #[test]
-fn the_load_of_others_fills_an_engine_and_so_does_its_memory() {
+fn the_load_of_other_nodes_and_memory_use_fill_an_engine() {
     let mut selector = selector();
     let listed = candidates(&["told", "free"]);
     let asked = request(&[("p", 1600)]);
     selector.note_load(&"told".into(), EngineLoad { running: 8, waiting: 0, slots: 8 }, NOW);
     selector.begin(&"free".into(), 80_000);
-    assert_eq!(pick(&selector, &listed, &asked, NOW).engine, "free".into(), "a place beats any cost");
+    assert_eq!(pick(&selector, &listed, &asked, NOW).engine, "free".into(), "a free slot precedes any cost");
     selector.begin(&"free".into(), 9_000);
     assert_eq!(pick(&selector, &listed, &asked, NOW).engine, "told".into(), "89000 and 1680 are over 90 %");
     let mut small = listed.clone();
@@ -234,37 +243,37 @@
 }
 
 #[test]
-fn faults_rest_an_engine_for_longer_each_time_until_it_answers() {
+fn consecutive_faults_lengthen_the_backoff_until_the_engine_answers() {
     let mut selector = selector();
     let engine: EngineName = "e".into();
     let listed = candidates(&["e", "other"]);
     let asked = request(&[("p", 160)]);
     selector.begin(&"other".into(), 50_000);
-    let rest_after = |selector: &Selector, from: Instant| {
+    let backoff_steps = |selector: &Selector, from: Instant| {
         (0..40).find(|step| pick(selector, &listed, &asked, from + Span::millis(step * 100)).engine == "e".into())
     };
     let mut now = NOW;
     for steps in [3, 6, 12, 20, 20] {
         selector.note_fault(&engine, FaultKind::Broken, now);
         selector.note_fault(&engine, FaultKind::Refused, now + Span::millis(50));
-        assert_eq!(rest_after(&selector, now), Some(steps));
+        assert_eq!(backoff_steps(&selector, now), Some(steps));
         now = now + LATER;
     }
     selector.note_success(&engine, now);
     selector.note_fault(&engine, FaultKind::Refused, now);
-    assert_eq!(rest_after(&selector, now), Some(3));
+    assert_eq!(backoff_steps(&selector, now), Some(3));
     selector.note_success(&engine, now);
     now = now + LATER;
     selector.note_fault(&engine, FaultKind::Unreachable, now);
-    assert_eq!(rest_after(&selector, now), Some(6));
+    assert_eq!(backoff_steps(&selector, now), Some(6));
     selector.note_success(&engine, now);
     selector.note_fault(&"other".into(), FaultKind::Broken, now);
-    assert_eq!(pick(&selector, &listed, &asked, now).engine, "other".into(), "all rest: the first to end");
-    assert_eq!(pick(&selector, &listed[..1], &asked, now).engine, "e".into(), "nothing else");
+    assert_eq!(pick(&selector, &listed, &asked, now).engine, "other".into(), "all back off: the one that ends first");
+    assert_eq!(pick(&selector, &listed[..1], &asked, now).engine, "e".into(), "no other engine");
 }
 
 #[test]
-fn an_engine_that_said_it_is_full_is_passed_over_for_a_moment() {
+fn an_engine_that_reported_itself_full_is_skipped_for_a_short_time() {
     let mut selector = selector();
     let listed = candidates(&["e", "other"]);
     let asked = request(&[("p", 160)]);
@@ -278,7 +287,7 @@
 }
 
 #[test]
-fn ties_are_spread_over_nodes_and_prefixes_and_are_steady() {
+fn ties_are_spread_over_nodes_and_prefixes_and_are_deterministic() {
     let listed = candidates(&["e0", "e1", "e2", "e3"]);
     let mut asked = request(&[("p", 160)]);
     let mut picks: BTreeMap<EngineName, usize> = BTreeMap::new();
@@ -299,7 +308,7 @@
     assert_eq!(by_prefix.len(), 4);
 }
 
-/// "near" is idle; "keeper" keeps the most and is far too busy.
+/// "near" is idle; "keeper" caches the most parts and is overloaded.
 fn fetching() -> (Selector, Vec<Candidate>) {
     let settings = SelectionSettings { tokens_per_ms: Some(112.0), ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
@@ -310,7 +319,7 @@
 }
 
 #[test]
-fn parts_are_fetched_from_the_peer_that_keeps_the_most_more() {
+fn parts_are_fetched_from_the_peer_that_caches_the_most_additional_tokens() {
     let (mut selector, mut listed) = fetching();
     let asked = request(&[("p", 4000), ("q", 1000), ("r", 200)]);
     let from = |source: &str, address: &str, tokens| {
@@ -323,7 +332,7 @@
     };
     assert_eq!(fetch(&selector, &listed, &asked), from("keeper", "keeper:1", 5000));
     keep(&mut selector, "near", &[("p", 1000)]);
-    assert_eq!(fetch(&selector, &listed, &asked), from("keeper", "keeper:1", 4000), "only what is more");
+    assert_eq!(fetch(&selector, &listed, &asked), from("keeper", "keeper:1", 4000), "only the additional tokens");
     let tried = SelectionRequest { tried: vec!["keeper".into()], ..asked.clone() };
     assert_eq!(fetch(&selector, &listed, &tried), None);
     assert_eq!(fetch(&selector, &listed[..1], &asked), None, "not listed");
@@ -331,11 +340,11 @@
     assert_eq!(fetch(&selector, &listed, &asked), None, "other weights");
     listed[1].weights = WeightsEdition(1);
     selector.note_fault(&"keeper".into(), FaultKind::Unreachable, NOW);
-    assert_eq!(fetch(&selector, &listed, &asked), None, "a dead source costs more than it gives");
+    assert_eq!(fetch(&selector, &listed, &asked), None, "an unreachable source would cost more than it saves");
 }
 
 #[test]
-fn a_fetch_must_gain_enough_and_be_quick() {
+fn a_fetch_must_gain_enough_tokens_and_be_fast() {
     let (mut selector, mut listed) = fetching();
     let asked = request(&[("p", 4000), ("q", 1000), ("r", 200)]);
     let fetches = |selector: &Selector, listed: &[Candidate], asked: &SelectionRequest| {
@@ -343,11 +352,11 @@
     };
     keep(&mut selector, "near", &[("p", 4000)]);
     assert!(!fetches(&selector, &listed, &asked));
-    for (kept, is_worth) in [(2952, false), (2951, true)] {
+    for (kept, is_worthwhile) in [(2952, false), (2951, true)] {
         keep(&mut selector, "near", &[("p", kept)]);
-        assert_eq!(fetches(&selector, &listed, &asked), is_worth, "{kept} kept");
+        assert_eq!(fetches(&selector, &listed, &asked), is_worthwhile, "{kept} cached");
     }
-    // 5000 tokens are read in 44.6 ms, so 20.3 ms are left for the bytes: 737 Mbit at 36300 Mbit/s.
+    // Prefill of 5000 tokens takes 44.6 ms, which leaves 20.3 ms for the transfer: 737 Mbit at 36300 Mbit/s.
     keep(&mut selector, "near", &[]);
     let over_link = |link_mbps| SelectionRequest { link_mbps, ..asked.clone() };
     assert!(fetches(&selector, &listed, &over_link(37_000.0)));
@@ -380,7 +389,7 @@
 }
 
 #[test]
-fn engines_not_named_are_forgotten_but_not_their_running_requests() {
+fn engines_that_are_not_retained_are_removed_but_not_their_running_requests() {
     let mut selector = selector();
     let (gone, idle): (EngineName, EngineName) = ("gone".into(), "idle".into());
     keep(&mut selector, "gone", &[("p", 160)]);
@@ -395,12 +404,12 @@
     assert_eq!(selector.in_flight(&gone), (0, 0));
 }
 
-/// Whatever is known, the engine chosen is a candidate, not tried and of fitting size; nobody is refused
-/// while an engine is idle; and the requests begun and ended come to nothing.
+/// In any state, the chosen engine is a candidate, not tried before and large enough; no request is refused while an
+/// engine is idle; and the counts of requests return to zero after all requests ended.
 #[test]
-fn a_chosen_engine_passes_whatever_is_known() {
+fn a_chosen_engine_is_eligible_in_any_state() {
     let (chosen_count, refused_count) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
-    let is_done = std::cell::Cell::new(0);
+    let run_count = std::cell::Cell::new(0);
     for seed in 0..400_u64 {
         arbtest::arbtest(|source| {
             let mut selector = selector();
@@ -412,8 +421,8 @@
                 candidate.zone = (*source.choose(&["a", "b"])?).into();
             }
             let mut running: Vec<(EngineName, u64)> = Vec::new();
-            // Engines that told of a load or that they are full.
-            let mut told: BTreeSet<EngineName> = BTreeSet::new();
+            // Engines that reported a load or that they are full.
+            let mut reporting: BTreeSet<EngineName> = BTreeSet::new();
             let mut now = NOW;
             for _ in 0..40 {
                 let engine = EngineName(format!("e{}", source.int_in_range(0..=6)?));
@@ -423,7 +432,7 @@
                     0 => selector.note_fault(&engine, FaultKind::Broken, now),
                     1 => {
                         selector.note_full(&engine, now);
-                        told.insert(engine);
+                        reporting.insert(engine);
                     }
                     2 => selector.note_success(&engine, now),
                     3 => selector.note_sent(&engine, &parts, now),
@@ -432,7 +441,7 @@
                         let numbers = [source.int_in_range(0..=2)?, source.int_in_range(0..=u64::MAX)?];
                         let load = EngineLoad { running: numbers[0], waiting: numbers[1] % 3, slots: numbers[1] % 5 };
                         selector.note_load(&engine, load, now);
-                        told.insert(engine);
+                        reporting.insert(engine);
                     }
                     6 => {
                         let number = source.int_in_range(0..=50)?;
@@ -470,7 +479,7 @@
                                 assert!(listed.iter().all(|candidate| {
                                     asked.tried.contains(&candidate.engine)
                                         || asked.prompt_tokens > candidate.cache_tokens
-                                        || told.contains(&candidate.engine)
+                                        || reporting.contains(&candidate.engine)
                                         || selector.in_flight(&candidate.engine).0 > 0
                                 }));
                                 refused_count.set(refused_count.get() + 1);
@@ -485,18 +494,18 @@
             for engine in 0..=6 {
                 assert_eq!(selector.in_flight(&EngineName(format!("e{engine}"))), (0, 0));
             }
-            is_done.set(is_done.get() + 1);
+            run_count.set(run_count.get() + 1);
             Ok(())
         })
         .seed(seed << 32 | 2000)
         .run();
     }
-    let counts = (chosen_count.get(), refused_count.get(), is_done.get());
+    let counts = (chosen_count.get(), refused_count.get(), run_count.get());
     assert!(counts.0 > 1000 && counts.1 > 500 && counts.2 >= 300, "{counts:?}");
 }
 
 #[test]
-fn an_engine_that_fails_is_used_less_until_it_succeeds_or_time_has_passed() {
+fn a_failing_engine_is_used_less_until_it_succeeds_or_its_failures_decay() {
     let settings = SelectionSettings { recent_failure_cost: 100.0, ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
     let (failing, other): (EngineName, EngineName) = ("failing".into(), "other".into());
@@ -506,36 +515,36 @@
     let picked = |selector: &Selector, now| pick(selector, &listed, &asked, now).engine;
     assert_eq!(picked(&selector, NOW), failing, "it has the lower load");
     selector.note_fault(&failing, FaultKind::Failed, NOW);
-    assert_eq!(picked(&selector, NOW), failing, "one failure does not outweigh the load, and it does not rest");
+    assert_eq!(picked(&selector, NOW), failing, "one failure does not outweigh the load, and there is no backoff");
     selector.note_fault(&failing, FaultKind::Failed, NOW);
     assert_eq!(picked(&selector, NOW), other);
-    assert_eq!(picked(&selector, NOW + Span::seconds(8)), failing, "failures fade");
+    assert_eq!(picked(&selector, NOW + Span::seconds(8)), failing, "failures decay");
     for _ in 0..4 {
         selector.note_success(&failing, NOW);
     }
-    assert_eq!(picked(&selector, NOW), failing, "successes make up for them");
+    assert_eq!(picked(&selector, NOW), failing, "successes compensate for failures");
 }
 
 #[test]
-fn a_long_queue_gets_no_more_and_the_less_urgent_are_turned_away_first() {
+fn a_long_queue_refuses_requests_and_less_urgent_ones_first() {
     let mut selector = selector();
     let mut listed = candidates(&["e"]);
     listed[0].slots = 8;
-    let told = |running, waiting| EngineLoad { running, waiting, slots: 8 };
+    let load = |running, waiting| EngineLoad { running, waiting, slots: 8 };
     let asked = |priority| SelectionRequest { priority, ..request(&[("p", 160)]) };
     let is_refused = |selector: &Selector, priority| {
         matches!(selector.select(&listed, &asked(priority), |_| 1.0, NOW), Selection::Refused { .. })
     };
-    selector.note_load(&"e".into(), told(8, 3), NOW);
-    assert!(!is_refused(&selector, 0) && !is_refused(&selector, 9), "a short queue takes all");
-    selector.note_load(&"e".into(), told(8, 6), NOW);
+    selector.note_load(&"e".into(), load(8, 3), NOW);
+    assert!(!is_refused(&selector, 0) && !is_refused(&selector, 9), "a short queue accepts all");
+    selector.note_load(&"e".into(), load(8, 6), NOW);
     assert!(!is_refused(&selector, 0) && is_refused(&selector, 5), "the less urgent first");
-    selector.note_load(&"e".into(), told(8, 12), NOW);
+    selector.note_load(&"e".into(), load(8, 12), NOW);
     assert!(is_refused(&selector, 0));
 }
 
 #[test]
-fn a_crowded_engine_gets_no_more_however_much_it_keeps() {
+fn an_overloaded_engine_gets_no_more_requests_regardless_of_cached_parts() {
     let settings = SelectionSettings { overload_factor: Some(2.0), overload_base: 2, ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
     let keeping: EngineName = "keeping".into();
@@ -547,15 +556,18 @@
         selector.begin(&keeping, 16);
         taken += 1;
     }
-    assert_eq!(taken, 3, "with three in flight the bound is twice their average over four, rounded down, and two");
+    assert_eq!(
+        taken, 3,
+        "with three in flight the bound is twice their average over four engines, rounded down, plus two"
+    );
     for other in ["b", "c", "d"] {
         (0..4).for_each(|_| selector.begin(&other.into(), 16));
     }
-    assert_eq!(pick(&selector, &listed, &asked, NOW).engine, keeping, "all have as much to do");
+    assert_eq!(pick(&selector, &listed, &asked, NOW).engine, keeping, "all have the same load");
 }
 
 #[test]
-fn a_source_that_cannot_be_reached_counts_for_nothing_until_it_is_heard() {
+fn an_unreachable_source_is_ignored_until_its_events_arrive() {
     let mut selector = selector();
     let engine: EngineName = "e".into();
     selector.replace_parts(&engine, SourcePosition::default(), &[(name("p"), 160)], NOW);
@@ -567,8 +579,8 @@
     assert!(pick(&selector, &listed, &request(&[("p", 160)]), NOW).by_events);
 }
 
-/// Moves at a share of what reading costs, where they take no longer than reading.
-fn moving_settings() -> SelectionSettings {
+/// Fetches cost a share of prefill and must not take longer than prefill.
+fn cheap_fetch_settings() -> SelectionSettings {
     SelectionSettings {
         fetch_share: 0.15,
         fetch_least_tokens: 16,
@@ -579,28 +591,28 @@
 }
 
 #[test]
-fn a_candidate_is_scored_by_the_fetch_it_can_really_have() {
-    let mut selector = Selector::with_settings(NodeId(1), "a".into(), moving_settings());
+fn a_candidate_is_scored_by_the_fetch_that_is_possible_for_it() {
+    let mut selector = Selector::with_settings(NodeId(1), "a".into(), cheap_fetch_settings());
     let mut listed = candidates(&["keeping", "near", "far"]);
     listed[2].zone = "b".into();
     keep(&mut selector, "keeping", &[("p", 16_000)]);
     selector.note_full(&"keeping".into(), NOW);
-    // A kept token takes 0.007 ms within a zone and 0.014 ms between zones; reading takes 0.01 ms.
+    // Per token, a transfer takes 0.007 ms within a zone and 0.014 ms between zones; prefill takes 0.01 ms.
     let over_slow_links = SelectionRequest { link_mbps: 20_000.0, ..request(&[("p", 16_000), ("own", 160)]) };
     let picked = pick(&selector, &listed, &over_slow_links, NOW);
     assert_eq!((picked.engine.as_str(), picked.prefill_tokens), ("near", 160));
     assert_eq!(picked.fetch.map(|fetch| fetch.tokens), Some(16_000));
     selector.begin(&"near".into(), 16 * 160);
     let picked = pick(&selector, &listed, &over_slow_links, NOW);
-    assert_eq!(picked.engine.as_str(), "near", "160 blocks of load are less than the 250 that a move spares");
+    assert_eq!(picked.engine.as_str(), "near", "160 blocks of load are less than the 250 that a fetch saves");
     selector.begin(&"near".into(), 16 * 200);
     let picked = pick(&selector, &listed, &over_slow_links, NOW);
     assert_eq!((picked.engine.as_str(), picked.prefill_tokens), ("far", 16_160));
-    assert_eq!(picked.fetch, None, "between zones the move takes longer than reading");
+    assert_eq!(picked.fetch, None, "between zones the transfer takes longer than prefill");
 }
 
 #[test]
-fn prompts_that_wait_to_be_read_count_as_prefill_blocks_of_the_next() {
+fn pending_prefill_counts_as_prefill_blocks_of_the_next_request() {
     let settings = SelectionSettings { pending_prefill_share: 1.0, ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
     let listed = candidates(&["keeping", "idle"]);
@@ -614,16 +626,16 @@
     let picked = pick(&selector, &listed, &asked, NOW);
     assert_eq!((picked.engine.as_str(), picked.prefill_blocks), ("keeping", BlockCount(90)));
     selector.begin_prefill(&keeping, 320);
-    assert_eq!(pick(&selector, &listed, &asked, NOW).engine.as_str(), "idle", "60 blocks wait, 50 are kept");
+    assert_eq!(pick(&selector, &listed, &asked, NOW).engine.as_str(), "idle", "60 blocks are pending, 50 are cached");
     selector.end_prefill(&keeping, 640);
     assert_eq!(pick(&selector, &listed, &asked, NOW).engine, keeping);
     selector.end_prefill(&keeping, 320);
     selector.end_prefill(&keeping, 320);
-    assert_eq!(pick(&selector, &listed, &asked, NOW).prefill_blocks, BlockCount(50), "never below nothing");
+    assert_eq!(pick(&selector, &listed, &asked, NOW).prefill_blocks, BlockCount(50), "never below zero");
 }
 
 #[test]
-fn what_others_wait_for_counts_and_is_read_as_time_passes() {
+fn waiting_requests_of_other_nodes_count_and_are_prefilled_over_time() {
     let settings =
         SelectionSettings { pending_prefill_share: 1.0, tokens_per_ms: Some(10.0), ..SelectionSettings::default() };
     let mut selector = Selector::with_settings(NodeId(1), "a".into(), settings);
@@ -636,8 +648,8 @@
     selector.note_load(&keeping, EngineLoad { running: 0, waiting: 2, slots: 8 }, NOW);
     assert_eq!(pick_weighted(&selector, NOW).engine.as_str(), "idle", "two average prompts wait");
     let later = NOW + Span::millis(100);
-    assert_eq!(pick_weighted(&selector, later).engine, keeping, "a thousand tokens were read since");
+    assert_eq!(pick_weighted(&selector, later).engine, keeping, "a thousand tokens were prefilled since");
     selector.begin_prefill(&keeping, 16);
     selector.note_load(&keeping, EngineLoad { running: 0, waiting: 1, slots: 8 }, NOW);
-    assert_eq!(pick_weighted(&selector, NOW).prefill_blocks, BlockCount(51), "only the own one waits");
+    assert_eq!(pick_weighted(&selector, NOW).prefill_blocks, BlockCount(51), "only this node's request waits");
 }
