--- a/crates/gateway/src/mechanism.rs
+++ b/crates/gateway/src/mechanism.rs
@@ -58,7 +58,7 @@
         match mechanism {
             Mechanism::Events => settings.events_late = Span(0),
             Mechanism::Home => settings.home_affinity_share = 0.0,
-            Mechanism::Moves => settings.fetch_least_tokens = u64::MAX,
+            Mechanism::Moves => settings.fetch_min_tokens = u64::MAX,
             Mechanism::Crowding => settings.overload_factor = None,
             Mechanism::UnreadAhead => settings.pending_prefill_share = 0.0,
             Mechanism::WaitBound => settings.limits_queue_wait = false,
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -192,8 +192,8 @@
         let settings = SelectionSettings {
             fetch_share: FETCH_SHARE,
             home_affinity_share: HOME_SHARE,
-            fetch_least_tokens: BLOCK_TOKENS,
-            fetch_most_share: FETCH_MOST_SHARE,
+            fetch_min_tokens: BLOCK_TOKENS,
+            fetch_max_time_share: FETCH_MOST_SHARE,
             pending_prefill_share: 1.0,
             limits_queue_wait: true,
             recent_failure_cost: TROUBLE_COST,
@@ -255,17 +255,17 @@
                     self.selector.end_prefill(&engine, unread_tokens);
                     self.selector.observe_prefill(&service, unread_tokens, waited);
                 }
-                self.selector.note_success(&engine, now);
-                self.selector.note_sent(&engine, &parts, now);
+                self.selector.record_success(&engine, now);
+                self.selector.record_sent(&engine, &parts, now);
             }
             TableCommand::Load { engine, load } => {
                 self.loads.insert(engine.clone(), (load, now));
                 let EngineLoad { running, waiting, slots } = load;
                 let load = selection::prelude::EngineLoad { running, waiting, slots };
-                self.selector.note_load(&engine, load, now);
+                self.selector.record_load(&engine, load, now);
             }
-            TableCommand::Failed { engine, kind } => self.selector.note_fault(&engine, kind, now),
-            TableCommand::Full { engine } => self.selector.note_full(&engine, now),
+            TableCommand::Failed { engine, kind } => self.selector.record_fault(&engine, kind, now),
+            TableCommand::Full { engine } => self.selector.record_full(&engine, now),
             TableCommand::Position { source, reply } => {
                 let _ = reply.send(self.selector.position(&source));
             }
@@ -330,7 +330,7 @@
         }
         for (engine, EngineLoad { running, waiting, slots }, age) in news.loads {
             let load = selection::prelude::EngineLoad { running, waiting, slots };
-            self.selector.note_load(&engine, load, Instant(arrived.0.saturating_sub(age.0)));
+            self.selector.record_load(&engine, load, Instant(arrived.0.saturating_sub(age.0)));
         }
         for relayed in news.sources {
             if self.read_here.contains(&relayed.source) {
--- a/crates/measure/src/picks.rs
+++ b/crates/measure/src/picks.rs
@@ -68,8 +68,8 @@
             for engine in 0..ENGINES as u64 {
                 let own = (0..size / ENGINES as u64).map(|number| BlockHash(engine << 40 | number));
                 let kept: Vec<BlockHash> = names[..(engine as usize * 9)].iter().copied().chain(own).collect();
-                picker.take_snapshot(&EngineName(format!("e{engine}")), "x", 1, kept, boot_now());
-                picker.take_events(
+                picker.apply_snapshot(&EngineName(format!("e{engine}")), "x", 1, kept, boot_now());
+                picker.apply_events(
                     &EngineName(format!("e{engine}")),
                     "x",
                     1,
--- a/crates/placement/src/picker.rs
+++ b/crates/placement/src/picker.rs
@@ -73,7 +73,7 @@
     }
 
     /// Replaces an engine's cached blocks by its full list, and sets the position of its next event.
-    pub fn take_snapshot(
+    pub fn apply_snapshot(
         &mut self,
         engine: &EngineName,
         boot: &str,
@@ -92,7 +92,7 @@
 
     /// Applies a batch of events and returns whether the engine is still followed. After a gap or another boot,
     /// the engine's cached blocks are dropped.
-    pub fn take_events(
+    pub fn apply_events(
         &mut self,
         engine: &EngineName,
         boot: &str,
@@ -133,13 +133,13 @@
     }
 
     /// Records that an engine could not be reached; it backs off for a short time.
-    pub fn note_fault(&mut self, engine: &EngineName, now: Instant) {
+    pub fn record_fault(&mut self, engine: &EngineName, now: Instant) {
         self.engine_mut(engine).backoff_until = now + FAULT_BACKOFF;
     }
 
     /// Records that an engine refused a request because its adapter is not loaded: the engine gets no requests for
     /// that adapter for a short time.
-    pub fn note_cold(&mut self, engine: &EngineName, adapter: &AdapterId, now: Instant) {
+    pub fn record_cold(&mut self, engine: &EngineName, adapter: &AdapterId, now: Instant) {
         let known = self.engine_mut(engine);
         known.cold_until.retain(|_, until| now < *until);
         known.cold_until.insert(adapter.clone(), now + COLD_BACKOFF);
--- a/crates/placement/tests/picker.rs
+++ b/crates/placement/tests/picker.rs
@@ -65,7 +65,7 @@
         assert_eq!(names.len(), 100);
         let mut picker = Picker::new(NodeId(1), "a".into());
         for (engine, kept_count, busy_blocks) in [("busy", 90, 300), ("middle", 50, 170), ("idle", 0, 40)] {
-            picker.take_snapshot(&engine.into(), "x", 1, names[..kept_count].to_vec(), NOW);
+            picker.apply_snapshot(&engine.into(), "x", 1, names[..kept_count].to_vec(), NOW);
             picker.begin_attempt(&engine.into(), BlockCount(busy_blocks));
         }
         let placement = picker.pick(&snapshot, &asked_prompt, NOW).unwrap();
@@ -81,21 +81,21 @@
     let names = asked_prompt.names[&WeightsEdition(1)].clone();
     let mut picker = Picker::new(NodeId(1), "a".into());
     for engine in ["one", "two"] {
-        picker.take_snapshot(&engine.into(), "x", 1, Vec::new(), NOW);
+        picker.apply_snapshot(&engine.into(), "x", 1, Vec::new(), NOW);
     }
     picker.record_kept(&"two".into(), &names, NOW);
     let later = NOW + Span::millis(2100);
     for engine in ["one", "two"] {
-        assert!(picker.take_events(&engine.into(), "x", 1, &[], later));
+        assert!(picker.apply_events(&engine.into(), "x", 1, &[], later));
     }
     let placement = picker.pick(&snapshot, &asked_prompt, later).unwrap();
     assert_eq!(placement.chosen.engine, "two".into(), "a missing storage event makes events late");
     assert!(!placement.chosen.by_events);
     let stored = KeptEvent::Stored(names.clone());
-    assert!(picker.take_events(&"two".into(), "x", 1, &[stored], later));
+    assert!(picker.apply_events(&"two".into(), "x", 1, &[stored], later));
     let placement = picker.pick(&snapshot, &asked_prompt, later).unwrap();
     assert!(placement.chosen.by_events);
-    assert!(!picker.take_events(&"two".into(), "other", 1, &[], later), "another boot");
+    assert!(!picker.apply_events(&"two".into(), "other", 1, &[], later), "another boot");
     let placement = picker.pick(&snapshot, &asked_prompt, later).unwrap();
     assert!(placement.candidates.iter().all(|score| score.prefill_blocks == BlockCount(10)));
 }
@@ -109,7 +109,7 @@
     state.listing.engines.get_mut(&"leaving".into()).unwrap().listed = Listed::Leaving;
     let snapshot = snapshot.after_change(state, None, NOW);
     let mut picker = Picker::new(NodeId(1), "a".into());
-    picker.note_fault(&"resting".into(), NOW);
+    picker.record_fault(&"resting".into(), NOW);
     let asked_prompt = Prompt { tried: vec!["tried".into()], ..prompt("z") };
     let placement = picker.pick(&snapshot, &asked_prompt, NOW).unwrap();
     let eligible: Vec<&str> = placement.candidates.iter().map(|score| score.engine.as_str()).collect();
@@ -169,9 +169,9 @@
         state.listing.engines.get_mut(&"peer".into()).unwrap().zone = "b".into();
         let snapshot = snapshot.after_change(state, None, NOW);
         let mut picker = Picker::new(NodeId(1), "a".into());
-        picker.take_snapshot(&"chosen".into(), "x", 1, names[..10].to_vec(), NOW);
-        picker.take_snapshot(&"peer".into(), "x", 1, names[..peer_blocks].to_vec(), NOW);
-        picker.take_snapshot(&STORE_SOURCE.into(), "x", 1, names[..80].to_vec(), NOW);
+        picker.apply_snapshot(&"chosen".into(), "x", 1, names[..10].to_vec(), NOW);
+        picker.apply_snapshot(&"peer".into(), "x", 1, names[..peer_blocks].to_vec(), NOW);
+        picker.apply_snapshot(&STORE_SOURCE.into(), "x", 1, names[..80].to_vec(), NOW);
         picker.begin_attempt(&"peer".into(), BlockCount(500));
         let placement = picker.pick(&snapshot, &asked_prompt, NOW).unwrap();
         assert_eq!(placement.chosen.engine, "chosen".into());
@@ -198,9 +198,9 @@
     let asked_prompt = prompt(&"s".repeat(640));
     let names = asked_prompt.names[&WeightsEdition(1)].clone();
     for engine in ["far", "near", "prefill"] {
-        picker.take_snapshot(&engine.into(), "x", 1, Vec::new(), NOW);
+        picker.apply_snapshot(&engine.into(), "x", 1, Vec::new(), NOW);
     }
-    picker.take_snapshot(&"far".into(), "x", 1, names.clone(), NOW);
+    picker.apply_snapshot(&"far".into(), "x", 1, names.clone(), NOW);
     let placement = picker.pick(&snapshot, &asked_prompt, NOW).unwrap();
     assert_eq!(
         placement.chosen.engine,
@@ -235,7 +235,7 @@
     assert_eq!(chosen(&mut picker, &adapted), Some("near".into()));
     picker.begin_attempt(&"near".into(), BlockCount(500));
     assert_eq!(chosen(&mut picker, &adapted), Some("far".into()), "a distant engine that is idle");
-    picker.note_cold(&"far".into(), &AdapterId::new("x", 2), NOW);
+    picker.record_cold(&"far".into(), &AdapterId::new("x", 2), NOW);
     assert_eq!(chosen(&mut picker, &adapted), Some("near".into()), "the distant engine reported it as not loaded");
     let both = Prompt { tried: vec!["near".into()], ..adapted.clone() };
     assert_eq!(chosen(&mut picker, &both), None, "never the base model, another revision or a cold engine");
--- a/crates/router/src/table.rs
+++ b/crates/router/src/table.rs
@@ -176,16 +176,16 @@
             }
             TableCommand::EndAttempt { engine, blocks } => self.picker.end_attempt(&engine, blocks),
             TableCommand::Kept { engine, names } => self.picker.record_kept(&engine, &names, now),
-            TableCommand::Fault { engine } => self.picker.note_fault(&engine, now),
-            TableCommand::Cold { engine, adapter } => self.picker.note_cold(&engine, &adapter, now),
+            TableCommand::Fault { engine } => self.picker.record_fault(&engine, now),
+            TableCommand::Cold { engine, adapter } => self.picker.record_cold(&engine, &adapter, now),
             TableCommand::Place { engine, reply } => {
                 let _ = reply.send(self.picker.event_position(&engine));
             }
             TableCommand::Snapshot { engine, snapshot, names, asked } => {
-                self.picker.take_snapshot(&engine, &snapshot.boot, snapshot.next, names, asked);
+                self.picker.apply_snapshot(&engine, &snapshot.boot, snapshot.next, names, asked);
             }
             TableCommand::Events { engine, batch, events, asked, reply } => {
-                let followed = self.picker.take_events(&engine, &batch.boot, batch.first, &events, asked);
+                let followed = self.picker.apply_events(&engine, &batch.boot, batch.first, &events, asked);
                 let _ = reply.send(followed);
             }
             TableCommand::Count { engine, running, asked } => {
--- a/crates/selection/src/fetch.rs
+++ b/crates/selection/src/fetch.rs
@@ -7,7 +7,7 @@
 use crate::prelude::*;
 
 /// A fetch must gain more tokens than this.
-pub const FETCH_LEAST_TOKENS: u64 = 2048;
+pub const FETCH_MIN_TOKENS: u64 = 2048;
 /// A transfer between zones takes this many times as long as one within a zone.
 const OTHER_ZONE_FACTOR: f64 = 2.0;
 
@@ -144,12 +144,12 @@
         candidate: &Candidate,
         gain: u64,
     ) -> Option<u64> {
-        if gain <= self.settings.fetch_least_tokens {
+        if gain <= self.settings.fetch_min_tokens {
             return None;
         }
         let transfer_millis = self.transfer_millis(location, request, candidate, gain);
         let prefill_millis = gain as f64 / self.tokens_per_ms(&candidate.service);
-        if transfer_millis >= prefill_millis * self.settings.fetch_most_share {
+        if transfer_millis >= prefill_millis * self.settings.fetch_max_time_share {
             return None;
         }
         let share = (transfer_millis / prefill_millis).max(self.settings.fetch_share);
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -24,9 +24,9 @@
     /// The share of the shared parts without a known cached copy that is expected at the prompt's home engine.
     pub home_affinity_share: f64,
     /// A fetch must gain more tokens than this.
-    pub fetch_least_tokens: u64,
+    pub fetch_min_tokens: u64,
     /// A fetch must take less than this share of the prefill time.
-    pub fetch_most_share: f64,
+    pub fetch_max_time_share: f64,
     /// The share of an engine's pending prefill that counts as prefill blocks of the next request.
     pub pending_prefill_share: f64,
     /// Whether to reject engines whose pending prefill would make the request late.
@@ -51,8 +51,8 @@
             fetch_setup_ms: 2.0,
             fetch_share: 1.0,
             home_affinity_share: 0.0,
-            fetch_least_tokens: FETCH_LEAST_TOKENS,
-            fetch_most_share: 0.5,
+            fetch_min_tokens: FETCH_MIN_TOKENS,
+            fetch_max_time_share: 0.5,
             pending_prefill_share: 0.0,
             limits_queue_wait: false,
             recent_failure_cost: 0.0,
@@ -183,7 +183,7 @@
     }
 
     /// Records that the engine prefilled the prompt. It caches the parts now, and events for them are expected.
-    pub fn note_sent(&mut self, engine: &EngineName, parts: &[(PartName, u64)], now: Instant) {
+    pub fn record_sent(&mut self, engine: &EngineName, parts: &[(PartName, u64)], now: Instant) {
         let late_after = self.settings.events_late;
         let index = self.source_mut(engine).index;
         self.sent.record(index, parts);
@@ -205,21 +205,21 @@
         }
     }
 
-    pub fn note_load(&mut self, engine: &EngineName, load: EngineLoad, now: Instant) {
-        self.source_mut(engine).note_load(load, now);
+    pub fn record_load(&mut self, engine: &EngineName, load: EngineLoad, now: Instant) {
+        self.source_mut(engine).record_load(load, now);
     }
 
-    pub fn note_fault(&mut self, engine: &EngineName, kind: FaultKind, now: Instant) {
-        self.source_mut(engine).note_fault(kind, now);
+    pub fn record_fault(&mut self, engine: &EngineName, kind: FaultKind, now: Instant) {
+        self.source_mut(engine).record_fault(kind, now);
     }
 
-    pub fn note_success(&mut self, engine: &EngineName, now: Instant) {
-        self.source_mut(engine).note_success(now);
+    pub fn record_success(&mut self, engine: &EngineName, now: Instant) {
+        self.source_mut(engine).record_success(now);
     }
 
     /// Records that the engine reported itself full: it is skipped for a short time.
-    pub fn note_full(&mut self, engine: &EngineName, now: Instant) {
-        self.source_mut(engine).note_full(now);
+    pub fn record_full(&mut self, engine: &EngineName, now: Instant) {
+        self.source_mut(engine).record_full(now);
     }
 
     /// Replaces the stores, by service. Their events are followed under the name given by `store_source`.
--- a/crates/selection/src/source_state.rs
+++ b/crates/selection/src/source_state.rs
@@ -77,7 +77,7 @@
         SourceState { index, ..SourceState::default() }
     }
 
-    pub fn note_load(&mut self, load: EngineLoad, now: Instant) {
+    pub fn record_load(&mut self, load: EngineLoad, now: Instant) {
         if self.foreign_load.is_some_and(|others| others.reported_at > now) {
             return;
         }
@@ -118,7 +118,7 @@
 
     /// Each consecutive fault doubles the backoff. Faults during the backoff belong to requests that were already
     /// in flight and don't extend it.
-    pub fn note_fault(&mut self, kind: FaultKind, now: Instant) {
+    pub fn record_fault(&mut self, kind: FaultKind, now: Instant) {
         self.count_failure(now);
         if kind == FaultKind::Failed {
             return;
@@ -135,12 +135,12 @@
 
     /// The next fault starts with the shortest backoff. A current backoff continues: the answer may belong to a
     /// request sent before the fault.
-    pub fn note_success(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.consecutive_faults = 0;
         self.recent_failures = (self.recent_failures(now) * FAILURES_KEPT_ON_SUCCESS, now);
     }
 
-    pub fn note_full(&mut self, now: Instant) {
+    pub fn record_full(&mut self, now: Instant) {
         self.full_until = now + FULL_BACKOFF;
     }
 
--- a/crates/selection/tests/peers.rs
+++ b/crates/selection/tests/peers.rs
@@ -108,8 +108,8 @@
 fn an_engines_own_load_report_takes_precedence() {
     let mut selector = selector(2);
     selector.record_peer_report(NodeId(2), vec![("e0".into(), load(1, 0))], NOW);
-    selector.note_load(&"e0".into(), EngineLoad { running: 1, waiting: 0, slots: 64 }, NOW);
-    selector.note_load(&"e1".into(), EngineLoad { running: 6, waiting: 0, slots: 64 }, NOW);
+    selector.record_load(&"e0".into(), EngineLoad { running: 1, waiting: 0, slots: 64 }, NOW);
+    selector.record_load(&"e1".into(), EngineLoad { running: 6, waiting: 0, slots: 64 }, NOW);
     assert_eq!(chosen(&selector, &candidates(2), 1), "e0");
 }
 
@@ -182,7 +182,7 @@
             for number in 0..ENGINES {
                 let running = if number == seed { 0 } else { 1 + (number * 7 + seed) % 9 };
                 let load = EngineLoad { running, waiting: 0, slots: 64 };
-                selector.note_load(&EngineName(format!("e{number}")), load, NOW);
+                selector.record_load(&EngineName(format!("e{number}")), load, NOW);
             }
             *counts.entry(chosen(&selector, &candidates(ENGINES), seed * NODES + node)).or_default() += 1;
         }
--- a/crates/selection/tests/selection.rs
+++ b/crates/selection/tests/selection.rs
@@ -120,7 +120,7 @@
     let engine: EngineName = "e".into();
     let load = EngineLoad { running: 3, waiting: 1, slots: 8 };
     selector.begin(&engine, 512);
-    selector.note_load(&engine, load, NOW);
+    selector.record_load(&engine, load, NOW);
     let listed = candidates(&["e"]);
     let asked = request(&[("p", 160)]);
     assert_eq!(pick(&selector, &listed, &asked, NOW).decode_blocks, BlockCount(32 + 3 * 32));
@@ -140,7 +140,7 @@
     let listed = candidates(&["e"]);
     let asked = request(&[("p", 800), ("q", 800)]);
     let parts = asked.parts_by_weights[&WeightsEdition(1)].clone();
-    selector.note_sent(&engine, &parts[..1], NOW);
+    selector.record_sent(&engine, &parts[..1], NOW);
     let picked = pick(&selector, &listed, &asked, NOW);
     assert_eq!((picked.by_events, picked.prefill_blocks), (false, BlockCount(50)), "never followed");
 
@@ -150,7 +150,7 @@
     let picked = pick(&selector, &listed, &asked, NOW + LATER);
     assert_eq!((picked.by_events, picked.prefill_blocks), (false, BlockCount(50)), "no events received");
 
-    selector.note_sent(&engine, &parts, NOW);
+    selector.record_sent(&engine, &parts, NOW);
     let mut batch = PartBatch { epoch: 1, next: 10, lost: false, events: Vec::new() };
     assert_eq!(selector.apply_events(&engine, &batch, NOW + LATER), FollowOutcome::Followed);
     assert!(!pick(&selector, &listed, &asked, NOW + LATER).by_events, "events received, but none for the sent parts");
@@ -181,8 +181,8 @@
     let mut selector = selector();
     let engine: EngineName = "e".into();
     keep(&mut selector, "e", &[]);
-    selector.note_sent(&engine, &[(name("never"), 10)], NOW);
-    selector.note_sent(&engine, &[(name("told"), 10)], NOW + Span::seconds(4));
+    selector.record_sent(&engine, &[(name("never"), 10)], NOW);
+    selector.record_sent(&engine, &[(name("told"), 10)], NOW + Span::seconds(4));
     let asked = request(&[("p", 160)]);
     let mut batch = PartBatch { epoch: 1, next: 10, lost: false, events: Vec::new() };
     selector.apply_events(&engine, &batch, NOW + LATER);
@@ -229,7 +229,7 @@
     let mut selector = selector();
     let listed = candidates(&["told", "free"]);
     let asked = request(&[("p", 1600)]);
-    selector.note_load(&"told".into(), EngineLoad { running: 8, waiting: 0, slots: 8 }, NOW);
+    selector.record_load(&"told".into(), EngineLoad { running: 8, waiting: 0, slots: 8 }, NOW);
     selector.begin(&"free".into(), 80_000);
     assert_eq!(pick(&selector, &listed, &asked, NOW).engine, "free".into(), "a free slot precedes any cost");
     selector.begin(&"free".into(), 9_000);
@@ -254,20 +254,20 @@
     };
     let mut now = NOW;
     for steps in [3, 6, 12, 20, 20] {
-        selector.note_fault(&engine, FaultKind::Broken, now);
-        selector.note_fault(&engine, FaultKind::Refused, now + Span::millis(50));
+        selector.record_fault(&engine, FaultKind::Broken, now);
+        selector.record_fault(&engine, FaultKind::Refused, now + Span::millis(50));
         assert_eq!(backoff_steps(&selector, now), Some(steps));
         now = now + LATER;
     }
-    selector.note_success(&engine, now);
-    selector.note_fault(&engine, FaultKind::Refused, now);
+    selector.record_success(&engine, now);
+    selector.record_fault(&engine, FaultKind::Refused, now);
     assert_eq!(backoff_steps(&selector, now), Some(3));
-    selector.note_success(&engine, now);
+    selector.record_success(&engine, now);
     now = now + LATER;
-    selector.note_fault(&engine, FaultKind::Unreachable, now);
+    selector.record_fault(&engine, FaultKind::Unreachable, now);
     assert_eq!(backoff_steps(&selector, now), Some(6));
-    selector.note_success(&engine, now);
-    selector.note_fault(&"other".into(), FaultKind::Broken, now);
+    selector.record_success(&engine, now);
+    selector.record_fault(&"other".into(), FaultKind::Broken, now);
     assert_eq!(pick(&selector, &listed, &asked, now).engine, "other".into(), "all back off: the one that ends first");
     assert_eq!(pick(&selector, &listed[..1], &asked, now).engine, "e".into(), "no other engine");
 }
@@ -278,7 +278,7 @@
     let listed = candidates(&["e", "other"]);
     let asked = request(&[("p", 160)]);
     selector.begin(&"other".into(), 5_000);
-    selector.note_full(&"e".into(), NOW);
+    selector.record_full(&"e".into(), NOW);
     assert_eq!(pick(&selector, &listed, &asked, NOW).engine, "other".into());
     assert_eq!(refusal(selector.select(&listed[..1], &asked, |_| 1.0, NOW)), Span::millis(100));
     assert_eq!(pick(&selector, &listed, &asked, NOW + Span::millis(100)).engine, "e".into());
@@ -339,7 +339,7 @@
     listed[1].weights = WeightsEdition(2);
     assert_eq!(fetch(&selector, &listed, &asked), None, "other weights");
     listed[1].weights = WeightsEdition(1);
-    selector.note_fault(&"keeper".into(), FaultKind::Unreachable, NOW);
+    selector.record_fault(&"keeper".into(), FaultKind::Unreachable, NOW);
     assert_eq!(fetch(&selector, &listed, &asked), None, "an unreachable source would cost more than it saves");
 }
 
@@ -429,18 +429,18 @@
                 now = now + Span::millis(source.int_in_range(0..=400)?);
                 let parts = [(name("p"), 500), (name("q"), source.int_in_range(0..=500)?)];
                 match source.int_in_range(0..=11)? {
-                    0 => selector.note_fault(&engine, FaultKind::Broken, now),
+                    0 => selector.record_fault(&engine, FaultKind::Broken, now),
                     1 => {
-                        selector.note_full(&engine, now);
+                        selector.record_full(&engine, now);
                         reporting.insert(engine);
                     }
-                    2 => selector.note_success(&engine, now),
-                    3 => selector.note_sent(&engine, &parts, now),
+                    2 => selector.record_success(&engine, now),
+                    3 => selector.record_sent(&engine, &parts, now),
                     4 => selector.replace_parts(&engine, SourcePosition::default(), &parts, now),
                     5 => {
                         let numbers = [source.int_in_range(0..=2)?, source.int_in_range(0..=u64::MAX)?];
                         let load = EngineLoad { running: numbers[0], waiting: numbers[1] % 3, slots: numbers[1] % 5 };
-                        selector.note_load(&engine, load, now);
+                        selector.record_load(&engine, load, now);
                         reporting.insert(engine);
                     }
                     6 => {
@@ -514,13 +514,13 @@
     selector.begin(&other, 16 * 150);
     let picked = |selector: &Selector, now| pick(selector, &listed, &asked, now).engine;
     assert_eq!(picked(&selector, NOW), failing, "it has the lower load");
-    selector.note_fault(&failing, FaultKind::Failed, NOW);
+    selector.record_fault(&failing, FaultKind::Failed, NOW);
     assert_eq!(picked(&selector, NOW), failing, "one failure does not outweigh the load, and there is no backoff");
-    selector.note_fault(&failing, FaultKind::Failed, NOW);
+    selector.record_fault(&failing, FaultKind::Failed, NOW);
     assert_eq!(picked(&selector, NOW), other);
     assert_eq!(picked(&selector, NOW + Span::seconds(8)), failing, "failures decay");
     for _ in 0..4 {
-        selector.note_success(&failing, NOW);
+        selector.record_success(&failing, NOW);
     }
     assert_eq!(picked(&selector, NOW), failing, "successes compensate for failures");
 }
@@ -535,11 +535,11 @@
     let is_refused = |selector: &Selector, priority| {
         matches!(selector.select(&listed, &asked(priority), |_| 1.0, NOW), Selection::Refused { .. })
     };
-    selector.note_load(&"e".into(), load(8, 3), NOW);
+    selector.record_load(&"e".into(), load(8, 3), NOW);
     assert!(!is_refused(&selector, 0) && !is_refused(&selector, 9), "a short queue accepts all");
-    selector.note_load(&"e".into(), load(8, 6), NOW);
+    selector.record_load(&"e".into(), load(8, 6), NOW);
     assert!(!is_refused(&selector, 0) && is_refused(&selector, 5), "the less urgent first");
-    selector.note_load(&"e".into(), load(8, 12), NOW);
+    selector.record_load(&"e".into(), load(8, 12), NOW);
     assert!(is_refused(&selector, 0));
 }
 
@@ -583,8 +583,8 @@
 fn cheap_fetch_settings() -> SelectionSettings {
     SelectionSettings {
         fetch_share: 0.15,
-        fetch_least_tokens: 16,
-        fetch_most_share: 1.0,
+        fetch_min_tokens: 16,
+        fetch_max_time_share: 1.0,
         tokens_per_ms: Some(100.0),
         ..SelectionSettings::default()
     }
@@ -596,7 +596,7 @@
     let mut listed = candidates(&["keeping", "near", "far"]);
     listed[2].zone = "b".into();
     keep(&mut selector, "keeping", &[("p", 16_000)]);
-    selector.note_full(&"keeping".into(), NOW);
+    selector.record_full(&"keeping".into(), NOW);
     // Per token, a transfer takes 0.007 ms within a zone and 0.014 ms between zones; prefill takes 0.01 ms.
     let over_slow_links = SelectionRequest { link_mbps: 20_000.0, ..request(&[("p", 16_000), ("own", 160)]) };
     let picked = pick(&selector, &listed, &over_slow_links, NOW);
@@ -645,11 +645,11 @@
     keep(&mut selector, "idle", &[]);
     let keeping: EngineName = "keeping".into();
     let pick_weighted = |selector: &Selector, now| chosen(selector.select(&listed, &asked, |_| 8.0, now));
-    selector.note_load(&keeping, EngineLoad { running: 0, waiting: 2, slots: 8 }, NOW);
+    selector.record_load(&keeping, EngineLoad { running: 0, waiting: 2, slots: 8 }, NOW);
     assert_eq!(pick_weighted(&selector, NOW).engine.as_str(), "idle", "two average prompts wait");
     let later = NOW + Span::millis(100);
     assert_eq!(pick_weighted(&selector, later).engine, keeping, "a thousand tokens were prefilled since");
     selector.begin_prefill(&keeping, 16);
-    selector.note_load(&keeping, EngineLoad { running: 0, waiting: 1, slots: 8 }, NOW);
+    selector.record_load(&keeping, EngineLoad { running: 0, waiting: 1, slots: 8 }, NOW);
     assert_eq!(pick_weighted(&selector, NOW).prefill_blocks, BlockCount(51), "only this node's request waits");
 }
--- a/crates/simulator/src/effects.rs
+++ b/crates/simulator/src/effects.rs
@@ -67,7 +67,7 @@
             CarriageEffect::EndAttempt => self.end_attempt(node, run),
             CarriageEffect::AttemptFault { rests, .. } => {
                 if let (Some(router), Some(attempt), true) = (self.nodes[node].router.as_mut(), &run.attempt, rests) {
-                    router.picker.note_fault(&attempt.ground.engine, local_now);
+                    router.picker.record_fault(&attempt.ground.engine, local_now);
                 }
             }
         }
--- a/crates/simulator/src/polling.rs
+++ b/crates/simulator/src/polling.rs
@@ -31,12 +31,12 @@
 fn follow(picker: &mut Picker, source: &EngineName, memory: &SimMemory, hides: bool, local_now: Instant) {
     let boot = memory.boot.to_string();
     match picker.event_position(source) {
-        None => picker.take_snapshot(source, &boot, memory.next_number(), memory.names(), local_now),
+        None => picker.apply_snapshot(source, &boot, memory.next_number(), memory.names(), local_now),
         Some(place) => {
             let (first, events) = memory.news_from(place.next_number);
             let events = if hides { Vec::new() } else { events };
             let first = if hides { place.next_number } else { first };
-            picker.take_events(source, &boot, first, &events, local_now);
+            picker.apply_events(source, &boot, first, &events, local_now);
         }
     }
 }
--- a/crates/simulator/src/runs.rs
+++ b/crates/simulator/src/runs.rs
@@ -143,7 +143,7 @@
             .and_then(|attempt| Some((attempt.ground.engine.clone(), attempt.ground.adapter.clone()?)));
         if let (true, Some((engine, adapter)), Some(router)) = (is_cold, adapter, self.nodes[to.node].router.as_mut())
         {
-            router.picker.note_cold(&engine, &adapter, local_now);
+            router.picker.record_cold(&engine, &adapter, local_now);
         }
         self.drive(to.node, to.router, to.run, input);
     }
