--- a/crates/placement/src/engine_state.rs
+++ b/crates/placement/src/engine_state.rs
@@ -12,7 +12,7 @@
 pub(crate) struct EngineState {
     /// The engine's number in the prefix tree.
     pub(crate) index: u32,
-    /// The position in the engine's events; none if a snapshot is needed.
+    /// The position in the engine's events; none if its full list is needed.
     pub(crate) position: Option<SourcePlace>,
     /// When the last answered poll was sent; all events up to then are known.
     pub(crate) events_known_until: Instant,
--- a/crates/placement/src/pick.rs
+++ b/crates/placement/src/pick.rs
@@ -122,13 +122,13 @@
         let weights = self.snapshot.usable_weights_for(engine, &prompt.model, prompt.adapter.as_ref(), self.now)?;
         let names = prompt.names.get(&weights)?;
         let unknown = EngineState::default();
-        let known = self.picker.engines.get(engine).unwrap_or(&unknown);
-        if !self.holds_adapter(engine, known) {
+        let state = self.picker.engines.get(engine).unwrap_or(&unknown);
+        if !self.holds_adapter(engine, state) {
             return None;
         }
-        let by_events = self.uses_events(known);
-        let overlap = self.overlap(known, listed.role, by_events, weights, names);
-        let decode_blocks = known.decode_blocks(self.picker.average_blocks, self.now);
+        let by_events = self.uses_events(state);
+        let overlap = self.overlap(state, listed.role, by_events, weights, names);
+        let decode_blocks = state.decode_blocks(self.picker.average_blocks, self.now);
         let prefill_blocks = BlockCount(prompt.blocks.0 - overlap.0.min(prompt.blocks.0));
         let weight = self.table.weight(&prompt.tenant, &prompt.kind, Band::of(decode_blocks));
         let cost = match listed.role {
@@ -146,16 +146,16 @@
             weight,
             cost: cost + distance_blocks as f64,
             by_events,
-            is_backing_off: self.now < known.backoff_until,
+            is_backing_off: self.now < state.backoff_until,
             is_far: prefers_zone && listed.zone != self.picker.zone,
             distance_blocks,
         })
     }
 
     /// Whether an engine has the prompt's adapter loaded, if the prompt needs one. The adapter must match exactly.
-    fn holds_adapter(&self, engine: &EngineName, known: &EngineState) -> bool {
+    fn holds_adapter(&self, engine: &EngineName, state: &EngineState) -> bool {
         let Some(adapter) = &self.prompt.adapter else { return true };
-        let is_cold = known.cold_until.get(adapter).is_some_and(|until| self.now < *until);
+        let is_cold = state.cold_until.get(adapter).is_some_and(|until| self.now < *until);
         self.snapshot.state.adapters.is_warm(engine, adapter) && !is_cold
     }
 
@@ -167,21 +167,21 @@
         if is_other_region { desired.routing.other_region_blocks } else { 0 }
     }
 
-    fn uses_events(&self, known: &EngineState) -> bool {
+    fn uses_events(&self, state: &EngineState) -> bool {
         let routing = &self.snapshot.state.desired.routing;
-        routing.sight == Sight::Events && !known.events_are_late(routing.events_late, self.now)
+        routing.sight == Sight::Events && !state.events_are_late(routing.events_late, self.now)
     }
 
     /// The leading blocks of the prompt that the engine caches, by its events or by the history of sent blocks.
     fn overlap(
         &self,
-        known: &EngineState,
+        state: &EngineState,
         role: Role,
         by_events: bool,
         weights: WeightsEdition,
         names: &[BlockHash],
     ) -> BlockCount {
-        let index = SourceIndex(known.index);
+        let index = SourceIndex(state.index);
         match self.snapshot.state.desired.routing.sight {
             Sight::OccupancyOnly => BlockCount(0),
             _ if role == Role::Decode => BlockCount(0),
--- a/crates/placement/src/picker.rs
+++ b/crates/placement/src/picker.rs
@@ -56,18 +56,18 @@
         };
         let removed: Vec<EngineName> = self.engines.keys().filter(|engine| !stays(engine)).cloned().collect();
         for engine in removed {
-            if let Some(known) = self.engines.remove(&engine) {
-                self.tree.drop_source(SourceIndex(known.index));
-                self.history.drop_source(SourceIndex(known.index));
+            if let Some(state) = self.engines.remove(&engine) {
+                self.tree.drop_source(SourceIndex(state.index));
+                self.history.drop_source(SourceIndex(state.index));
             }
         }
     }
 
     pub(crate) fn index_of(&self, engine: &EngineName) -> Option<SourceIndex> {
-        self.engines.get(engine).map(|known| SourceIndex(known.index))
+        self.engines.get(engine).map(|state| SourceIndex(state.index))
     }
 
-    /// The position from which to request an engine's events; none if a snapshot is needed.
+    /// The position from which to request an engine's events; none if its full list is needed.
     pub fn event_position(&mut self, engine: &EngineName) -> Option<SourcePlace> {
         self.engine_mut(engine).position.clone()
     }
@@ -81,11 +81,11 @@
         names: Vec<BlockHash>,
         requested_at: Instant,
     ) {
-        let known = self.engine_mut(engine);
-        known.position = Some(SourcePlace { boot: boot.to_owned(), next_number });
-        known.events_known_until = requested_at;
-        known.expected_blocks.clear();
-        let index = SourceIndex(known.index);
+        let state = self.engine_mut(engine);
+        state.position = Some(SourcePlace { boot: boot.to_owned(), next_number });
+        state.events_known_until = requested_at;
+        state.expected_blocks.clear();
+        let index = SourceIndex(state.index);
         self.tree.drop_source(index);
         self.tree.apply(index, &KeptEvent::Stored(names));
     }
@@ -100,24 +100,24 @@
         batch: &[KeptEvent],
         requested_at: Instant,
     ) -> bool {
-        let known = self.engine_mut(engine);
-        let index = SourceIndex(known.index);
-        let Some(position) = known.position.as_mut() else { return false };
+        let state = self.engine_mut(engine);
+        let index = SourceIndex(state.index);
+        let Some(position) = state.position.as_mut() else { return false };
         let boot_changed = position.boot != boot;
         let Some(new_events) = position.follow(boot, first, batch) else {
-            known.position = None;
-            known.expected_blocks.clear();
+            state.position = None;
+            state.expected_blocks.clear();
             self.tree.drop_source(index);
             if boot_changed {
                 self.history.drop_source(index);
             }
             return false;
         };
-        known.events_known_until = known.events_known_until.max(requested_at);
+        state.events_known_until = state.events_known_until.max(requested_at);
         for event in new_events {
             if let KeptEvent::Stored(names) = event {
                 for name in names {
-                    known.expected_blocks.remove(name);
+                    state.expected_blocks.remove(name);
                 }
             }
         }
@@ -140,9 +140,9 @@
     /// Records that an engine refused a request because its adapter is not loaded: the engine gets no requests for
     /// that adapter for a short time.
     pub fn record_cold(&mut self, engine: &EngineName, adapter: &AdapterId, now: Instant) {
-        let known = self.engine_mut(engine);
-        known.cold_until.retain(|_, until| now < *until);
-        known.cold_until.insert(adapter.clone(), now + COLD_BACKOFF);
+        let state = self.engine_mut(engine);
+        state.cold_until.retain(|_, until| now < *until);
+        state.cold_until.insert(adapter.clone(), now + COLD_BACKOFF);
     }
 
     /// Records that the engine sent its first output. It caches the prompt's blocks now, and events for them are
@@ -157,16 +157,16 @@
     /// Counts an attempt that was sent to an engine.
     pub fn begin_attempt(&mut self, engine: &EngineName, blocks: BlockCount) {
         self.average_blocks += (blocks.0 as f64 - self.average_blocks) * AVERAGE_WEIGHT;
-        let known = self.engine_mut(engine);
-        known.own_blocks += blocks.0;
-        known.own_attempts += 1;
+        let state = self.engine_mut(engine);
+        state.own_blocks += blocks.0;
+        state.own_attempts += 1;
     }
 
-    /// Uncounts an attempt that ended.
+    /// Stops counting an attempt that ended.
     pub fn end_attempt(&mut self, engine: &EngineName, blocks: BlockCount) {
-        let Some(known) = self.engines.get_mut(engine) else { return };
-        known.own_blocks = known.own_blocks.saturating_sub(blocks.0);
-        known.own_attempts = known.own_attempts.saturating_sub(1);
+        let Some(state) = self.engines.get_mut(engine) else { return };
+        state.own_blocks = state.own_blocks.saturating_sub(blocks.0);
+        state.own_attempts = state.own_attempts.saturating_sub(1);
     }
 
     /// The number of cached blocks, counted once per source.
--- a/crates/selection/src/request.rs
+++ b/crates/selection/src/request.rs
@@ -26,8 +26,8 @@
     pub output_tokens: u64,
     /// Engines already tried for this request.
     pub tried: Vec<EngineName>,
-    /// 0 is the most urgent. A higher urgency never lets a request exceed an engine's memory or slot bounds.
-    /// A less urgent request has a shorter queue bound and gets a longer retry delay when it is refused.
+    /// 0 is the most urgent. Urgency never overrides an engine's bounds. A less urgent request accepts a shorter
+    /// queue and gets a longer retry delay if it is refused.
     pub priority: u64,
     /// The target for the time to the first token; zero means no target.
     pub target: Span,
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -33,8 +33,8 @@
     pub limits_queue_wait: bool,
     /// The cost that each recent failure adds to an engine.
     pub recent_failure_cost: f64,
-    /// An engine with more than this many times the average number of requests, plus `overload_base`, is used only
-    /// if no other is below that bound; no bound if unset.
+    /// An engine is overloaded from this many times the average number of requests plus `overload_base` on, and is
+    /// used only if no other engine is below that bound; no bound if unset.
     pub overload_factor: Option<f64>,
     pub overload_base: u64,
     /// How many nodes sample each engine on average, besides the engines that cache the prompt; every node considers
@@ -127,9 +127,9 @@
 
     /// The load of this node's own requests, as reported to its peers.
     pub fn node_load(&self) -> Vec<(EngineName, NodeLoad)> {
-        let busy = self.sources.iter().filter(|(_, known)| known.own_requests > 0);
-        let loads = busy.map(|(engine, known)| {
-            let SourceState { own_requests: requests, own_tokens: tokens, pending_prefill_tokens, .. } = *known;
+        let busy = self.sources.iter().filter(|(_, state)| state.own_requests > 0);
+        let loads = busy.map(|(engine, state)| {
+            let SourceState { own_requests: requests, own_tokens: tokens, pending_prefill_tokens, .. } = *state;
             (engine.clone(), NodeLoad { requests, tokens, pending_prefill_tokens })
         });
         loads.collect()
@@ -150,36 +150,36 @@
     /// Counts a request sent to the engine, with the tokens of its prompt and output.
     pub fn begin(&mut self, engine: &EngineName, tokens: u64) {
         self.average_tokens += (tokens as f64 - self.average_tokens) * AVERAGE_WEIGHT;
-        let known = self.source_mut(engine);
-        known.own_requests = known.own_requests.saturating_add(1);
-        known.own_tokens = known.own_tokens.saturating_add(tokens);
+        let state = self.source_mut(engine);
+        state.own_requests = state.own_requests.saturating_add(1);
+        state.own_tokens = state.own_tokens.saturating_add(tokens);
     }
 
-    /// Uncounts a request that ended, with the same tokens as given to `begin`.
+    /// Stops counting a request that ended; `tokens` is the same as for `begin`.
     pub fn end(&mut self, engine: &EngineName, tokens: u64) {
-        let Some(known) = self.sources.get_mut(engine) else { return };
-        known.own_requests = known.own_requests.saturating_sub(1);
-        known.own_tokens = known.own_tokens.saturating_sub(tokens);
+        let Some(state) = self.sources.get_mut(engine) else { return };
+        state.own_requests = state.own_requests.saturating_sub(1);
+        state.own_tokens = state.own_tokens.saturating_sub(tokens);
     }
 
-    /// Counts tokens that the engine must prefill for one of this node's requests.
-    pub fn begin_prefill(&mut self, engine: &EngineName, pending_prefill_tokens: u64) {
-        self.average_prefill_tokens += (pending_prefill_tokens as f64 - self.average_prefill_tokens) * AVERAGE_WEIGHT;
-        let known = self.source_mut(engine);
-        known.pending_prefill_requests = known.pending_prefill_requests.saturating_add(1);
-        known.pending_prefill_tokens = known.pending_prefill_tokens.saturating_add(pending_prefill_tokens);
+    /// Counts one of this node's requests that waits for prefill, with the tokens that the engine must prefill.
+    pub fn begin_prefill(&mut self, engine: &EngineName, tokens: u64) {
+        self.average_prefill_tokens += (tokens as f64 - self.average_prefill_tokens) * AVERAGE_WEIGHT;
+        let state = self.source_mut(engine);
+        state.pending_prefill_requests = state.pending_prefill_requests.saturating_add(1);
+        state.pending_prefill_tokens = state.pending_prefill_tokens.saturating_add(tokens);
     }
 
-    /// Uncounts these tokens once the answer began or the request ended.
-    pub fn end_prefill(&mut self, engine: &EngineName, pending_prefill_tokens: u64) {
-        let Some(known) = self.sources.get_mut(engine) else { return };
-        known.pending_prefill_requests = known.pending_prefill_requests.saturating_sub(1);
-        known.pending_prefill_tokens = known.pending_prefill_tokens.saturating_sub(pending_prefill_tokens);
+    /// Stops counting these tokens after the answer began or the request ended.
+    pub fn end_prefill(&mut self, engine: &EngineName, tokens: u64) {
+        let Some(state) = self.sources.get_mut(engine) else { return };
+        state.pending_prefill_requests = state.pending_prefill_requests.saturating_sub(1);
+        state.pending_prefill_tokens = state.pending_prefill_tokens.saturating_sub(tokens);
     }
 
     /// The number of this node's requests on the engine, and their tokens.
     pub fn in_flight(&self, engine: &EngineName) -> (u64, u64) {
-        self.sources.get(engine).map_or((0, 0), |known| (known.own_requests, known.own_tokens))
+        self.sources.get(engine).map_or((0, 0), |state| (state.own_requests, state.own_tokens))
     }
 
     /// Records that the engine prefilled the prompt. It caches the parts now, and events for them are expected.
@@ -192,16 +192,16 @@
         for (name, tokens) in parts {
             self.index.expect(index, *name, *tokens);
         }
-        let known = self.source_mut(engine);
-        if !is_cached && known.position.is_some() {
-            known.expect_part(last, late_after, now);
+        let state = self.source_mut(engine);
+        if !is_cached && state.position.is_some() {
+            state.expect_part(last, late_after, now);
         }
     }
 
     /// Marks a source as unreachable: its known events are ignored until it answers again.
     pub fn mark_unreachable(&mut self, source: &EngineName) {
-        if let Some(known) = self.sources.get_mut(source) {
-            known.events_known_until = Instant(0);
+        if let Some(state) = self.sources.get_mut(source) {
+            state.events_known_until = Instant(0);
         }
     }
 
@@ -230,18 +230,18 @@
     /// Removes all engines and stores except the named ones. A removed engine with own requests in flight keeps their
     /// count until a later call, so that the count is right if the engine is listed again.
     pub fn retain_sources(&mut self, named: &BTreeSet<EngineName>) {
-        for (_, known) in self.sources.iter_mut().filter(|(engine, _)| !named.contains(*engine)) {
-            self.index.drop_source(known.index);
-            self.sent.drop_source(known.index);
-            known.position = None;
-            known.clear_expected();
+        for (_, state) in self.sources.iter_mut().filter(|(engine, _)| !named.contains(*engine)) {
+            self.index.drop_source(state.index);
+            self.sent.drop_source(state.index);
+            state.position = None;
+            state.clear_expected();
         }
-        self.sources.retain(|engine, known| named.contains(engine) || known.own_requests > 0);
+        self.sources.retain(|engine, state| named.contains(engine) || state.own_requests > 0);
     }
 
     /// The position from which to request a source's events; none if its full list is needed.
     pub fn position(&self, source: &EngineName) -> Option<SourcePosition> {
-        self.sources.get(source).and_then(|known| known.position)
+        self.sources.get(source).and_then(|state| state.position)
     }
 
     /// Replaces all parts of a source by its full list. All events up to `known_until` are known from the list.
@@ -252,11 +252,11 @@
         list: &[(PartName, u64)],
         known_until: Instant,
     ) {
-        let known = self.source_mut(source);
-        known.position = Some(position);
-        known.events_known_until = known_until;
-        known.clear_expected();
-        let index = known.index;
+        let state = self.source_mut(source);
+        state.position = Some(position);
+        state.events_known_until = known_until;
+        state.clear_expected();
+        let index = state.index;
         self.index.replace_all(index, list);
     }
 
@@ -264,22 +264,22 @@
     /// of sent parts is dropped as well.
     pub fn apply_events(&mut self, source: &EngineName, batch: &PartBatch, known_until: Instant) -> FollowOutcome {
         let late_after = self.settings.events_late;
-        let Some(known) = self.sources.get_mut(source) else { return FollowOutcome::Lost };
-        let Some(position) = known.position.as_mut() else { return FollowOutcome::Lost };
+        let Some(state) = self.sources.get_mut(source) else { return FollowOutcome::Lost };
+        let Some(position) = state.position.as_mut() else { return FollowOutcome::Lost };
         let has_restarted = position.epoch != batch.epoch;
-        let outcome = self.index.follow(known.index, position, batch);
+        let outcome = self.index.follow(state.index, position, batch);
         match outcome {
             FollowOutcome::Followed => {
-                known.events_known_until = known.events_known_until.max(known_until);
+                state.events_known_until = state.events_known_until.max(known_until);
                 for event in &batch.events {
-                    known.settle_expected(event.name, late_after);
+                    state.settle_expected(event.name, late_after);
                 }
             }
             FollowOutcome::Lost => {
-                known.position = None;
-                known.clear_expected();
+                state.position = None;
+                state.clear_expected();
                 if has_restarted {
-                    self.sent.drop_source(known.index);
+                    self.sent.drop_source(state.index);
                 }
             }
         }
@@ -288,23 +288,23 @@
 
     /// All parts that a source is known to cache; none if it is not followed.
     pub fn kept_parts(&self, source: &EngineName) -> Option<Vec<(PartName, u64)>> {
-        let known = self.sources.get(source).filter(|known| known.position.is_some())?;
-        Some(self.index.list(known.index))
+        let state = self.sources.get(source).filter(|state| state.position.is_some())?;
+        Some(self.index.list(state.index))
     }
 
     /// The instant up to which all events of a source are known.
     pub fn events_known_until(&self, source: &EngineName) -> Instant {
-        self.sources.get(source).map_or(Instant(0), |known| known.events_known_until)
+        self.sources.get(source).map_or(Instant(0), |state| state.events_known_until)
     }
 
     /// Applies changes of a source that another node follows.
     pub fn apply_changes(&mut self, source: &EngineName, changes: &[(PartName, u64)], known_until: Instant) {
         let late_after = self.settings.events_late;
-        let Some(known) = self.sources.get_mut(source).filter(|known| known.position.is_some()) else { return };
-        known.events_known_until = known.events_known_until.max(known_until);
+        let Some(state) = self.sources.get_mut(source).filter(|state| state.position.is_some()) else { return };
+        state.events_known_until = state.events_known_until.max(known_until);
         for (name, tokens) in changes {
-            known.settle_expected(*name, late_after);
-            self.index.expect(known.index, *name, *tokens);
+            state.settle_expected(*name, late_after);
+            self.index.expect(state.index, *name, *tokens);
         }
     }
 
