--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -61,7 +61,7 @@
 
 /// Checks that an attempt may start; called together with the write of its first byte.
 pub fn may_start(
-    sight: &FleetSight,
+    sight: &FleetSnapshot,
     lease_until: Instant,
     basis: &AttemptBasis,
     now: Instant,
@@ -92,7 +92,7 @@
 
 /// Whether the attempt is for the adapter, or for none, that its tenant's requests run on now, and its engine
 /// holds exactly that adapter warm.
-fn is_adapter_current(sight: &FleetSight, basis: &AttemptBasis) -> bool {
+fn is_adapter_current(sight: &FleetSnapshot, basis: &AttemptBasis) -> bool {
     if sight.state.adapter_for(&basis.tenant, &basis.model) != basis.adapter {
         return false;
     }
@@ -111,7 +111,7 @@
 
 /// Checks that running work for a key may continue. A router without a lease does not hear of withdrawn keys.
 pub fn may_continue(
-    sight: &FleetSight,
+    sight: &FleetSnapshot,
     lease_until: Instant,
     key_hash: &str,
     tenant: &TenantName,
@@ -172,7 +172,7 @@
     }
 
     fn starts(state: FleetState, basis: &AttemptBasis) -> Result<(), StartRefusal> {
-        let sight = FleetSight::default().following(state, None, NOW);
+        let sight = FleetSnapshot::default().after_change(state, None, NOW);
         may_start(&sight, NOW + Span::seconds(1), basis, NOW)
     }
 
@@ -243,10 +243,11 @@
 
     #[test]
     fn an_attempt_at_a_leaving_engine_starts_only_on_its_last_copy_and_before_the_lease_ends() {
-        let before = FleetSight::default().following(fleet(), None, NOW);
+        let before = FleetSnapshot::default().after_change(fleet(), None, NOW);
         let mut leaving = fleet();
         leaving.listing.engines.get_mut(&"e".into()).unwrap().listed = Listed::Leaving;
-        let sight = before.following(leaving, None, NOW).heard_under(&before.state, NOW + Span::millis(900));
+        let sight =
+            before.after_change(leaving, None, NOW).with_leaving_deadline(&before.state, NOW + Span::millis(900));
         let start = |basis: &AttemptBasis, now: Instant| may_start(&sight, NOW + Span::seconds(2), basis, now);
         let own = basis(Some(AdapterId::new("x", 1)));
         assert_eq!(start(&own, NOW), Ok(()));
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -23,7 +23,7 @@
 pub(crate) use blocks::prelude::Salt;
 pub(crate) use desired::prelude::{DesiredState, ServiceSpec};
 pub use parts::prelude::{PartBatch, PartEvent, PartName, SourcePosition};
-pub(crate) use placement::prelude::{DEFAULT_POLICY, FleetSight, OldWeightsSpan};
+pub(crate) use placement::prelude::{DEFAULT_POLICY, FleetSnapshot, OldWeightsGracePeriod};
 pub(crate) use process::prelude::{Report, event, miette, sha256_hex};
 pub(crate) use queues::prelude::*;
 pub use router::prelude::RouterAddress;
@@ -31,8 +31,8 @@
 pub(crate) use router::prelude::{CoreLine, FeedPlan, GrantNews, SharedState, keep_feed};
 pub(crate) use routes::prelude::{NamedRoute, RouteKind};
 pub use selection::prelude::{
-    Band, Candidate, Chosen, FaultKind, FollowOutcome, OwnWork, Selection, SelectionRequest, SelectionSettings,
-    Selector, StorePlace, store_source,
+    Band, Candidate, Chosen, FaultKind, FollowOutcome, NodeLoad, Selection, SelectionRequest, SelectionSettings,
+    Selector, StoreLocation, store_source,
 };
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/measure/src/picks.rs
+++ b/crates/measure/src/picks.rs
@@ -7,7 +7,7 @@
 const PICKS: u32 = 300;
 
 /// A fleet of so many open engines of one model.
-pub fn engines_sight(engines: usize) -> FleetSight {
+pub fn engines_sight(engines: usize) -> FleetSnapshot {
     let mut state = FleetState::default();
     let document = r#"{"models":{"m":{"weights":1}},"tenants":{"t":{}},"kinds":["k"]}"#;
     let submit = |state: &mut FleetState, command| {
@@ -39,7 +39,7 @@
         };
         state.engine_statuses.insert(EngineName(format!("e{number}")), standing);
     }
-    FleetSight::default().following(state, None, boot_now())
+    FleetSnapshot::default().after_change(state, None, boot_now())
 }
 
 /// A prompt of so many blocks for that fleet.
@@ -53,8 +53,8 @@
         adapter: None,
         blocks: BlockCount(names.len() as u64),
         names: BTreeMap::from([(WeightsEdition(1), names)]),
-        outcome_blocks: BlockCount(1),
-        lot: 0,
+        output_blocks: BlockCount(1),
+        trial_bucket: 0,
         tried: Vec::new(),
     }
 }
@@ -71,8 +71,8 @@
             for engine in 0..ENGINES as u64 {
                 let own = (0..size / ENGINES as u64).map(|number| BlockHash(engine << 40 | number));
                 let kept: Vec<BlockHash> = names[..(engine as usize * 9)].iter().copied().chain(own).collect();
-                picker.take_snapshot(&EngineName(format!("e{engine}")), "x", 1, kept, boot_now());
-                picker.take_events(
+                picker.apply_snapshot(&EngineName(format!("e{engine}")), "x", 1, kept, boot_now());
+                picker.apply_events(
                     &EngineName(format!("e{engine}")),
                     "x",
                     1,
--- a/crates/placement/src/prelude.rs
+++ b/crates/placement/src/prelude.rs
@@ -1,11 +1,11 @@
-//! The one import of this package's files.
+//! The prelude: everything that the modules of this crate and its users import.
 
+pub(crate) use crate::engine_state::*;
 pub use crate::fetch::*;
-pub(crate) use crate::known_engine::*;
+pub use crate::fleet_snapshot::*;
 pub use crate::pick::*;
 pub use crate::picker::*;
 pub use crate::placement::*;
-pub use crate::sight::*;
 pub use blocks::prelude::{KeptEvent, PrefixTree, SentHistory, SourceIndex, SourcePlace};
 pub use desired::prelude::Role;
 pub(crate) use desired::prelude::{CacheStateSource, EngineStatus, FleetState, Listed, ListedEngine, Policy};
--- a/crates/router/src/table.rs
+++ b/crates/router/src/table.rs
@@ -120,7 +120,7 @@
     }
 
     pub async fn pick(&self, prompt: Prompt, is_retry: bool) -> Option<(Picked, Option<AttemptPlace>)> {
-        let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
+        let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
         let picked = self.ask(|reply| TableCommand::Pick { prompt: Box::new(prompt), is_retry, reply }).await?;
         let place = match &picked {
             Picked::Placed(placement) => {
@@ -137,7 +137,7 @@
     duty("table", move || {
         let mut table = Table {
             picker: Picker::new(router, zone),
-            shares: Shares::default(),
+            shares: ConcurrencyShares::default(),
             budget: RetryBudget::default(),
             shared,
         };
@@ -150,7 +150,7 @@
 
 struct Table {
     picker: Picker,
-    shares: Shares,
+    shares: ConcurrencyShares,
     budget: RetryBudget,
     shared: Arc<SharedState>,
 }
@@ -159,9 +159,9 @@
     fn take(&mut self, command: TableCommand) {
         let now = boot_now();
         match command {
-            TableCommand::Fleet => self.picker.keep_only(&self.shared.sight()),
+            TableCommand::Fleet => self.picker.retain_listed(&self.shared.sight()),
             TableCommand::Admit { tenant, share, reply } => {
-                let admitted = self.shares.take(&tenant, share);
+                let admitted = self.shares.try_acquire(&tenant, share);
                 if reply.send(admitted).is_err() && admitted {
                     self.shares.release(&tenant);
                 }
@@ -170,25 +170,27 @@
             TableCommand::Pick { prompt, is_retry, reply } => {
                 let picked = self.pick(&prompt, is_retry, now);
                 if let Err(Picked::Placed(placement)) = reply.send(picked) {
-                    let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
+                    let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
                     self.picker.end_attempt(&placement.chosen.engine, blocks);
                 }
             }
             TableCommand::EndAttempt { engine, blocks } => self.picker.end_attempt(&engine, blocks),
-            TableCommand::Kept { engine, names } => self.picker.note_kept(&engine, &names, now),
-            TableCommand::Fault { engine } => self.picker.note_fault(&engine, now),
-            TableCommand::Cold { engine, adapter } => self.picker.note_cold(&engine, &adapter, now),
+            TableCommand::Kept { engine, names } => self.picker.record_kept(&engine, &names, now),
+            TableCommand::Fault { engine } => self.picker.record_fault(&engine, now),
+            TableCommand::Cold { engine, adapter } => self.picker.record_cold(&engine, &adapter, now),
             TableCommand::Place { engine, reply } => {
-                let _ = reply.send(self.picker.place_of(&engine));
+                let _ = reply.send(self.picker.event_position(&engine));
             }
             TableCommand::Snapshot { engine, snapshot, names, asked } => {
-                self.picker.take_snapshot(&engine, &snapshot.boot, snapshot.next, names, asked);
+                self.picker.apply_snapshot(&engine, &snapshot.boot, snapshot.next, names, asked);
             }
             TableCommand::Events { engine, batch, events, asked, reply } => {
-                let followed = self.picker.take_events(&engine, &batch.boot, batch.first, &events, asked);
+                let followed = self.picker.apply_events(&engine, &batch.boot, batch.first, &events, asked);
                 let _ = reply.send(followed);
             }
-            TableCommand::Count { engine, running, asked } => self.picker.take_count(&engine, running, asked),
+            TableCommand::Count { engine, running, asked } => {
+                self.picker.record_running_count(&engine, running, asked)
+            }
         }
     }
 
@@ -198,22 +200,22 @@
             return unplaced(&sight, prompt, now);
         };
         if is_retry {
-            if !self.budget.spend() {
+            if !self.budget.try_withdraw() {
                 return Picked::NoBudget;
             }
             Counts::add(&self.shared.counts.retries, 1);
         } else {
-            self.budget.earn(sight.state.desired.routing.retry_percent);
+            self.budget.deposit(sight.state.desired.routing.retry_percent);
         }
         Counts::add(&self.shared.counts.attempts, 1);
-        let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
+        let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
         self.picker.begin_attempt(&placement.chosen.engine, blocks);
         Picked::Placed(Box::new(placement))
     }
 }
 
 /// Why no engine passes.
-fn unplaced(sight: &FleetSight, prompt: &Prompt, now: Instant) -> Picked {
+fn unplaced(sight: &FleetSnapshot, prompt: &Prompt, now: Instant) -> Picked {
     let is_cold = prompt.adapter.as_ref().is_some_and(|adapter| !sight.is_warm_anywhere(adapter, now));
     if is_cold { Picked::NoAdapter } else { Picked::NoEngine }
 }
--- a/crates/simulator/src/effects.rs
+++ b/crates/simulator/src/effects.rs
@@ -31,7 +31,7 @@
             AttemptEffect::Write => self.write(node, router_id, run, local_now, inputs),
             AttemptEffect::FirstPieceReceived => {
                 if let (Some(router), Some(attempt)) = (self.nodes[node].router.as_mut(), &run.attempt) {
-                    router.picker.note_kept(&attempt.ground.engine, &attempt.names, local_now);
+                    router.picker.record_kept(&attempt.ground.engine, &attempt.names, local_now);
                 }
                 if run.request.resumes && run.request.streams {
                     run.held = Some(HeldEvents::default());
@@ -69,7 +69,7 @@
                 if let (Some(router), Some(attempt), true) =
                     (self.nodes[node].router.as_mut(), &run.attempt, avoid_engine)
                 {
-                    router.picker.note_fault(&attempt.ground.engine, local_now);
+                    router.picker.record_fault(&attempt.ground.engine, local_now);
                 }
             }
         }
--- a/crates/simulator/src/placing.rs
+++ b/crates/simulator/src/placing.rs
@@ -29,8 +29,8 @@
             adapter: adapter.clone(),
             names,
             blocks: blocks_of(run.request.text.len()),
-            outcome_blocks: BlockCount(run.request.tokens.div_ceil(16)),
-            lot: 0,
+            output_blocks: BlockCount(run.request.tokens.div_ceil(16)),
+            trial_bucket: 0,
             tried,
         };
         let Some(placement) = router.picker.pick(sight, &prompt, local_now) else {
@@ -38,17 +38,17 @@
             return if is_cold { PickOutcome::NoAdapter } else { PickOutcome::NoEngine };
         };
         if is_retry {
-            if !router.budget.spend() {
+            if !router.budget.try_withdraw() {
                 return PickOutcome::NoBudget;
             }
             router.retries += 1;
         } else {
-            router.budget.earn(sight.state.desired.routing.retry_percent);
+            router.budget.deposit(sight.state.desired.routing.retry_percent);
         }
         router.attempts += 1;
         let weights = placement.chosen.weights;
         let engine_name = placement.chosen.engine.clone();
-        let blocks = BlockCount(prompt.blocks.0 + prompt.outcome_blocks.0);
+        let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
         let ground = AttemptBasis {
             key_hash: run.request.key_hash.clone(),
             tenant: run.request.tenant.clone(),
