--- a/crates/agent/src/prelude.rs
+++ b/crates/agent/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The one import of this package's files, and of programs that run an agent.
 
 pub use crate::run::*;
-pub(crate) use coordinator::prelude::NodeDown;
+pub(crate) use coordinator::prelude::KeeperToAgent;
 pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, Purpose, accept_links, dial_and_hold};
 pub(crate) use process::prelude::*;
 pub(crate) use queues::prelude::*;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -51,9 +51,9 @@
 }
 
 enum AgentCommand {
-    Core { dial_number: u64, link_event: LinkEvent<NodeDown> },
+    Core { dial_number: u64, link_event: LinkEvent<KeeperToAgent> },
     CoreEnded { dial_number: u64 },
-    Router(LinkEvent<RouterUp>),
+    Router(LinkEvent<RouterToAgent>),
     Seeds(Vec<String>),
     Stop,
 }
@@ -70,10 +70,10 @@
 
 impl Agent {
     fn work(&mut self, commands: &Receiver<AgentCommand>, parting: Span) {
-        let mut next_pulse = Instant(0);
+        let mut next_tick = Instant(0);
         let mut stops_at: Option<Instant> = None;
         loop {
-            let due = stops_at.map_or(next_pulse, |stops_at| next_pulse.min(stops_at));
+            let due = stops_at.map_or(next_tick, |stops_at| next_tick.min(stops_at));
             let Some(batch) = drain(commands, due.since(boot_now()).as_duration(), BATCH) else { return };
             for command in batch {
                 match command {
@@ -88,10 +88,10 @@
             if stops_at.is_some() && is_over {
                 return;
             }
-            if now >= next_pulse {
-                self.step(SubscriptionInput::Pulse);
+            if now >= next_tick {
+                self.step(SubscriptionInput::Tick);
             }
-            next_pulse = self.subscription.next_pulse(now);
+            next_tick = self.subscription.next_tick(now);
         }
     }
 
@@ -115,7 +115,7 @@
                 match link_event {
                     LinkEvent::Up(link, _) => {
                         self.core = Some(link);
-                        self.step(SubscriptionInput::CoreUp);
+                        self.step(SubscriptionInput::CoreConnected);
                     }
                     LinkEvent::Said(_, message) => self.step(SubscriptionInput::Core(message)),
                     LinkEvent::Down(..) => {}
@@ -124,7 +124,7 @@
             AgentCommand::CoreEnded { dial_number } => {
                 if dial_number == self.dial_number {
                     self.core = None;
-                    self.step(SubscriptionInput::CoreDown);
+                    self.step(SubscriptionInput::CoreDisconnected);
                 }
             }
             AgentCommand::Router(link_event) => self.take_router(link_event),
@@ -137,7 +137,7 @@
         self.router.as_ref().is_some_and(|router| router.id == id)
     }
 
-    fn take_router(&mut self, link_event: LinkEvent<RouterUp>) {
+    fn take_router(&mut self, link_event: LinkEvent<RouterToAgent>) {
         match link_event {
             LinkEvent::Up(link, hello) => {
                 if hello.purpose != Purpose::Router {
@@ -149,7 +149,7 @@
                     earlier.close();
                 }
                 event!(info, "router_up", router = hello.speaker);
-                self.step(SubscriptionInput::RouterUp);
+                self.step(SubscriptionInput::RouterConnected);
             }
             LinkEvent::Said(id, message) => {
                 if self.is_router(id) {
@@ -160,7 +160,7 @@
                 if self.is_router(id) {
                     self.router = None;
                     event!(warn, "router_down", reason = reason);
-                    self.step(SubscriptionInput::RouterDown);
+                    self.step(SubscriptionInput::RouterDisconnected);
                 }
             }
         }
@@ -169,17 +169,19 @@
     fn carry_out(&mut self, effect: SubscriptionEffect) {
         match effect {
             SubscriptionEffect::Dial(address) => self.dial(address),
-            SubscriptionEffect::SayCore(message) => {
+            SubscriptionEffect::SendToCore(message) => {
                 if let Some(core) = &self.core {
                     core.say(&wire::prelude::Inbound::Node(message));
                 }
             }
-            SubscriptionEffect::SayRouter(message) => {
+            SubscriptionEffect::SendToRouter(message) => {
                 if let Some(router) = &self.router {
                     router.say(&message);
                 }
             }
-            SubscriptionEffect::Note { event, detail } => log::warn!(target: "haremount", "event={event} {detail}"),
+            SubscriptionEffect::LogEvent { event, detail } => {
+                log::warn!(target: "haremount", "event={event} {detail}")
+            }
         }
     }
 
--- a/crates/coordinator/src/addressing.rs
+++ b/crates/coordinator/src/addressing.rs
@@ -18,8 +18,8 @@
 
 impl Coordinator {
     /// This keeper, in this life.
-    pub fn own_life(&self) -> KeeperLife {
-        KeeperLife { id: self.me.id, life: self.life }
+    pub fn own_incarnation(&self) -> KeeperIncarnation {
+        KeeperIncarnation { id: self.me.id, life: self.life }
     }
 
     /// How many messages were dropped since they were meant for another keeper, life or fleet.
@@ -39,13 +39,13 @@
             return;
         }
         let receiver = self.known_life(to);
-        if receiver.is_some() || message.is_for_anyone() {
+        if receiver.is_some() || message.is_broadcast() {
             self.send_envelope(to, receiver, message, until);
         }
     }
 
     /// Sends to one life of a keeper and no other.
-    pub(crate) fn send_to_life(&mut self, to: KeeperLife, message: CoreMessage, until: Option<Instant>) {
+    pub(crate) fn send_to_life(&mut self, to: KeeperIncarnation, message: CoreMessage, until: Option<Instant>) {
         if to.id == self.me.id {
             self.inbox.push_back(message);
             return;
@@ -53,9 +53,15 @@
         self.send_envelope(to.id, Some(to), message, until);
     }
 
-    fn send_envelope(&mut self, to: NodeId, life: Option<KeeperLife>, message: CoreMessage, until: Option<Instant>) {
+    fn send_envelope(
+        &mut self,
+        to: NodeId,
+        life: Option<KeeperIncarnation>,
+        message: CoreMessage,
+        until: Option<Instant>,
+    ) {
         let Some(address) = self.address_of(to) else { return };
-        let receiver = life.filter(|_| !message.is_for_anyone());
+        let receiver = life.filter(|_| !message.is_broadcast());
         let envelope = self.envelope(receiver, message);
         self.plan.push(Effect::Send { address, envelope, until });
     }
@@ -66,13 +72,13 @@
         self.plan.push(Effect::Send { address, envelope, until: None });
     }
 
-    fn envelope(&self, to: Option<KeeperLife>, message: CoreMessage) -> Envelope {
-        Envelope { fleet: self.view.fleet, from: self.own_life(), to, message }
+    fn envelope(&self, to: Option<KeeperIncarnation>, message: CoreMessage) -> Envelope {
+        Envelope { fleet: self.view.fleet, from: self.own_incarnation(), to, message }
     }
 
-    fn known_life(&self, id: NodeId) -> Option<KeeperLife> {
+    fn known_life(&self, id: NodeId) -> Option<KeeperIncarnation> {
         let answered = self.answered.filter(|answered| answered.id == id);
-        answered.or_else(|| self.peers.get(&id).map(|peer| KeeperLife { id, life: peer.life }))
+        answered.or_else(|| self.peers.get(&id).map(|peer| KeeperIncarnation { id, life: peer.life }))
     }
 
     fn address_of(&self, node: NodeId) -> Option<String> {
@@ -95,8 +101,8 @@
         let own_fleet = self.view.fleet;
         let is_other_fleet = own_fleet != FleetId(0) && envelope.fleet != FleetId(0) && envelope.fleet != own_fleet;
         let is_addressed = match envelope.to {
-            Some(receiver) => receiver == self.own_life(),
-            None => envelope.message.is_for_anyone(),
+            Some(receiver) => receiver == self.own_incarnation(),
+            None => envelope.message.is_broadcast(),
         };
         !is_other_fleet && is_addressed && envelope.from.id != self.me.id
     }
@@ -115,10 +121,10 @@
             self.note("misdirected", detail);
         }
         let is_of_this_fleet = envelope.fleet == self.view.fleet && envelope.from.id != self.me.id;
-        let may_answer = self.misdirected.answered.is_none_or(|answered| now.since(answered) >= PULSE_SPAN);
+        let may_answer = self.misdirected.answered.is_none_or(|answered| now.since(answered) >= HEARTBEAT_INTERVAL);
         if is_of_this_fleet && envelope.to.is_some() && may_answer {
             self.misdirected.answered = Some(now);
-            let news = CoreMessage::Pulse(self.news(now));
+            let news = CoreMessage::Heartbeat(self.news(now));
             self.send(envelope.from.id, news);
         }
     }
--- a/crates/coordinator/src/asks.rs
+++ b/crates/coordinator/src/asks.rs
@@ -7,13 +7,13 @@
 
 #[derive(Clone, Debug)]
 pub struct Waiting {
-    question: Question,
+    question: CoreQuery,
     limit: Instant,
     asked: Instant,
 }
 
 impl Coordinator {
-    pub(crate) fn begin_ask(&mut self, ticket: u64, question: Question, limit: Instant, now: Instant) {
+    pub(crate) fn begin_ask(&mut self, ticket: u64, question: CoreQuery, limit: Instant, now: Instant) {
         let waiting = Waiting { question, limit, asked: now };
         self.send_ask(ticket, &waiting);
         self.waiting.insert(ticket, waiting);
@@ -22,13 +22,16 @@
     fn send_ask(&mut self, ticket: u64, waiting: &Waiting) {
         let (Some(head), Some(tail)) = (self.view.head(), self.view.tail()) else { return };
         let tail_question = match &waiting.question {
-            Question::Submit(submission) => {
+            CoreQuery::Submit(submission) => {
                 self.send(head, CoreMessage::Submit(submission.clone()));
-                Question::Settled { request: submission.request, fingerprint: submission.command.order_fingerprint() }
+                CoreQuery::Settled {
+                    request: submission.request,
+                    fingerprint: submission.command.order_fingerprint(),
+                }
             }
             other => other.clone(),
         };
-        self.send(tail, CoreMessage::Ask { ticket, question: tail_question });
+        self.send(tail, CoreMessage::Query { ticket, question: tail_question });
     }
 
     pub(crate) fn tend_asks(&mut self, now: Instant) {
@@ -43,41 +46,41 @@
             }
         }
         for ticket in run_out {
-            self.hear_outcome(ticket, AskOutcome::Unknown);
+            self.hear_outcome(ticket, QueryOutcome::Unknown);
         }
         for (ticket, waiting) in asked_again {
             self.send_ask(ticket, &waiting);
         }
     }
 
-    pub(crate) fn hear_outcome(&mut self, ticket: u64, outcome: AskOutcome) {
+    pub(crate) fn hear_outcome(&mut self, ticket: u64, outcome: QueryOutcome) {
         if self.waiting.remove(&ticket).is_some() {
             self.plan.push(Effect::Outcome { ticket, outcome });
         }
     }
 
     /// The tail's side.
-    pub(crate) fn hear_ask(&mut self, from: KeeperLife, ticket: u64, question: Question, now: Instant) {
+    pub(crate) fn hear_ask(&mut self, from: KeeperIncarnation, ticket: u64, question: CoreQuery, now: Instant) {
         if !self.tail_is_active(now) {
             return;
         }
         let read_until = self.read_until();
         let outcome = match question {
-            Question::Submit(_) => return,
-            Question::Settled { request, fingerprint } => {
+            CoreQuery::Submit(_) => return,
+            CoreQuery::Settled { request, fingerprint } => {
                 if let Some(tail) = self.tail.as_mut() {
                     let from = Requester::Keeper(from);
                     tail.await_settlement(PendingRequest { from, ticket, request, fingerprint, since: now });
                 }
                 return;
             }
-            Question::Configuration => {
+            CoreQuery::Configuration => {
                 let configuration = &self.log.state().configuration;
-                AskOutcome::Configuration { revision: configuration.revision, source: configuration.source.clone() }
+                QueryOutcome::Configuration { revision: configuration.revision, source: configuration.source.clone() }
             }
-            Question::State => AskOutcome::State(Box::new(self.log.state().without_claims())),
-            Question::Demand => AskOutcome::Demand(self.heard_demand(now)),
-            Question::Nodes => {
+            CoreQuery::State => QueryOutcome::State(Box::new(self.log.state().without_claims())),
+            CoreQuery::Demand => QueryOutcome::Demand(self.heard_demand(now)),
+            CoreQuery::Nodes => {
                 let Some(tail) = &self.tail else { return };
                 let reports = tail
                     .leases
@@ -88,7 +91,7 @@
                         lease_left: entry.until.since(now),
                     })
                     .collect();
-                AskOutcome::Nodes(reports)
+                QueryOutcome::Nodes(reports)
             }
         };
         self.send_to_life(from, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
--- a/crates/coordinator/src/chaining.rs
+++ b/crates/coordinator/src/chaining.rs
@@ -147,7 +147,7 @@
         self.store(Stored::Whole(self.whole));
         self.note("aligned", format!("view={} edition={}", self.aligned, self.log.last().edition));
         if let Some(successor) = self.view.after(self.me.id) {
-            let news = CoreMessage::Pulse(self.news(self.last_pulse));
+            let news = CoreMessage::Heartbeat(self.news(self.last_pulse));
             self.send(successor, news);
         }
     }
@@ -187,7 +187,12 @@
     }
 
     /// A successor whose log stood still behind ours between two pulses missed something.
-    pub(crate) fn resend_to_successor(&mut self, from: NodeId, news: &News, last_news: Option<&News>) {
+    pub(crate) fn resend_to_successor(
+        &mut self,
+        from: NodeId,
+        news: &KeeperStatus,
+        last_news: Option<&KeeperStatus>,
+    ) {
         let is_successor = self.view.after(self.me.id) == Some(from);
         let both_aligned = self.is_aligned() && news.aligned == self.view.number && news.view == self.view.number;
         let stood_still = last_news.is_some_and(|earlier| earlier.last == news.last);
--- a/crates/coordinator/src/composing.rs
+++ b/crates/coordinator/src/composing.rs
@@ -147,8 +147,8 @@
 
     /// A core still below its size takes newcomers quickly, and so does a chain that is too short to serve.
     pub(crate) fn steady_span(&self) -> Span {
-        let is_small = self.view.voters.len() < self.wishes.core_size.min(SMALL_CORE);
-        if is_small || !self.view.takes_writes() { PULSE_SPAN } else { STEADY_FOR }
+        let is_small = self.view.voters.len() < self.settings.core_size.min(SMALL_CORE);
+        if is_small || !self.view.takes_writes() { HEARTBEAT_INTERVAL } else { STEADY_FOR }
     }
 
     /// What the steady core would gladly change, one seat at a time.
@@ -174,12 +174,12 @@
             return Some(Growth::Join(voter));
         }
         let Some(spare) = spare else { return self.seat_given_up(now) };
-        let has_room = self.view.voters.len() < self.wishes.core_size;
+        let has_room = self.view.voters.len() < self.settings.core_size;
         let all_live = self.alive_voters(now) == self.view.voters.len();
-        if has_room && (all_live || !self.wishes.grows_freely) {
+        if has_room && (all_live || !self.settings.automatic_size) {
             return Some(Growth::Join(spare));
         }
-        let replace_after = self.wishes.timing.replace_after;
+        let replace_after = self.settings.timing.replace_after;
         let is_lost = |voter: &NodeId| {
             let silence = self.silence(*voter, now);
             let came_back_empty = self.has_address_of(spare, *voter) && silence >= SUSPECT_AFTER;
@@ -203,10 +203,10 @@
 
     /// An empty seat that can be spared is given up.
     fn seat_given_up(&self, now: Instant) -> Option<Growth> {
-        if !self.wishes.grows_freely || !self.can_spare_a_seat() {
+        if !self.settings.automatic_size || !self.can_spare_a_seat() {
             return None;
         }
-        let give_up_after = self.wishes.timing.replace_after.times(GIVE_UP_FACTOR);
+        let give_up_after = self.settings.timing.replace_after.times(GIVE_UP_FACTOR);
         let gone = self.view.voters.iter().copied().find(|voter| self.silence(*voter, now) >= give_up_after)?;
         Some(Growth::GiveUp(gone))
     }
--- a/crates/coordinator/src/dispatch.rs
+++ b/crates/coordinator/src/dispatch.rs
@@ -6,7 +6,7 @@
 /// Passes the effects of one plan on, in order, and keeps what was to go to nodes and did not.
 #[derive(Debug, Default)]
 pub struct Dispatch {
-    unsent: BTreeMap<NodeId, Vec<NodeDown>>,
+    unsent: BTreeMap<NodeId, Vec<KeeperToAgent>>,
 }
 
 impl Dispatch {
@@ -15,13 +15,13 @@
     pub fn admit(&mut self, effect: Effect, now: Instant) -> Option<Effect> {
         match effect {
             Effect::Send { until: Some(until), .. } if now >= until => None,
-            Effect::Tell { node, message, until } => {
+            Effect::SendToNode { node, message, until } => {
                 let is_late = until.is_some_and(|until| now >= until);
                 if is_late || self.unsent.contains_key(&node) {
                     self.unsent.entry(node).or_default().push(message);
                     return None;
                 }
-                Some(Effect::Tell { node, message, until })
+                Some(Effect::SendToNode { node, message, until })
             }
             other => Some(other),
         }
--- a/crates/coordinator/src/duties.rs
+++ b/crates/coordinator/src/duties.rs
@@ -28,7 +28,7 @@
     /// A chain member asks the tail for the lease on its duties.
     pub(crate) fn ask_duty(&mut self, now: Instant) {
         if let Some(tail) = self.view.tail().filter(|_| self.view.in_chain(self.me.id)) {
-            self.send(tail, CoreMessage::DutyAsk { sent: now });
+            self.send(tail, CoreMessage::DutyLeaseRequest { sent: now });
         }
     }
 
@@ -43,7 +43,7 @@
         if self.view.tail() != Some(from) || self.retired || !self.asked_itself(sent) {
             return;
         }
-        self.duty_lease.renew(sent, self.wishes.timing.duty_lease);
+        self.duty_lease.renew(sent, self.settings.timing.duty_lease);
         self.duties.retain(|kind, held| duties.contains(&(*kind, held.term)));
         for (kind, term) in duties {
             self.duties.entry(kind).or_insert(HeldDuty { term, first_known: now });
@@ -57,16 +57,16 @@
     }
 
     /// The term under which this keeper may have the state changed for a duty, and until when.
-    pub fn is_named_for(&self, kind: DutyKind, now: Instant) -> Option<(Term, Instant)> {
+    pub fn leased_duty(&self, kind: DutyKind, now: Instant) -> Option<(Term, Instant)> {
         let held = self.duties.get(&kind)?;
         self.duty_lease.holds(now).then(|| (held.term, self.duty_lease.until()))
     }
 
     /// The term under which this keeper may act outside, and until when; checked last before acting.
-    pub fn holds_duty(&self, kind: DutyKind, now: Instant) -> Option<(Term, Instant)> {
+    pub fn actionable_duty(&self, kind: DutyKind, now: Instant) -> Option<(Term, Instant)> {
         let held = self.duties.get(&kind)?;
         let has_forerunner = held.term > Term(1);
-        let orders_gap = self.wishes.timing.duty_gap;
+        let orders_gap = self.settings.timing.duty_gap;
         let gap = if kind == DutyKind::Conductor && has_forerunner { orders_gap } else { Span(0) };
         let may_act = self.duty_lease.holds(now) && now >= held.first_known + gap;
         may_act.then(|| (held.term, self.duty_lease.until()))
@@ -116,9 +116,9 @@
         let held = self.log.state().duties.iter().filter(|(_, duty)| duty.holder == from);
         let duties: Vec<(DutyKind, Term)> = held.map(|(kind, duty)| (*kind, duty.term)).collect();
         if let Some(tail) = self.tail.as_mut() {
-            tail.duty_until.insert(from, now + self.wishes.timing.duty_lease + LEASE_MARGIN);
+            tail.duty_until.insert(from, now + self.settings.timing.duty_lease + LEASE_MARGIN);
         }
-        self.send_until(from, CoreMessage::DutyGiven { sent, duties }, Some(read_until));
+        self.send_until(from, CoreMessage::DutyLeaseGranted { sent, duties }, Some(read_until));
     }
 
     /// Whether a keeper hears us, and most others: one that does not would never get what it is granted.
--- a/crates/coordinator/src/leaving.rs
+++ b/crates/coordinator/src/leaving.rs
@@ -4,9 +4,9 @@
 use crate::prelude::*;
 
 /// How long a stopping keeper waits at the most until the others have agreed to do without it.
-pub const LEAVING_LIMIT: Span = Span::millis(2500);
+pub const LEAVE_TIMEOUT: Span = Span::millis(2500);
 /// How long a stopping keeper that has left still passes things on, and its operators are answered.
-pub const PARTING_SPAN: Span = Span::millis(300);
+pub const DRAIN_PERIOD: Span = Span::millis(300);
 
 impl Coordinator {
     /// Stops acting on duties at once, names a successor for each, and has the others agree on a view without
@@ -26,7 +26,7 @@
     }
 
     /// Why a keeper that is to stop still stands in the chain.
-    pub fn reason_to_stay(&self, now: Instant) -> &'static str {
+    pub fn leave_blocker(&self, now: Instant) -> &'static str {
         if self.alive_voters(now) < self.view.majority() {
             return "no majority of the voters is heard";
         }
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-pub const PULSE_SPAN: Span = Span::millis(200);
+pub const HEARTBEAT_INTERVAL: Span = Span::millis(200);
 const DATED_RECORDS: usize = 1024;
 /// Longer than any router goes on with weights that gave way.
 const KEPT_WEIGHTS_SPAN: Span = Span::seconds(60);
@@ -12,14 +12,14 @@
 const FORGET_AFTER: Span = Span::seconds(30);
 
 #[derive(Clone, Debug, Default)]
-pub struct Wishes {
+pub struct CoordinatorSettings {
     /// Whether leases are granted only on a listing that this keeper has read itself of late.
-    pub has_census: bool,
+    pub requires_fresh_listing: bool,
     /// How many voters the core grows to.
     pub core_size: usize,
     /// Whether nobody says how many voters there will be: a newcomer then adds a seat only while every voter
     /// lives, and takes a dead one's seat otherwise; and a seat that stays empty is given up.
-    pub grows_freely: bool,
+    pub automatic_size: bool,
     pub seeds: Vec<String>,
     pub timing: Timing,
 }
@@ -28,7 +28,7 @@
 pub(crate) struct Peer {
     /// Which life of its process was heard last.
     pub(crate) life: u64,
-    pub(crate) news: Option<News>,
+    pub(crate) news: Option<KeeperStatus>,
     pub(crate) last_heard: Instant,
     /// Since when it has been heard without a break.
     pub(crate) heard_since: Instant,
@@ -42,9 +42,9 @@
     /// Differs for each life of the process.
     pub(crate) life: u64,
     /// The keeper whose message is being answered.
-    pub(crate) answered: Option<KeeperLife>,
+    pub(crate) answered: Option<KeeperIncarnation>,
     pub(crate) misdirected: Misdirected,
-    pub(crate) wishes: Wishes,
+    pub(crate) settings: CoordinatorSettings,
     pub(crate) view: View,
     pub(crate) vote: Vote,
     pub(crate) sealed_since: Instant,
@@ -85,7 +85,13 @@
 
 impl Coordinator {
     /// A keeper with what its folder holds; `life` differs for each life of the process.
-    pub fn restore(me: Member, kept: Kept, wishes: Wishes, life: u64, now: Instant) -> Coordinator {
+    pub fn restore(
+        me: Member,
+        kept: PersistedState,
+        settings: CoordinatorSettings,
+        life: u64,
+        now: Instant,
+    ) -> Coordinator {
         let view = kept.view.unwrap_or_default();
         let acquaintances = view.members.iter().map(|member| (member.id, member.clone())).collect();
         let mut restored = Coordinator {
@@ -93,7 +99,7 @@
             life,
             answered: None,
             misdirected: Misdirected::default(),
-            wishes,
+            settings,
             view,
             vote: kept.vote,
             sealed_since: now,
@@ -134,12 +140,17 @@
     }
 
     /// What a founder's folder holds at first: a view of one, and the founding document.
-    pub fn founding(me: &Member, fleet: FleetId, founding_state: FleetState) -> Vec<Stored> {
-        Coordinator::founding_for(me, fleet, founding_state, View::default().tolerance)
+    pub fn bootstrap(me: &Member, fleet: FleetId, founding_state: FleetState) -> Vec<Stored> {
+        Coordinator::bootstrap_with_tolerance(me, fleet, founding_state, View::default().tolerance)
     }
 
     /// The same, for a fleet that bears the loss of so many machines with their disks.
-    pub fn founding_for(me: &Member, fleet: FleetId, founding_state: FleetState, tolerance: u64) -> Vec<Stored> {
+    pub fn bootstrap_with_tolerance(
+        me: &Member,
+        fleet: FleetId,
+        founding_state: FleetState,
+        tolerance: u64,
+    ) -> Vec<Stored> {
         let first_view = View {
             fleet,
             number: FOUNDING_VIEW,
@@ -162,19 +173,19 @@
 
     pub fn step(&mut self, input: Input, now: Instant) -> Vec<Effect> {
         match input {
-            Input::Pulse => self.pulse(now),
+            Input::Tick => self.pulse(now),
             Input::Peer(envelope) => self.receive(envelope, now),
             Input::Node { node, message } => self.hear_node(node, message, now),
-            Input::NodeGone { node } => self.lose_node(node),
+            Input::NodeDisconnected { node } => self.lose_node(node),
             Input::NotSent { node, messages } => self.take_back(node, &messages),
-            Input::Ask { ticket, question, limit } => self.begin_ask(ticket, question, limit, now),
+            Input::Query { ticket, question, limit } => self.begin_ask(ticket, question, limit, now),
             Input::ListingRead { read, asked } => self.listing_check.note_reading(read, asked),
             Input::Retire => self.retire(now),
             Input::HandOver(kind) => self.hand_over(kind, now),
-            Input::Seeds(seeds) => self.wishes.seeds = seeds,
+            Input::Seeds(seeds) => self.settings.seeds = seeds,
         }
         while let Some(own_message) = self.inbox.pop_front() {
-            self.hear(self.own_life(), own_message, now);
+            self.hear(self.own_incarnation(), own_message, now);
         }
         self.date_records(now);
         self.tend_tail(now);
@@ -237,33 +248,33 @@
     }
 
     pub(crate) fn note(&mut self, event: &'static str, detail: String) {
-        self.plan.push(Effect::Note { event, detail });
+        self.plan.push(Effect::LogEvent { event, detail });
     }
 
     /// Tells a node's agent; carried out later than `until`, it is dropped.
-    pub(crate) fn tell(&mut self, node: NodeId, message: NodeDown, until: Option<Instant>) {
-        self.plan.push(Effect::Tell { node, message, until });
+    pub(crate) fn tell(&mut self, node: NodeId, message: KeeperToAgent, until: Option<Instant>) {
+        self.plan.push(Effect::SendToNode { node, message, until });
     }
 
-    pub(crate) fn hear(&mut self, sender: KeeperLife, message: CoreMessage, now: Instant) {
+    pub(crate) fn hear(&mut self, sender: KeeperIncarnation, message: CoreMessage, now: Instant) {
         let from = sender.id;
         match message {
-            CoreMessage::Pulse(news) => self.hear_news(sender, news, now),
+            CoreMessage::Heartbeat(news) => self.hear_news(sender, news, now),
             CoreMessage::View(view_message) => self.hear_view(from, view_message, now),
             CoreMessage::Chain(chain_message) => self.hear_chain(from, chain_message, now),
-            CoreMessage::ReadLeaseAsk { view, sent } => self.hear_read_lease_ask(from, view, sent),
-            CoreMessage::ReadLeaseGiven { view, sent } => self.hear_read_lease_given(from, view, sent),
+            CoreMessage::ReadLeaseRequest { view, sent } => self.hear_read_lease_ask(from, view, sent),
+            CoreMessage::ReadLeaseGranted { view, sent } => self.hear_read_lease_given(from, view, sent),
             CoreMessage::Retired { view } => self.hear_retired(from, view, now),
-            CoreMessage::DutyAsk { sent } => self.hear_duty_ask(from, sent, now),
-            CoreMessage::DutyGiven { sent, duties } => self.hear_duty_given(from, sent, duties, now),
+            CoreMessage::DutyLeaseRequest { sent } => self.hear_duty_ask(from, sent, now),
+            CoreMessage::DutyLeaseGranted { sent, duties } => self.hear_duty_given(from, sent, duties, now),
             CoreMessage::Submit(submission) => self.hear_submit(submission),
-            CoreMessage::Ask { ticket, question } => self.hear_ask(sender, ticket, question, now),
+            CoreMessage::Query { ticket, question } => self.hear_ask(sender, ticket, question, now),
             CoreMessage::Outcome { ticket, outcome } => self.hear_outcome(ticket, outcome),
         }
     }
 
     fn pulse(&mut self, now: Instant) {
-        if now.since(self.last_pulse) >= PULSE_SPAN {
+        if now.since(self.last_pulse) >= HEARTBEAT_INTERVAL {
             self.last_pulse = now;
             self.tell_news(now);
             self.ask_to_be_levelled(now);
@@ -275,8 +286,8 @@
         self.tend_asks(now);
     }
 
-    pub(crate) fn news(&self, now: Instant) -> News {
-        News {
+    pub(crate) fn news(&self, now: Instant) -> KeeperStatus {
+        KeeperStatus {
             member: self.me.clone(),
             fleet: self.view.fleet,
             view: self.view.number,
@@ -286,12 +297,12 @@
             committed: self.committed,
             tail_active: self.tail_is_active(now),
             leaving: self.retired,
-            hears: self.alive(now),
+            hears: self.live_keepers(now),
         }
     }
 
     pub(crate) fn tell_news(&mut self, now: Instant) {
-        let message = CoreMessage::Pulse(self.news(now));
+        let message = CoreMessage::Heartbeat(self.news(now));
         let told_members: Vec<NodeId> =
             self.acquaintances.keys().copied().filter(|member| *member != self.me.id).collect();
         for member in told_members {
@@ -299,7 +310,7 @@
         }
         let heard_few = !self.has_view() || self.alive_voters(now) < self.view.majority();
         if heard_few {
-            for address in self.wishes.seeds.clone() {
+            for address in self.settings.seeds.clone() {
                 if address != self.me.address {
                     self.knock(address, message.clone());
                 }
@@ -307,7 +318,7 @@
         }
     }
 
-    fn hear_news(&mut self, sender: KeeperLife, news: News, now: Instant) {
+    fn hear_news(&mut self, sender: KeeperIncarnation, news: KeeperStatus, now: Instant) {
         let from = sender.id;
         if from == self.me.id {
             return;
@@ -321,7 +332,7 @@
         let last_news = self.note_heard(sender, &news, now);
         if is_new_life {
             // It must know this life before it can ask or answer anything.
-            let own_news = CoreMessage::Pulse(self.news(now));
+            let own_news = CoreMessage::Heartbeat(self.news(now));
             self.send(from, own_news);
             self.ask_read_lease(now);
         }
@@ -341,7 +352,7 @@
     }
 
     /// Notes that a peer was heard, and what it said before.
-    fn note_heard(&mut self, sender: KeeperLife, news: &News, now: Instant) -> Option<News> {
+    fn note_heard(&mut self, sender: KeeperIncarnation, news: &KeeperStatus, now: Instant) -> Option<KeeperStatus> {
         let heard_first =
             Peer { life: sender.life, news: None, last_heard: now, heard_since: now, stands_since: None };
         let peer = self.peers.entry(sender.id).or_insert(heard_first.clone());
@@ -377,8 +388,8 @@
     }
 
     /// How soon after a pulse the next is due: sooner while something is under way or somebody is silent.
-    pub fn pulse_span(&self, now: Instant) -> Span {
-        let is_silent = |node: &NodeId| self.silence(*node, now) >= PULSE_SPAN.times(2);
+    pub fn tick_interval(&self, now: Instant) -> Span {
+        let is_silent = |node: &NodeId| self.silence(*node, now) >= HEARTBEAT_INTERVAL.times(2);
         let tail_waits = self
             .tail
             .as_ref()
@@ -390,7 +401,7 @@
             || !self.waiting.is_empty()
             || !self.has_view()
             || self.view.voters.iter().any(is_silent);
-        if is_busy { BUSY_PULSE } else { PULSE_SPAN }
+        if is_busy { BUSY_PULSE } else { HEARTBEAT_INTERVAL }
     }
 
     pub(crate) fn is_alive(&self, node: NodeId, now: Instant) -> bool {
@@ -398,7 +409,7 @@
     }
 
     /// Everybody heard of lately, this keeper included.
-    pub fn alive(&self, now: Instant) -> Vec<NodeId> {
+    pub fn live_keepers(&self, now: Instant) -> Vec<NodeId> {
         let heard_peers = self.peers.keys().copied().filter(|peer| self.is_alive(*peer, now));
         heard_peers.chain([self.me.id]).collect()
     }
@@ -415,7 +426,7 @@
         now.since(self.peers.get(&node).map_or(self.began, |peer| peer.last_heard))
     }
 
-    pub(crate) fn peer_news(&self, node: NodeId) -> Option<&News> {
+    pub(crate) fn peer_news(&self, node: NodeId) -> Option<&KeeperStatus> {
         self.peers.get(&node).and_then(|peer| peer.news.as_ref())
     }
 }
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -5,7 +5,7 @@
 /// One life of a keeper's process on one disk. A keeper that starts again has another life, and one whose disk
 /// was lost another id, though it answers at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct KeeperLife {
+pub struct KeeperIncarnation {
     pub id: NodeId,
     pub life: u64,
 }
@@ -16,15 +16,15 @@
 pub struct Envelope {
     /// Zero while the sender belongs to no fleet.
     pub fleet: FleetId,
-    pub from: KeeperLife,
-    /// Nobody in particular for what is true whoever hears it (`CoreMessage::is_for_anyone`).
-    pub to: Option<KeeperLife>,
+    pub from: KeeperIncarnation,
+    /// Nobody in particular for what is true whoever hears it (`CoreMessage::is_broadcast`).
+    pub to: Option<KeeperIncarnation>,
     pub message: CoreMessage,
 }
 
 /// What a keeper tells every other it knows, at each pulse.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct KeeperStatus {
     pub member: Member,
     pub fleet: FleetId,
     pub view: ViewNumber,
@@ -41,14 +41,17 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoreMessage {
-    Pulse(News),
+    #[serde(rename = "Pulse")]
+    Heartbeat(KeeperStatus),
     View(ViewMessage),
     Chain(ChainMessage),
-    ReadLeaseAsk {
+    #[serde(rename = "ReadLeaseAsk")]
+    ReadLeaseRequest {
         view: ViewNumber,
         sent: Instant,
     },
-    ReadLeaseGiven {
+    #[serde(rename = "ReadLeaseGiven")]
+    ReadLeaseGranted {
         view: ViewNumber,
         sent: Instant,
     },
@@ -56,34 +59,37 @@
     Retired {
         view: ViewNumber,
     },
-    DutyAsk {
+    #[serde(rename = "DutyAsk")]
+    DutyLeaseRequest {
         sent: Instant,
     },
-    DutyGiven {
+    #[serde(rename = "DutyGiven")]
+    DutyLeaseGranted {
         sent: Instant,
         duties: Vec<(DutyKind, Term)>,
     },
     Submit(Submission),
-    Ask {
+    #[serde(rename = "Ask")]
+    Query {
         ticket: u64,
-        question: Question,
+        question: CoreQuery,
     },
     Outcome {
         ticket: u64,
-        outcome: AskOutcome,
+        outcome: QueryOutcome,
     },
 }
 
 impl CoreMessage {
-    /// News are about their sender alone, and a decided view is the same for everyone: both are told before the
+    /// KeeperStatus are about their sender alone, and a decided view is the same for everyone: both are told before the
     /// receiver's life is known.
-    pub fn is_for_anyone(&self) -> bool {
-        matches!(self, CoreMessage::Pulse(_) | CoreMessage::View(ViewMessage::Decided(_)))
+    pub fn is_broadcast(&self) -> bool {
+        matches!(self, CoreMessage::Heartbeat(_) | CoreMessage::View(ViewMessage::Decided(_)))
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Question {
+pub enum CoreQuery {
     /// Take this command, and answer once it is in force.
     Submit(Submission),
     /// How was this request settled? Under a fingerprint: if it was this that was submitted.
@@ -100,7 +106,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum AskOutcome {
+pub enum QueryOutcome {
     Settled(Settled),
     State(Box<FleetState>),
     Nodes(Vec<NodeReport>),
@@ -133,7 +139,7 @@
 
 /// From a node's agent to a keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum NodeUp {
+pub enum AgentToKeeper {
     /// `router` is the router behind the agent, and where callers reach it.
     Renew {
         sent: Instant,
@@ -156,7 +162,7 @@
 
 /// From a keeper to a node's agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum NodeDown {
+pub enum KeeperToAgent {
     /// "I am not the tail"; the view says who is.
     #[serde(rename = "Whereabouts")]
     Membership(View),
@@ -193,24 +199,24 @@
 
 #[derive(Clone, Debug)]
 pub enum Input {
-    Pulse,
+    Tick,
     /// Another keeper's message, as it arrived at this keeper's address.
     Peer(Envelope),
     Node {
         node: NodeId,
-        message: NodeUp,
+        message: AgentToKeeper,
     },
-    NodeGone {
+    NodeDisconnected {
         node: NodeId,
     },
     /// What was planned for a node, and was dropped since it had come too late; in the order of the plan.
     NotSent {
         node: NodeId,
-        messages: Vec<NodeDown>,
+        messages: Vec<KeeperToAgent>,
     },
-    Ask {
+    Query {
         ticket: u64,
-        question: Question,
+        question: CoreQuery,
         limit: Instant,
     },
     /// The platform's listing as this keeper read it, or nothing if it could not; `asked` is when the
@@ -246,14 +252,14 @@
 pub enum Effect {
     Store(Stored),
     Send { address: String, envelope: Envelope, until: Option<Instant> },
-    Tell { node: NodeId, message: NodeDown, until: Option<Instant> },
-    Outcome { ticket: u64, outcome: AskOutcome },
-    Note { event: &'static str, detail: String },
+    SendToNode { node: NodeId, message: KeeperToAgent, until: Option<Instant> },
+    Outcome { ticket: u64, outcome: QueryOutcome },
+    LogEvent { event: &'static str, detail: String },
 }
 
 /// What a keeper finds in its data folder.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct PersistedState {
     pub view: Option<View>,
     pub vote: Vote,
     pub aligned: ViewNumber,
--- a/crates/coordinator/src/prelude.rs
+++ b/crates/coordinator/src/prelude.rs
@@ -9,7 +9,7 @@
 pub use crate::machine::*;
 pub use crate::messages::*;
 pub(crate) use crate::tail::*;
-pub use crate::viewing::list_ids;
+pub use crate::viewing::join_ids;
 pub use adapters::prelude::{DemandReport, HeardDemand};
 pub use chain::prelude::{Ages, ChainMessage, Log, Record};
 pub use desired::prelude::{
--- a/crates/coordinator/src/tail/listing_check.rs
+++ b/crates/coordinator/src/tail/listing_check.rs
@@ -69,6 +69,6 @@
 
     /// Whether leases may be granted to a node that has applied so much.
     pub(crate) fn listing_is_fresh(&self, applied: Edition, now: Instant) -> bool {
-        !self.wishes.has_census || self.listing_check.is_fresh(applied, now)
+        !self.settings.requires_fresh_listing || self.listing_check.is_fresh(applied, now)
     }
 }
--- a/crates/coordinator/src/tail/mod.rs
+++ b/crates/coordinator/src/tail/mod.rs
@@ -153,7 +153,7 @@
             self.send(next_tail, CoreMessage::Retired { view: self.view.number });
         }
         for node in tail.pushed.keys() {
-            self.tell(*node, NodeDown::Membership(self.view.clone()), None);
+            self.tell(*node, KeeperToAgent::Membership(self.view.clone()), None);
         }
     }
 
@@ -191,8 +191,8 @@
         let last_edition = self.log.last().edition;
         let Some(tail) = self.tail.as_mut() else { return };
         tail.begun = true;
-        tail.appoints_from = now + self.wishes.timing.duty_lease + LEASE_MARGIN;
-        tail.leases = NodeLeases::begin_under(self.wishes.timing, last_edition, now);
+        tail.appoints_from = now + self.settings.timing.duty_lease + LEASE_MARGIN;
+        tail.leases = NodeLeases::begin_under(self.settings.timing, last_edition, now);
         tail.due = last_edition;
         self.store(Stored::Begun(self.view.number));
         self.note("tail_begins", format!("view={} edition={last_edition}", self.view.number));
@@ -202,11 +202,11 @@
     fn commit_last(&mut self, now: Instant) {
         let last_edition = self.log.last().edition;
         let Some(tail) = self.tail.as_mut() else { return };
-        tail.advance_due(last_edition, self.wishes.timing.lag_limit, now);
+        tail.advance_due(last_edition, self.settings.timing.lag_limit, now);
         let left_behind = tail.left_behind_anew(last_edition, now);
         self.committed = last_edition;
         if let Some((edition, nodes)) = left_behind {
-            self.note("counted_without", format!("edition={edition} nodes={}", list_ids(&nodes)));
+            self.note("counted_without", format!("edition={edition} nodes={}", join_ids(&nodes)));
         }
     }
 }
--- a/crates/coordinator/src/tail/node_views.rs
+++ b/crates/coordinator/src/tail/node_views.rs
@@ -13,8 +13,8 @@
         let Some(tail) = self.tail.as_mut() else { return };
         for (node, place) in tail.pushed.iter_mut().filter(|(_, place)| place.view != view_number) {
             place.view = view_number;
-            let message = NodeDown::Membership(self.view.clone());
-            self.plan.push(Effect::Tell { node: *node, message, until: None });
+            let message = KeeperToAgent::Membership(self.view.clone());
+            self.plan.push(Effect::SendToNode { node: *node, message, until: None });
         }
     }
 }
--- a/crates/coordinator/src/tail/nodes.rs
+++ b/crates/coordinator/src/tail/nodes.rs
@@ -19,17 +19,17 @@
 
 impl Coordinator {
     /// A node's message; one that comes to a keeper which is not the acting tail is told who that is.
-    pub(crate) fn hear_node(&mut self, node: NodeId, message: NodeUp, now: Instant) {
+    pub(crate) fn hear_node(&mut self, node: NodeId, message: AgentToKeeper, now: Instant) {
         if !self.tail_is_active(now) {
-            self.tell(node, NodeDown::Membership(self.view.clone()), None);
+            self.tell(node, KeeperToAgent::Membership(self.view.clone()), None);
             return;
         }
         self.compare_listing();
         match message {
-            NodeUp::Submit { ticket, submission } => self.hear_claim(node, ticket, submission, now),
-            NodeUp::Applied { edition } => self.hear_applied(node, edition),
-            NodeUp::Demand(report) => self.hear_demand(node, report, now),
-            NodeUp::Renew { sent, applied, life, router } => {
+            AgentToKeeper::Submit { ticket, submission } => self.hear_claim(node, ticket, submission, now),
+            AgentToKeeper::Applied { edition } => self.hear_applied(node, edition),
+            AgentToKeeper::Demand(report) => self.hear_demand(node, report, now),
+            AgentToKeeper::Renew { sent, applied, life, router } => {
                 self.hear_renewal(node, Renewal { sent, applied, life, router }, now);
             }
         }
@@ -55,20 +55,20 @@
         let known_edition = applied.filter(|edition| *edition <= last_edition);
         let core_is_fresh = self.listing_is_fresh(last_edition, now);
         let node_is_fresh = self.listing_is_fresh(applied.unwrap_or_default(), now);
-        let span = self.wishes.timing.node_lease;
-        let undisturbed = now.since(self.last_disturbance(now));
+        let span = self.settings.timing.node_lease;
+        let undisturbed = now.since(self.last_liveness_change(now));
         let read_until = self.read_until();
         let Some(tail) = self.tail.as_mut() else { return };
         tail.note_place(node, life, known_edition);
         let same_address = tail.routers.same_address(node, router.as_ref());
         tail.routers.note(node, router, now);
         let message = if !core_is_fresh {
-            NodeDown::NotNow
+            KeeperToAgent::NotNow
         } else if node_is_fresh && tail.renew_lease(node, known_edition, now) {
             same_address.into_iter().for_each(|earlier| tail.leases.forget(earlier));
-            NodeDown::Granted { sent, span, life, undisturbed }
+            KeeperToAgent::Granted { sent, span, life, undisturbed }
         } else {
-            NodeDown::Behind
+            KeeperToAgent::Behind
         };
         self.tell(node, message, Some(read_until));
     }
@@ -84,7 +84,7 @@
 
     /// When a core machine was last seen to come or go: this one's own start, a peer's return, or the last
     /// word of one that is silent.
-    pub fn last_disturbance(&self, now: Instant) -> Instant {
+    pub fn last_liveness_change(&self, now: Instant) -> Instant {
         let of_peers = self.peers.iter().map(|(node, peer)| {
             let is_silent = !self.is_alive(*node, now);
             if is_silent { peer.last_heard } else { peer.heard_since }
--- a/crates/coordinator/src/tail/pushes.rs
+++ b/crates/coordinator/src/tail/pushes.rs
@@ -16,17 +16,20 @@
 
 impl PushPlace {
     /// A message for this node was planned and never sent.
-    fn take_back(&mut self, message: &NodeDown) {
+    fn take_back(&mut self, message: &KeeperToAgent) {
         match message {
-            NodeDown::Push { number, .. } => {
+            KeeperToAgent::Push { number, .. } => {
                 let before = Edition(number.0.saturating_sub(1));
                 self.pushed = self.pushed.min(Some(before));
             }
-            NodeDown::Snapshot { .. } => self.pushed = None,
-            NodeDown::Routers(_) => self.routers = NO_ROUTER_LIST,
-            NodeDown::Membership(_) => self.view = NO_VIEW,
+            KeeperToAgent::Snapshot { .. } => self.pushed = None,
+            KeeperToAgent::Routers(_) => self.routers = NO_ROUTER_LIST,
+            KeeperToAgent::Membership(_) => self.view = NO_VIEW,
             // The rest is asked for again, or said again anyway.
-            NodeDown::Granted { .. } | NodeDown::NotNow | NodeDown::Behind | NodeDown::Settled { .. } => {}
+            KeeperToAgent::Granted { .. }
+            | KeeperToAgent::NotNow
+            | KeeperToAgent::Behind
+            | KeeperToAgent::Settled { .. } => {}
         }
     }
 }
@@ -69,28 +72,28 @@
     }
 
     /// The changes after an edition, or a snapshot if the log does not reach back to it.
-    fn news_after(&self, pushed: Option<Edition>, now: Instant) -> Vec<NodeDown> {
+    fn news_after(&self, pushed: Option<Edition>, now: Instant) -> Vec<KeeperToAgent> {
         match pushed.and_then(|edition| self.log.after(edition)) {
             Some(records) => records.into_iter().map(|record| self.push_of(record, now)).collect(),
             None => vec![self.snapshot(now)],
         }
     }
 
-    fn push_of(&self, record: Record, now: Instant) -> NodeDown {
+    fn push_of(&self, record: Record, now: Instant) -> KeeperToAgent {
         let number = record.mark.edition;
         let age = self.committed_at.get(&number).map(|committed| now.since(*committed));
-        NodeDown::Push { number, submission: for_routers(record.submission), age }
+        KeeperToAgent::Push { number, submission: for_routers(record.submission), age }
     }
 
-    fn snapshot(&self, now: Instant) -> NodeDown {
+    fn snapshot(&self, now: Instant) -> KeeperToAgent {
         let gave_way = self.gave_way.iter();
         let gave_way =
             gave_way.map(|((model, weights), since)| (model.clone(), *weights, now.since(*since))).collect();
-        NodeDown::Snapshot { state: Box::new(self.log.state().without_claims()), gave_way }
+        KeeperToAgent::Snapshot { state: Box::new(self.log.state().without_claims()), gave_way }
     }
 
     /// What was dropped is pushed again from there on, as soon as this tail acts.
-    pub(crate) fn take_back(&mut self, node: NodeId, messages: &[NodeDown]) {
+    pub(crate) fn take_back(&mut self, node: NodeId, messages: &[KeeperToAgent]) {
         let Some(place) = self.tail.as_mut().and_then(|tail| tail.pushed.get_mut(&node)) else { return };
         for message in messages {
             place.take_back(message);
--- a/crates/coordinator/src/tail/read_lease.rs
+++ b/crates/coordinator/src/tail/read_lease.rs
@@ -15,7 +15,7 @@
             return;
         }
         for voter in self.view.voters.clone() {
-            self.send(voter, CoreMessage::ReadLeaseAsk { view: self.view.number, sent: now });
+            self.send(voter, CoreMessage::ReadLeaseRequest { view: self.view.number, sent: now });
         }
     }
 
@@ -26,7 +26,7 @@
             && !self.sealed()
             && self.view.votes(self.me.id);
         if agrees {
-            self.send(from, CoreMessage::ReadLeaseGiven { view, sent });
+            self.send(from, CoreMessage::ReadLeaseGranted { view, sent });
         }
     }
 
--- a/crates/coordinator/src/tail/router_list.rs
+++ b/crates/coordinator/src/tail/router_list.rs
@@ -90,8 +90,8 @@
         let number = tail.routers.number;
         for (node, place) in tail.pushed.iter_mut().filter(|(_, place)| place.routers != number) {
             place.routers = number;
-            let message = NodeDown::Routers(tail.routers.told.clone());
-            self.plan.push(Effect::Tell { node: *node, message, until: Some(read_until) });
+            let message = KeeperToAgent::Routers(tail.routers.told.clone());
+            self.plan.push(Effect::SendToNode { node: *node, message, until: Some(read_until) });
         }
     }
 }
--- a/crates/coordinator/src/tail/settlements.rs
+++ b/crates/coordinator/src/tail/settlements.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Requester {
     /// A keeper, for an operator; until the change is in force.
-    Keeper(KeeperLife),
+    Keeper(KeeperIncarnation),
     /// A node; until the change is committed.
     Node(NodeId),
 }
@@ -74,10 +74,10 @@
         let ticket = pending.ticket;
         match pending.from {
             Requester::Keeper(keeper) => {
-                let outcome = AskOutcome::Settled(outcome);
+                let outcome = QueryOutcome::Settled(outcome);
                 self.send_to_life(keeper, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
             }
-            Requester::Node(node) => self.tell(node, NodeDown::Settled { ticket, outcome }, Some(read_until)),
+            Requester::Node(node) => self.tell(node, KeeperToAgent::Settled { ticket, outcome }, Some(read_until)),
         }
     }
 
--- a/crates/coordinator/src/viewing.rs
+++ b/crates/coordinator/src/viewing.rs
@@ -113,7 +113,7 @@
 
     /// Notes since when a member that is heard does not do its part: our successor that stays behind us,
     /// or a tail that does not act.
-    pub(crate) fn watch_wellness(&mut self, from: NodeId, news: &News, now: Instant) {
+    pub(crate) fn watch_wellness(&mut self, from: NodeId, news: &KeeperStatus, now: Instant) {
         let is_successor = self.view.after(self.me.id) == Some(from);
         let is_behind = news.aligned != self.view.number || news.last.edition < self.log.last().edition;
         let stuck = is_successor && self.is_aligned() && is_behind;
@@ -147,7 +147,7 @@
     }
 
     /// A newcomer must hear every living chain member and be heard by every one: any may become its neighbour.
-    pub(crate) fn hears_and_is_heard(&self, node: NodeId, news: &News, now: Instant) -> bool {
+    pub(crate) fn hears_and_is_heard(&self, node: NodeId, news: &KeeperStatus, now: Instant) -> bool {
         self.view.chain.iter().filter(|member| self.is_alive(**member, now)).all(|member| {
             let is_heard = match *member == self.me.id {
                 true => self.is_alive(node, now),
@@ -255,8 +255,8 @@
             format!(
                 "view={} chain={} voters={}",
                 self.view.number,
-                list_ids(&self.view.chain),
-                list_ids(&self.view.voters)
+                join_ids(&self.view.chain),
+                join_ids(&self.view.voters)
             ),
         );
         self.move_tail(&previous_view, now);
@@ -265,7 +265,7 @@
     }
 }
 
-pub fn list_ids(nodes: &[NodeId]) -> String {
+pub fn join_ids(nodes: &[NodeId]) -> String {
     let texts: Vec<String> = nodes.iter().map(NodeId::to_string).collect();
     texts.join(",")
 }
--- a/crates/coordinator/tests/addressing.rs
+++ b/crates/coordinator/tests/addressing.rs
@@ -28,24 +28,30 @@
         ..View::default()
     };
     let number = view.number;
-    let kept = Kept { view: Some(view), aligned: number, whole: number, begun: number, ..Kept::default() };
-    Coordinator::restore(member(ME), kept, Wishes::default(), life, START)
+    let kept = PersistedState {
+        view: Some(view),
+        aligned: number,
+        whole: number,
+        begun: number,
+        ..PersistedState::default()
+    };
+    Coordinator::restore(member(ME), kept, CoordinatorSettings::default(), life, START)
 }
 
-fn envelope(to: Option<KeeperLife>, fleet: FleetId, message: CoreMessage) -> Input {
+fn envelope(to: Option<KeeperIncarnation>, fleet: FleetId, message: CoreMessage) -> Input {
     Input::Peer(Envelope { fleet, from: played(OTHER), to, message })
 }
 
 /// A voter's word, given to an asking of long after `START`, as one of a life before a reboot can be.
 fn read_lease_from_the_future() -> CoreMessage {
-    CoreMessage::ReadLeaseGiven { view: ViewNumber(2), sent: START + Span::seconds(3600) }
+    CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START + Span::seconds(3600) }
 }
 
 #[test]
 fn a_read_lease_given_to_an_earlier_life_lets_no_later_one_act() {
     let mut tail = tail_in_life(LIFE);
-    let earlier = KeeperLife { id: ME, life: LIFE - 1 };
-    tail.step(Input::Pulse, START);
+    let earlier = KeeperIncarnation { id: ME, life: LIFE - 1 };
+    tail.step(Input::Tick, START);
     for voter in [OTHER, THIRD] {
         let message = read_lease_from_the_future();
         let from = played(voter);
@@ -59,7 +65,7 @@
 fn what_is_meant_for_this_life_counts() {
     let mut tail = tail_in_life(LIFE);
     for voter in [OTHER, THIRD] {
-        let message = CoreMessage::ReadLeaseGiven { view: ViewNumber(2), sent: START };
+        let message = CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START };
         let input = from_keeper(&tail, voter, message);
         tail.step(input, START);
     }
@@ -70,15 +76,15 @@
 #[test]
 fn an_answer_to_a_question_of_an_earlier_life_reaches_nobody() {
     let mut keeper = tail_in_life(LIFE);
-    let question = Question::Configuration;
+    let question = CoreQuery::Configuration;
     let (ticket, limit) = (5, START + Span::seconds(3));
-    keeper.step(Input::Ask { ticket, question, limit }, START);
-    let outcome = AskOutcome::Configuration { revision: Revision(1), source: "old".into() };
+    keeper.step(Input::Query { ticket, question, limit }, START);
+    let outcome = QueryOutcome::Configuration { revision: Revision(1), source: "old".into() };
     let answer = CoreMessage::Outcome { ticket, outcome };
-    let earlier = KeeperLife { id: ME, life: LIFE - 1 };
+    let earlier = KeeperIncarnation { id: ME, life: LIFE - 1 };
     let effects = keeper.step(envelope(Some(earlier), FleetId(1), answer.clone()), START);
     assert!(!effects.iter().any(|effect| matches!(effect, Effect::Outcome { .. })));
-    let own = Some(keeper.own_life());
+    let own = Some(keeper.own_incarnation());
     let effects = keeper.step(envelope(own, FleetId(1), answer), START);
     assert!(effects.iter().any(|effect| matches!(effect, Effect::Outcome { ticket: 5, .. })));
 }
@@ -86,7 +92,7 @@
 #[test]
 fn what_is_of_another_fleet_or_for_nobody_is_dropped() {
     let mut keeper = tail_in_life(LIFE);
-    let own = Some(keeper.own_life());
+    let own = Some(keeper.own_incarnation());
     for (to, fleet) in [(own, FleetId(9)), (None, FleetId(1)), (Some(played(THIRD)), FleetId(1))] {
         let ballot = Ballot { round: 1, proposer: OTHER };
         let prepare = CoreMessage::View(ViewMessage::Prepare { next: ViewNumber(3), ballot });
@@ -101,16 +107,16 @@
 fn a_keeper_that_began_again_is_known_after_one_exchange() {
     let (mut first, mut second) = (tail_in_life(LIFE), tail_in_life(LIFE + 1));
     introduce(&mut first, OTHER, START);
-    let earlier = Some(first.own_life());
-    let ask = CoreMessage::DutyAsk { sent: START };
+    let earlier = Some(first.own_incarnation());
+    let ask = CoreMessage::DutyLeaseRequest { sent: START };
     let effects = second.step(envelope(earlier, FleetId(1), ask), START);
     let told = effects.iter().find_map(|effect| match effect {
         Effect::Send { envelope, .. } => Some(envelope.clone()),
         _ => None,
     });
     let told = told.expect("it says who it is");
-    assert_eq!(told.from, second.own_life());
-    assert!(matches!(told.message, CoreMessage::Pulse(_)));
+    assert_eq!(told.from, second.own_incarnation());
+    assert!(matches!(told.message, CoreMessage::Heartbeat(_)));
 }
 
 /// The answer goes to the life that asked, not to one that was heard since.
@@ -120,14 +126,14 @@
     introduce(&mut tail, OTHER, START);
     introduce(&mut tail, THIRD, START);
     for voter in [OTHER, THIRD] {
-        let input = from_keeper(&tail, voter, CoreMessage::ReadLeaseGiven { view: ViewNumber(2), sent: START });
+        let input = from_keeper(&tail, voter, CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START });
         tail.step(input, START);
     }
-    let asked_in = KeeperLife { id: OTHER, life: PLAYED_LIFE + 8 };
-    let message = CoreMessage::Ask { ticket: 4, question: Question::Configuration };
-    let to = Some(tail.own_life());
+    let asked_in = KeeperIncarnation { id: OTHER, life: PLAYED_LIFE + 8 };
+    let message = CoreMessage::Query { ticket: 4, question: CoreQuery::Configuration };
+    let to = Some(tail.own_incarnation());
     let effects = tail.step(Input::Peer(Envelope { fleet: FleetId(1), from: asked_in, to, message }), START);
-    let answered: Vec<Option<KeeperLife>> = effects
+    let answered: Vec<Option<KeeperIncarnation>> = effects
         .iter()
         .filter_map(|effect| match effect {
             Effect::Send { envelope, .. } if matches!(envelope.message, CoreMessage::Outcome { .. }) => {
@@ -144,12 +150,12 @@
 fn misdirected_messages_are_not_each_answered() {
     let mut keeper = tail_in_life(LIFE);
     introduce(&mut keeper, OTHER, START);
-    let earlier = Some(KeeperLife { id: ME, life: LIFE - 1 });
+    let earlier = Some(KeeperIncarnation { id: ME, life: LIFE - 1 });
     let mut answers = 0;
     for number in 0..1000 {
         let now = START + Span::millis(number);
-        let effects = keeper.step(envelope(earlier, FleetId(1), CoreMessage::DutyAsk { sent: now }), now);
+        let effects = keeper.step(envelope(earlier, FleetId(1), CoreMessage::DutyLeaseRequest { sent: now }), now);
         answers += effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count();
     }
-    assert_eq!(answers as u64, Span::seconds(1).0 / PULSE_SPAN.0);
+    assert_eq!(answers as u64, Span::seconds(1).0 / HEARTBEAT_INTERVAL.0);
 }
--- a/crates/coordinator/tests/ages.rs
+++ b/crates/coordinator/tests/ages.rs
@@ -28,11 +28,11 @@
         members: vec![member(HEAD), member(MIDDLE), member(TAIL)],
         ..View::default()
     };
-    let kept = Kept { view: Some(view), ..Kept::default() };
-    let mut coordinator = Coordinator::restore(member(MIDDLE), kept, Wishes::default(), 1, START);
+    let kept = PersistedState { view: Some(view), ..PersistedState::default() };
+    let mut coordinator = Coordinator::restore(member(MIDDLE), kept, CoordinatorSettings::default(), 1, START);
     // The head is heard, though it could level nobody yet.
-    let news = News { aligned: ViewNumber(1), tail_active: false, ..news_of(&coordinator, HEAD) };
-    let input = from_keeper(&coordinator, HEAD, CoreMessage::Pulse(news));
+    let news = KeeperStatus { aligned: ViewNumber(1), tail_active: false, ..news_of(&coordinator, HEAD) };
+    let input = from_keeper(&coordinator, HEAD, CoreMessage::Heartbeat(news));
     coordinator.step(input, START);
     coordinator
 }
@@ -82,8 +82,8 @@
 #[test]
 fn ages_are_counted_from_the_first_asking_and_passed_on() {
     let mut coordinator = middle_member();
-    let nonce = asked_nonce(&coordinator.step(Input::Pulse, START)).expect("it asks to be brought level");
-    let asked_again = coordinator.step(Input::Pulse, START + Span::millis(400));
+    let nonce = asked_nonce(&coordinator.step(Input::Tick, START)).expect("it asks to be brought level");
+    let asked_again = coordinator.step(Input::Tick, START + Span::millis(400));
     assert_eq!(asked_nonce(&asked_again), Some(nonce), "the same asking, repeated");
     assert_eq!(ages_passed_on(&mut coordinator, START), None, "not level yet");
     let input = snapshot(&coordinator, nonce);
@@ -105,19 +105,20 @@
     };
     let state = FleetState { edition: Edition(7), ..FleetState::default() };
     let mark = Mark { edition: Edition(7), view: ViewNumber(1) };
-    let kept = Kept { view: Some(view), aligned: VIEW, whole: VIEW, mark, state, ..Kept::default() };
-    let mut coordinator = Coordinator::restore(member(MIDDLE), kept, Wishes::default(), 1, START);
-    coordinator.step(Input::Pulse, START);
+    let kept =
+        PersistedState { view: Some(view), aligned: VIEW, whole: VIEW, mark, state, ..PersistedState::default() };
+    let mut coordinator = Coordinator::restore(member(MIDDLE), kept, CoordinatorSettings::default(), 1, START);
+    coordinator.step(Input::Tick, START);
     assert_eq!(ages_passed_on(&mut coordinator, START), Some(Ages::default()));
 }
 
 #[test]
 fn a_member_asks_as_soon_as_the_one_before_it_is_level() {
     let mut coordinator = middle_member();
-    coordinator.step(Input::Pulse, START);
+    coordinator.step(Input::Tick, START);
     let hear = |coordinator: &mut Coordinator, aligned| {
-        let news = News { aligned, tail_active: false, ..news_of(coordinator, HEAD) };
-        let input = from_keeper(coordinator, HEAD, CoreMessage::Pulse(news));
+        let news = KeeperStatus { aligned, tail_active: false, ..news_of(coordinator, HEAD) };
+        let input = from_keeper(coordinator, HEAD, CoreMessage::Heartbeat(news));
         coordinator.step(input, START + Span::millis(1))
     };
     assert_eq!(asked_nonce(&hear(&mut coordinator, ViewNumber(1))), None, "it could not answer yet");
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -8,22 +8,22 @@
 /// The life of every keeper that a test plays itself.
 pub const PLAYED_LIFE: u64 = 1;
 
-pub fn played(id: NodeId) -> KeeperLife {
-    KeeperLife { id, life: PLAYED_LIFE }
+pub fn played(id: NodeId) -> KeeperIncarnation {
+    KeeperIncarnation { id, life: PLAYED_LIFE }
 }
 
 /// A message of a keeper, addressed to the life that the coordinator has now.
 pub fn from_keeper(coordinator: &Coordinator, from: NodeId, message: CoreMessage) -> Input {
-    let to = Some(coordinator.own_life()).filter(|_| !message.is_for_anyone());
+    let to = Some(coordinator.own_incarnation()).filter(|_| !message.is_broadcast());
     Input::Peer(Envelope { fleet: coordinator.view().fleet, from: played(from), to, message })
 }
 
 /// What a keeper says that stands where the coordinator does, and hears everybody of its view.
-pub fn news_of(coordinator: &Coordinator, from: NodeId) -> News {
+pub fn news_of(coordinator: &Coordinator, from: NodeId) -> KeeperStatus {
     let view = coordinator.view();
     let address = format!("{from}:1");
     let stranger = Member { id: from, door: format!("{from}:2"), address, zone: "a".into() };
-    News {
+    KeeperStatus {
         member: view.member(from).cloned().unwrap_or(stranger),
         fleet: view.fleet,
         view: view.number,
@@ -39,7 +39,7 @@
 
 /// Has the coordinator hear a keeper, so that it knows which life of it to answer.
 pub fn introduce(coordinator: &mut Coordinator, from: NodeId, now: Instant) -> Vec<Effect> {
-    let news = CoreMessage::Pulse(news_of(coordinator, from));
+    let news = CoreMessage::Heartbeat(news_of(coordinator, from));
     let input = from_keeper(coordinator, from, news);
     coordinator.step(input, now)
 }
@@ -60,8 +60,8 @@
 pub fn acting_tail() -> (Coordinator, Instant) {
     let address = "k".to_owned();
     let me = Member { id: NodeId(1), door: address.clone(), address, zone: Zone("z".into()) };
-    let mut kept = Kept::default();
-    for stored in Coordinator::founding(&me, FleetId(7), FleetState::default()) {
+    let mut kept = PersistedState::default();
+    for stored in Coordinator::bootstrap(&me, FleetId(7), FleetState::default()) {
         match stored {
             Stored::Snapshot { mark, state } => (kept.mark, kept.state) = (mark, *state),
             Stored::View(view) => kept.view = Some(view),
@@ -70,13 +70,13 @@
             _ => {}
         }
     }
-    let wishes = Wishes { core_size: 1, ..Wishes::default() };
-    let mut coordinator = Coordinator::restore(me, kept, wishes, 1, START);
+    let settings = CoordinatorSettings { core_size: 1, ..CoordinatorSettings::default() };
+    let mut coordinator = Coordinator::restore(me, kept, settings, 1, START);
     let mut now = START;
     while !coordinator.tail_is_active(now) {
-        now = now + PULSE_SPAN;
+        now = now + HEARTBEAT_INTERVAL;
         assert!(now < START + Span::seconds(10), "it never acts");
-        coordinator.step(Input::Pulse, now);
+        coordinator.step(Input::Tick, now);
     }
     (coordinator, now)
 }
--- a/crates/coordinator/tests/dispatch.rs
+++ b/crates/coordinator/tests/dispatch.rs
@@ -14,7 +14,11 @@
 fn tell(node: NodeId, number: u64, until: Option<Instant>) -> Effect {
     let submission =
         Submission { request: RequestId(number), command: Command::Merge { base: None, patch: "{}".into() } };
-    Effect::Tell { node, message: NodeDown::Push { number: Edition(number), submission, age: None }, until }
+    Effect::SendToNode {
+        node,
+        message: KeeperToAgent::Push { number: Edition(number), submission, age: None },
+        until,
+    }
 }
 
 #[test]
@@ -33,22 +37,22 @@
     assert_eq!(numbers, [2, 3, 4]);
 }
 
-fn number_of(message: &NodeDown) -> u64 {
-    let NodeDown::Push { number, .. } = message else { panic!("{message:?}") };
+fn number_of(message: &KeeperToAgent) -> u64 {
+    let KeeperToAgent::Push { number, .. } = message else { panic!("{message:?}") };
     number.0
 }
 
 /// What a plan tells the node that a router can only do with whole.
 fn told(plan: &[Effect]) -> Vec<&'static str> {
     let messages = plan.iter().filter_map(|effect| match effect {
-        Effect::Tell { node: NODE, message, .. } => Some(message),
+        Effect::SendToNode { node: NODE, message, .. } => Some(message),
         _ => None,
     });
     messages
         .filter_map(|message| match message {
-            NodeDown::Snapshot { .. } => Some("snapshot"),
-            NodeDown::Routers(_) => Some("doors"),
-            NodeDown::Membership(_) => Some("view"),
+            KeeperToAgent::Snapshot { .. } => Some("snapshot"),
+            KeeperToAgent::Routers(_) => Some("doors"),
+            KeeperToAgent::Membership(_) => Some("view"),
             _ => None,
         })
         .collect()
@@ -56,7 +60,7 @@
 
 fn not_sent(plan: Vec<Effect>) -> Input {
     let messages = plan.into_iter().filter_map(|effect| match effect {
-        Effect::Tell { node: NODE, message, .. } => Some(message),
+        Effect::SendToNode { node: NODE, message, .. } => Some(message),
         _ => None,
     });
     Input::NotSent { node: NODE, messages: messages.collect() }
@@ -65,12 +69,12 @@
 #[test]
 fn a_snapshot_that_was_not_sent_is_planned_again_at_once() {
     let (mut coordinator, now) = acting_tail();
-    let renewal = NodeUp::Renew { sent: now, applied: None, life: 1, router: None };
+    let renewal = AgentToKeeper::Renew { sent: now, applied: None, life: 1, router: None };
     let plan = coordinator.step(Input::Node { node: NODE, message: renewal }, now);
     assert_eq!(told(&plan), ["view", "snapshot"]);
-    assert_eq!(told(&coordinator.step(Input::Pulse, now)), [""; 0], "it counts as sent");
+    assert_eq!(told(&coordinator.step(Input::Tick, now)), [""; 0], "it counts as sent");
     assert_eq!(told(&coordinator.step(not_sent(plan), now)), ["view", "snapshot"]);
-    assert_eq!(told(&coordinator.step(Input::Pulse, now)), [""; 0]);
+    assert_eq!(told(&coordinator.step(Input::Tick, now)), [""; 0]);
 }
 
 #[test]
@@ -78,12 +82,12 @@
     let (mut coordinator, mut now) = acting_tail();
     let router = RouterAddress { router: NodeId(5), address: "r".into(), zone: Zone("z".into()), relay: None };
     let edition = coordinator.last().edition;
-    let renewal = NodeUp::Renew { sent: now, applied: Some(edition), life: 1, router: Some(router) };
+    let renewal = AgentToKeeper::Renew { sent: now, applied: Some(edition), life: 1, router: Some(router) };
     coordinator.step(Input::Node { node: NODE, message: renewal }, now);
     let told_by = now + ROUTERS_SETTLED;
     let plan = loop {
-        now = now + PULSE_SPAN;
-        let plan = coordinator.step(Input::Pulse, now);
+        now = now + HEARTBEAT_INTERVAL;
+        let plan = coordinator.step(Input::Tick, now);
         if !told(&plan).is_empty() {
             break plan;
         }
@@ -91,22 +95,22 @@
     };
     assert_eq!(told(&plan), ["doors"]);
     assert_eq!(told(&coordinator.step(not_sent(plan), now)), ["doors"]);
-    assert_eq!(told(&coordinator.step(Input::Pulse, now)), [""; 0], "it counts as sent");
+    assert_eq!(told(&coordinator.step(Input::Tick, now)), [""; 0], "it counts as sent");
 }
 
 #[test]
 fn what_was_not_sent_to_a_node_that_left_is_not_planned_again() {
     let (mut coordinator, now) = acting_tail();
-    let renewal = NodeUp::Renew { sent: now, applied: None, life: 1, router: None };
+    let renewal = AgentToKeeper::Renew { sent: now, applied: None, life: 1, router: None };
     let plan = coordinator.step(Input::Node { node: NODE, message: renewal }, now);
-    coordinator.step(Input::NodeGone { node: NODE }, now);
+    coordinator.step(Input::NodeDisconnected { node: NODE }, now);
     assert_eq!(told(&coordinator.step(not_sent(plan), now)), [""; 0]);
 }
 
 /// The members of the views that a plan tells the node.
 fn told_members(plan: &[Effect]) -> Vec<Vec<NodeId>> {
     let views = plan.iter().filter_map(|effect| match effect {
-        Effect::Tell { node: NODE, message: NodeDown::Membership(view), .. } => Some(view),
+        Effect::SendToNode { node: NODE, message: KeeperToAgent::Membership(view), .. } => Some(view),
         _ => None,
     });
     views.map(|view| view.members.iter().map(|member| member.id).collect()).collect()
@@ -115,7 +119,7 @@
 #[test]
 fn a_node_is_told_of_new_members_while_its_tail_stays() {
     let (mut coordinator, now) = acting_tail();
-    let renewal = NodeUp::Renew { sent: now, applied: None, life: 1, router: None };
+    let renewal = AgentToKeeper::Renew { sent: now, applied: None, life: 1, router: None };
     let plan = coordinator.step(Input::Node { node: NODE, message: renewal }, now);
     assert_eq!(told_members(&plan), [[NodeId(1)]], "on its first renewal, though this is the tail");
     let newcomer = Member { id: NodeId(2), door: "n".into(), address: "n".into(), zone: Zone("z".into()) };
@@ -127,10 +131,10 @@
     let mut plan = coordinator.step(input, now);
     let mut later = now;
     while told_members(&plan).is_empty() {
-        later = later + PULSE_SPAN;
+        later = later + HEARTBEAT_INTERVAL;
         assert!(later < now + Span::seconds(5), "it is never told");
-        plan = coordinator.step(Input::Pulse, later);
+        plan = coordinator.step(Input::Tick, later);
     }
     assert_eq!(told_members(&plan), [[NodeId(1), NodeId(2)]]);
-    assert_eq!(told(&coordinator.step(Input::Pulse, later)), [""; 0], "once");
+    assert_eq!(told(&coordinator.step(Input::Tick, later)), [""; 0], "once");
 }
--- a/crates/coordinator/tests/duties.rs
+++ b/crates/coordinator/tests/duties.rs
@@ -27,17 +27,17 @@
         members: vec![member(HOLDER), member(TAIL)],
         ..View::default()
     };
-    let kept = Kept { view: Some(view), ..Kept::default() };
-    Coordinator::restore(member(id), kept, Wishes::default(), 1, START)
+    let kept = PersistedState { view: Some(view), ..PersistedState::default() };
+    Coordinator::restore(member(id), kept, CoordinatorSettings::default(), 1, START)
 }
 
 /// Whether a keeper takes itself for the conductor after a lease for it came that was asked for at an instant.
 fn is_conductor_after(keeper: &mut Coordinator, sent: Instant) -> bool {
-    let message = CoreMessage::DutyGiven { sent, duties: vec![(DutyKind::Conductor, Term(1))] };
+    let message = CoreMessage::DutyLeaseGranted { sent, duties: vec![(DutyKind::Conductor, Term(1))] };
     let now = START + Span::millis(100);
     let input = from_keeper(keeper, TAIL, message);
     keeper.step(input, now);
-    keeper.is_named_for(DutyKind::Conductor, now).is_some()
+    keeper.leased_duty(DutyKind::Conductor, now).is_some()
 }
 
 #[test]
--- a/crates/coordinator/tests/exhaustive.rs
+++ b/crates/coordinator/tests/exhaustive.rs
@@ -34,7 +34,7 @@
 struct Machine {
     id: NodeId,
     life: u64,
-    disk: Kept,
+    disk: PersistedState,
     running: Option<Coordinator>,
 }
 
@@ -70,7 +70,7 @@
     Member { id, address: address(place), door: address(place), zone: "a".into() }
 }
 
-fn keep(disk: &mut Kept, stored: Stored) {
+fn keep(disk: &mut PersistedState, stored: Stored) {
     match stored {
         Stored::Record(record) => disk.records.push(record),
         Stored::Snapshot { mark, state } => {
@@ -97,7 +97,7 @@
         let machines = (0..KEEPERS).map(|place| Machine {
             id: NodeId(place as u64 + 1),
             life: 0,
-            disk: Kept::default(),
+            disk: PersistedState::default(),
             running: None,
         });
         let mut core = Core {
@@ -109,7 +109,7 @@
             committed: BTreeMap::new(),
             views: BTreeMap::new(),
         };
-        for stored in Coordinator::founding(&member(0, NodeId(1)), FleetId(7), FleetState::default()) {
+        for stored in Coordinator::bootstrap(&member(0, NodeId(1)), FleetId(7), FleetState::default()) {
             keep(&mut core.machines[0].disk, stored);
         }
         for place in 0..KEEPERS {
@@ -144,9 +144,9 @@
         machine.life += 1;
         let life = machine.id.0 * 1000 + machine.life;
         let seeds = (0..KEEPERS).map(address).collect();
-        let wishes = Wishes { core_size: KEEPERS, seeds, ..Wishes::default() };
+        let settings = CoordinatorSettings { core_size: KEEPERS, seeds, ..CoordinatorSettings::default() };
         let me = member(place, machine.id);
-        machine.running = Some(Coordinator::restore(me, machine.disk.clone(), wishes, life, now));
+        machine.running = Some(Coordinator::restore(me, machine.disk.clone(), settings, life, now));
     }
 
     fn end(&mut self, place: usize) {
@@ -200,7 +200,7 @@
                 self.budget.ticks -= 1;
                 self.now = self.now + TICK;
                 for place in 0..KEEPERS {
-                    self.feed(place, Input::Pulse)?;
+                    self.feed(place, Input::Tick)?;
                 }
             }
             Event::Ends(place) => {
@@ -213,16 +213,16 @@
                 self.end(place);
                 let id = NodeId(self.next_id);
                 self.next_id += 1;
-                self.machines[place] = Machine { id, life: 0, disk: Kept::default(), running: None };
+                self.machines[place] = Machine { id, life: 0, disk: PersistedState::default(), running: None };
             }
             Event::Change(place) => {
                 let number = self.budget.changes;
                 self.budget.changes -= 1;
                 let patch = format!(r#"{{"kinds":["k{number}"]}}"#);
                 let command = Command::Merge { base: None, patch };
-                let question = Question::Submit(Submission { request: RequestId(u64::from(number)), command });
+                let question = CoreQuery::Submit(Submission { request: RequestId(u64::from(number)), command });
                 let limit = self.now + Span::seconds(3);
-                self.feed(place, Input::Ask { ticket: u64::from(number), question, limit })?;
+                self.feed(place, Input::Query { ticket: u64::from(number), question, limit })?;
             }
         }
         Ok(())
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -17,7 +17,7 @@
 struct Core {
     now: Instant,
     keepers: Vec<Coordinator>,
-    outcomes: Vec<AskOutcome>,
+    outcomes: Vec<QueryOutcome>,
 }
 
 impl Core {
@@ -33,9 +33,10 @@
             ..View::default()
         };
         let (aligned, whole) = (view.number, view.number);
-        let kept = Kept { view: Some(view), aligned, whole, ..Kept::default() };
-        let wishes = Wishes { core_size: size as usize, ..Wishes::default() };
-        let keepers = (1..=size).map(|id| Coordinator::restore(member(id), kept.clone(), wishes.clone(), id, START));
+        let kept = PersistedState { view: Some(view), aligned, whole, ..PersistedState::default() };
+        let settings = CoordinatorSettings { core_size: size as usize, ..CoordinatorSettings::default() };
+        let keepers =
+            (1..=size).map(|id| Coordinator::restore(member(id), kept.clone(), settings.clone(), id, START));
         let mut core = Core { now: START, keepers: keepers.collect(), outcomes: Vec::new() };
         core.run(Span::seconds(6));
         core
@@ -46,7 +47,7 @@
         while self.now < until {
             self.now = self.now + STEP;
             for place in 0..self.keepers.len() {
-                self.feed(place, Input::Pulse);
+                self.feed(place, Input::Tick);
             }
         }
     }
@@ -77,7 +78,7 @@
         let place = self.place(id).expect("it runs");
         self.feed(place, Input::Retire);
         while !self.keepers[place].has_left() {
-            assert!(self.now.since(told) < Span::seconds(3), "{}", self.keepers[place].reason_to_stay(self.now));
+            assert!(self.now.since(told) < Span::seconds(3), "{}", self.keepers[place].leave_blocker(self.now));
             self.run(STEP);
         }
         let left = self.now.since(told);
@@ -87,9 +88,9 @@
 
     fn submit(&mut self, number: u64) {
         let command = Command::Merge { base: None, patch: r#"{"kinds":["k"]}"#.into() };
-        let question = Question::Submit(Submission { request: RequestId(number), command });
+        let question = CoreQuery::Submit(Submission { request: RequestId(number), command });
         let limit = self.now + Span::seconds(6);
-        self.feed(0, Input::Ask { ticket: number, question, limit });
+        self.feed(0, Input::Query { ticket: number, question, limit });
     }
 
     fn view(&self) -> &View {
@@ -109,7 +110,7 @@
             core.submit(1);
             core.run(Span::seconds(5));
             assert!(
-                matches!(core.outcomes.as_slice(), [AskOutcome::Settled(Settled::Taken(_))]),
+                matches!(core.outcomes.as_slice(), [QueryOutcome::Settled(Settled::Taken(_))]),
                 "{leaver} of {size}: {:?}",
                 core.outcomes
             );
@@ -128,7 +129,11 @@
         core.run(Span::seconds(4));
         core.submit(1);
         core.run(Span::seconds(5));
-        assert!(matches!(core.outcomes.as_slice(), [AskOutcome::Settled(Settled::Taken(_))]), "{:?}", core.outcomes);
+        assert!(
+            matches!(core.outcomes.as_slice(), [QueryOutcome::Settled(Settled::Taken(_))]),
+            "{:?}",
+            core.outcomes
+        );
     }
 }
 
@@ -140,10 +145,10 @@
     core.feed(place, Input::Retire);
     core.run(Span::seconds(2));
     assert!(!core.keepers[place].has_left());
-    assert_eq!(core.keepers[place].reason_to_stay(core.now), "the chain without it would be too short");
+    assert_eq!(core.keepers[place].leave_blocker(core.now), "the chain without it would be too short");
     core.keepers.remove(1 - place);
     core.run(Span::seconds(2));
-    assert_eq!(core.keepers[0].reason_to_stay(core.now), "no majority of the voters is heard");
+    assert_eq!(core.keepers[0].leave_blocker(core.now), "no majority of the voters is heard");
 }
 
 /// A whole fleet that is told to stop does not tear its view apart meanwhile.
--- a/crates/coordinator/tests/levelling.rs
+++ b/crates/coordinator/tests/levelling.rs
@@ -36,14 +36,14 @@
         members: vec![member(HEAD), member(TAIL), member(OUTSIDE)],
         ..View::default()
     };
-    let kept = Kept { view: Some(view), mark: mark(5), state: state(5), ..Kept::default() };
-    Coordinator::restore(member(OUTSIDE), kept, Wishes::default(), 1, START)
+    let kept = PersistedState { view: Some(view), mark: mark(5), state: state(5), ..PersistedState::default() };
+    Coordinator::restore(member(OUTSIDE), kept, CoordinatorSettings::default(), 1, START)
 }
 
 /// Has it asked to be brought level; the nonce of its asking.
 fn asked_nonce(keeper: &mut Coordinator) -> u64 {
     introduce(keeper, TAIL, START);
-    let effects = keeper.step(Input::Pulse, START);
+    let effects = keeper.step(Input::Tick, START);
     let asked = sent_to(&effects, TAIL).into_iter().find_map(|message| match message {
         CoreMessage::Chain(ChainMessage::Have { nonce, .. }) => Some(nonce),
         _ => None,
--- a/crates/coordinator/tests/router_list.rs
+++ b/crates/coordinator/tests/router_list.rs
@@ -47,7 +47,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + STEP;
-            let plan = self.tail.step(Input::Pulse, self.now);
+            let plan = self.tail.step(Input::Tick, self.now);
             self.note_told(plan);
             let arrived: Vec<NodeId> =
                 self.arrive_at.iter().filter(|(_, at)| **at <= self.now).map(|(node, _)| *node).collect();
@@ -65,14 +65,14 @@
         let address = format!("10.0.0.{}:1", node.0);
         let router = RouterAddress { router: node, address, zone: Zone("z".into()), relay: None };
         let applied = Some(self.tail.last().edition);
-        let message = NodeUp::Renew { sent: self.now, applied, life: 1, router: Some(router) };
+        let message = AgentToKeeper::Renew { sent: self.now, applied, life: 1, router: Some(router) };
         let plan = self.tail.step(Input::Node { node, message }, self.now);
         self.note_told(plan);
     }
 
     fn note_told(&mut self, plan: Vec<Effect>) {
         for effect in plan {
-            if let Effect::Tell { message: NodeDown::Routers(routers), .. } = effect {
+            if let Effect::SendToNode { message: KeeperToAgent::Routers(routers), .. } = effect {
                 let listed = routers.iter().map(|listed| listed.router).collect();
                 self.told.push((self.now, listed));
             }
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -33,8 +33,14 @@
 fn acting_tail() -> Coordinator {
     let view = view_of(2, &[HEAD, TAIL]);
     let number = view.number;
-    let kept = Kept { view: Some(view), aligned: number, whole: number, begun: number, ..Kept::default() };
-    let mut tail = Coordinator::restore(member(TAIL), kept, Wishes::default(), 1, START);
+    let kept = PersistedState {
+        view: Some(view),
+        aligned: number,
+        whole: number,
+        begun: number,
+        ..PersistedState::default()
+    };
+    let mut tail = Coordinator::restore(member(TAIL), kept, CoordinatorSettings::default(), 1, START);
     lend_read_lease(&mut tail, START);
     assert!(tail.tail_is_active(START));
     tail
@@ -43,7 +49,7 @@
 fn lend_read_lease(tail: &mut Coordinator, now: Instant) {
     let view = tail.view().number;
     for voter in [HEAD, THIRD] {
-        let input = from_keeper(tail, voter, CoreMessage::ReadLeaseGiven { view, sent: now });
+        let input = from_keeper(tail, voter, CoreMessage::ReadLeaseGranted { view, sent: now });
         tail.step(input, now);
     }
 }
@@ -68,8 +74,8 @@
     lend_read_lease(tail, now);
 }
 
-fn asks(tail: &mut Coordinator, question: Question, now: Instant) -> bool {
-    let message = CoreMessage::Ask { ticket: 9, question };
+fn asks(tail: &mut Coordinator, question: CoreQuery, now: Instant) -> bool {
+    let message = CoreMessage::Query { ticket: 9, question };
     let input = from_keeper(tail, THIRD, message);
     let effects = tail.step(input, now);
     sent_to(&effects, THIRD).iter().any(|message| matches!(message, CoreMessage::Outcome { .. }))
@@ -90,8 +96,8 @@
     lose_head(&mut tail, expired + Span::millis(10));
     let now = expired + Span::millis(20);
     assert!(!tail.tail_is_active(now), "it acts on a change that one disk holds");
-    assert!(!asks(&mut tail, Question::Configuration, now));
-    assert!(!asks(&mut tail, Question::Settled { request: RequestId(7), fingerprint: None }, now));
+    assert!(!asks(&mut tail, CoreQuery::Configuration, now));
+    assert!(!asks(&mut tail, CoreQuery::Settled { request: RequestId(7), fingerprint: None }, now));
 }
 
 #[test]
@@ -119,7 +125,7 @@
     for _ in 0..40 {
         now = now + Span::millis(50);
         introduce(&mut tail, THIRD, now);
-        let effects = tail.step(Input::Pulse, now);
+        let effects = tail.step(Input::Tick, now);
         let asked = sent_to(&effects, THIRD);
         proposes |= asked.iter().any(|message| matches!(message, CoreMessage::View(ViewMessage::Prepare { .. })));
     }
--- a/crates/keeper/src/conducting.rs
+++ b/crates/keeper/src/conducting.rs
@@ -42,7 +42,7 @@
         let has_adapters = !look(&shelf).state.desired.adapters.is_empty();
         if has_adapters && now.since(demand_asked) >= DEMAND_EVERY {
             demand_asked = now;
-            if let AskOutcome::Demand(heard) = executor.ask(Question::Demand, LOOK_LIMIT).await {
+            if let QueryOutcome::Demand(heard) = executor.ask(CoreQuery::Demand, LOOK_LIMIT).await {
                 planner.demand.hear(heard, boot_now());
             }
         }
--- a/crates/keeper/src/executor.rs
+++ b/crates/keeper/src/executor.rs
@@ -9,7 +9,7 @@
 
 pub enum ExecutorCommand {
     Link(LinkEvent<Inbound>),
-    Ask { question: Question, limit: Span, reply: oneshot::Sender<AskOutcome> },
+    Ask { question: CoreQuery, limit: Span, reply: oneshot::Sender<QueryOutcome> },
     Seeds(Vec<String>),
     ListingRead { read: Option<(String, ListingNumber)>, asked: Instant },
     HandOver(DutyKind),
@@ -74,7 +74,7 @@
     patience: Patience,
     links: HashMap<LinkId, LinkPlace>,
     nodes: HashMap<NodeId, LinkId>,
-    replies: HashMap<u64, oneshot::Sender<AskOutcome>>,
+    replies: HashMap<u64, oneshot::Sender<QueryOutcome>>,
     next_ticket: u64,
     last_pulse: Instant,
     remembered: Vec<String>,
@@ -129,7 +129,9 @@
                         let ticket = self.next_ticket;
                         self.replies.insert(ticket, reply);
                         let now = boot_now();
-                        plan.extend(self.coordinator.step(Input::Ask { ticket, question, limit: now + limit }, now));
+                        plan.extend(
+                            self.coordinator.step(Input::Query { ticket, question, limit: now + limit }, now),
+                        );
                     }
                     ExecutorCommand::Seeds(seeds) => {
                         plan.extend(self.coordinator.step(Input::Seeds(seeds), boot_now()))
@@ -142,15 +144,15 @@
                     }
                     ExecutorCommand::Stop => {
                         let now = boot_now();
-                        stopping.get_or_insert(Stopping::Leaving { until: now + LEAVING_LIMIT });
+                        stopping.get_or_insert(Stopping::Leaving { until: now + LEAVE_TIMEOUT });
                         plan.extend(self.coordinator.step(Input::Retire, now));
                     }
                 }
             }
             let now = boot_now();
-            if now.since(self.last_pulse) >= self.coordinator.pulse_span(now) {
+            if now.since(self.last_pulse) >= self.coordinator.tick_interval(now) {
                 self.last_pulse = now;
-                plan.extend(self.coordinator.step(Input::Pulse, now));
+                plan.extend(self.coordinator.step(Input::Tick, now));
             }
             let goes_on = self.carry_out(plan)? && self.show()?;
             if !goes_on {
@@ -175,11 +177,11 @@
         }
         match has_left {
             true => event!(info, "left", view = self.coordinator.view().number),
-            false => event!(warn, "not_left", reason = self.coordinator.reason_to_stay(now)),
+            false => event!(warn, "not_left", reason = self.coordinator.leave_blocker(now)),
         }
         // Whoever still waits is told now that nothing is known, while it can be told.
         self.replies.clear();
-        Stopping::Parting { until: now + PARTING_SPAN }
+        Stopping::Parting { until: now + DRAIN_PERIOD }
     }
 
     /// How long nothing is due.
@@ -188,7 +190,7 @@
         if !self.replanned.is_empty() {
             return Duration::ZERO;
         }
-        let due = self.last_pulse + self.coordinator.pulse_span(now);
+        let due = self.last_pulse + self.coordinator.tick_interval(now);
         let due = stopping.map_or(due, |stage| due.min(stage.until()));
         due.since(now).as_duration()
     }
@@ -216,7 +218,7 @@
                 if self.nodes.get(&node) == Some(&id) {
                     self.nodes.remove(&node);
                     drop_tells(plan, node);
-                    plan.extend(self.coordinator.step(Input::NodeGone { node }, boot_now()));
+                    plan.extend(self.coordinator.step(Input::NodeDisconnected { node }, boot_now()));
                 }
             }
         }
@@ -244,7 +246,7 @@
                     earlier.link.close();
                 }
                 drop_tells(plan, node);
-                plan.extend(self.coordinator.step(Input::NodeGone { node }, boot_now()));
+                plan.extend(self.coordinator.step(Input::NodeDisconnected { node }, boot_now()));
             }
         }
         self.links.insert(link.id, LinkPlace { link, hello });
@@ -287,7 +289,7 @@
         match effect {
             Effect::Store(_) => {}
             Effect::Send { address, envelope, .. } => self.post.send(&address, &Inbound::Core(envelope)),
-            Effect::Tell { node, message, .. } => {
+            Effect::SendToNode { node, message, .. } => {
                 let Some(place) = self.nodes.get(&node).and_then(|id| self.links.get(id)) else { return };
                 place.link.say(&message);
             }
@@ -296,7 +298,7 @@
                     let _ = reply.send(outcome);
                 }
             }
-            Effect::Note { event, detail } => log::info!(target: "haremount", "event={event} {detail}"),
+            Effect::LogEvent { event, detail } => log::info!(target: "haremount", "event={event} {detail}"),
         }
     }
 
@@ -322,12 +324,12 @@
         }
         let seen = Seen {
             tail_active: self.coordinator.tail_is_active(now),
-            alive: self.coordinator.alive(now),
-            census: self.coordinator.holds_duty(DutyKind::Census, now),
-            conductor: self.coordinator.holds_duty(DutyKind::Conductor, now),
-            named_conductor: self.coordinator.is_named_for(DutyKind::Conductor, now),
+            alive: self.coordinator.live_keepers(now),
+            census: self.coordinator.actionable_duty(DutyKind::Census, now),
+            conductor: self.coordinator.actionable_duty(DutyKind::Conductor, now),
+            named_conductor: self.coordinator.leased_duty(DutyKind::Conductor, now),
             view,
-            disturbed: self.coordinator.last_disturbance(now),
+            disturbed: self.coordinator.last_liveness_change(now),
             state: Arc::clone(&self.shown_state),
             last_sync_micros: self.last_sync_micros,
             disk_refuses: false,
@@ -343,11 +345,11 @@
 
 /// What was planned for a node's earlier link must not go out on the next one: the node begins anew there.
 fn drop_tells(plan: &mut Vec<Effect>, to: NodeId) {
-    plan.retain(|effect| !matches!(effect, Effect::Tell { node, .. } if *node == to));
+    plan.retain(|effect| !matches!(effect, Effect::SendToNode { node, .. } if *node == to));
 }
 
 /// Whoever waits for an answer that has not come by then is told that nothing is known.
-fn refused(shelf: &Shelf, replies: &mut HashMap<u64, oneshot::Sender<AskOutcome>>, waited: Span) {
+fn refused(shelf: &Shelf, replies: &mut HashMap<u64, oneshot::Sender<QueryOutcome>>, waited: Span) {
     shelf.put_refusal();
     if waited >= STALE_AFTER {
         replies.clear();
@@ -361,15 +363,15 @@
 }
 
 impl ExecutorClient {
-    pub async fn ask(&self, question: Question, limit: Span) -> AskOutcome {
+    pub async fn ask(&self, question: CoreQuery, limit: Span) -> QueryOutcome {
         let (reply, answer) = oneshot::channel();
         if self.queue.try_send(ExecutorCommand::Ask { question, limit, reply }).is_err() {
-            return AskOutcome::Unknown;
+            return QueryOutcome::Unknown;
         }
-        answer.await.unwrap_or(AskOutcome::Unknown)
+        answer.await.unwrap_or(QueryOutcome::Unknown)
     }
 
-    pub async fn submit(&self, request: RequestId, command: Command, limit: Span) -> AskOutcome {
-        self.ask(Question::Submit(Submission { request, command }), limit).await
+    pub async fn submit(&self, request: RequestId, command: Command, limit: Span) -> QueryOutcome {
+        self.ask(CoreQuery::Submit(Submission { request, command }), limit).await
     }
 }
--- a/crates/keeper/src/filing.rs
+++ b/crates/keeper/src/filing.rs
@@ -31,12 +31,12 @@
         self.folder.identity()
     }
 
-    pub fn load(&mut self) -> Result<Kept, DiskFault> {
+    pub fn load(&mut self) -> Result<PersistedState, DiskFault> {
         let (mark, state): (Mark, FleetState) = self.folder.plain("snapshot")?.unwrap_or_default();
         let records: Vec<Record> = self.folder.numbered_after(mark.edition.0)?;
         self.snapshot_edition = mark.edition;
         self.record_bytes = self.folder.numbered_bytes()?;
-        Ok(Kept {
+        Ok(PersistedState {
             view: self.folder.plain("view")?,
             vote: self.folder.plain("vote")?.unwrap_or_default(),
             aligned: self.folder.plain("aligned")?.unwrap_or_default(),
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -58,7 +58,7 @@
         seeds: settings.addresses("seeds"),
         founding: founding(&settings).map_err(|reason| miette!("found: {reason}"))?,
         core_size: settings.whole("core_size")? as usize,
-        grows_freely: false,
+        automatic_size: false,
         timing: Timing::default(),
         engines: platform.map_or(EngineSource::None, EngineSource::Listing),
         orders: OrderSource::Own,
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -56,7 +56,7 @@
             ("GET", ["v1", "requests", request]) => match request.parse::<RequestId>() {
                 Ok(request) => {
                     let answer =
-                        self.executor.ask(Question::Settled { request, fingerprint: None }, READ_LIMIT).await;
+                        self.executor.ask(CoreQuery::Settled { request, fingerprint: None }, READ_LIMIT).await;
                     tell_outcome(request, answer)
                 }
                 Err(_) => refuse(StatusCode::BAD_REQUEST, "bad_request", "a request id has 16 hex digits"),
@@ -80,8 +80,8 @@
                 None => refuse(StatusCode::NOT_FOUND, "not_found", "no such policy"),
             },
             ("GET", ["v1", "fleet"]) => self.show_fleet(&state).await,
-            ("GET", ["v1", "adapters"]) => match self.executor.ask(Question::Demand, READ_LIMIT).await {
-                AskOutcome::Demand(heard) => outcome_json(StatusCode::OK, &show_adapters(&state, &heard)),
+            ("GET", ["v1", "adapters"]) => match self.executor.ask(CoreQuery::Demand, READ_LIMIT).await {
+                QueryOutcome::Demand(heard) => outcome_json(StatusCode::OK, &show_adapters(&state, &heard)),
                 _ => no_core(),
             },
             _ => no_such_page(),
@@ -89,8 +89,8 @@
     }
 
     async fn read_state(&self) -> Option<Box<FleetState>> {
-        match self.executor.ask(Question::State, READ_LIMIT).await {
-            AskOutcome::State(state) => Some(state),
+        match self.executor.ask(CoreQuery::State, READ_LIMIT).await {
+            QueryOutcome::State(state) => Some(state),
             _ => None,
         }
     }
@@ -139,7 +139,7 @@
             Err(answered) => return *answered,
         };
         let answer = self.executor.submit(request, Command::Intend(intent), CHANGE_LIMIT).await;
-        let AskOutcome::Settled(Settled::Taken(number)) = answer else { return tell_outcome(request, answer) };
+        let QueryOutcome::Settled(Settled::Taken(number)) = answer else { return tell_outcome(request, answer) };
         let Some(state) = self.read_state().await else { return no_core() };
         match state.plans.get(&number) {
             Some(plan) => outcome_json(StatusCode::CREATED, &show_plan(number, plan)),
@@ -205,8 +205,8 @@
 
     async fn show_fleet(&self, state: &FleetState) -> WebOutcome {
         let seen = look(&self.shelf);
-        let nodes = match self.executor.ask(Question::Nodes, READ_LIMIT).await {
-            AskOutcome::Nodes(nodes) => nodes,
+        let nodes = match self.executor.ask(CoreQuery::Nodes, READ_LIMIT).await {
+            QueryOutcome::Nodes(nodes) => nodes,
             _ => return no_core(),
         };
         let members: Vec<Value> = seen
@@ -356,17 +356,17 @@
     outcome_json(StatusCode::UNPROCESSABLE_ENTITY, &answer)
 }
 
-fn tell_outcome(request: RequestId, outcome: AskOutcome) -> WebOutcome {
+fn tell_outcome(request: RequestId, outcome: QueryOutcome) -> WebOutcome {
     let answered = match outcome {
-        AskOutcome::Settled(Settled::Taken(edition)) => {
+        QueryOutcome::Settled(Settled::Taken(edition)) => {
             outcome_json(StatusCode::OK, &json!({"edition": edition.0, "request": request.to_string()}))
                 .with_header("etag", &format!("\"{edition}\""))
         }
-        AskOutcome::Settled(Settled::Stale { now }) => {
+        QueryOutcome::Settled(Settled::Stale { now }) => {
             let shown = json!({"error": {"type": "stale", "message": "the desired state has moved"}, "now": now.0});
             outcome_json(StatusCode::PRECONDITION_FAILED, &shown).with_header("etag", &format!("\"{now}\""))
         }
-        AskOutcome::Settled(Settled::Refused(complaints)) => tell_complaints(&complaints),
+        QueryOutcome::Settled(Settled::Refused(complaints)) => tell_complaints(&complaints),
         _ => {
             let reason = "not known to be in force; ask again under this request id";
             let shown = json!({"error": {"type": "unknown", "message": reason}, "request": request.to_string()});
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -61,8 +61,8 @@
     }
 
     async fn configuration(&self) -> Option<(Revision, String)> {
-        match self.executor.ask(Question::Configuration, READ_LIMIT).await {
-            AskOutcome::Configuration { revision, source } => Some((revision, source)),
+        match self.executor.ask(CoreQuery::Configuration, READ_LIMIT).await {
+            QueryOutcome::Configuration { revision, source } => Some((revision, source)),
             _ => None,
         }
     }
@@ -114,7 +114,7 @@
                 return self.configure(base, fingerprint, self.protocol.patched(&source, body)).await;
             }
             let outcome = self.settle(Command::RecallChange { base, fingerprint }).await;
-            let is_base_now = matches!(outcome, AskOutcome::Settled(Settled::Stale { now }) if now.0 == base.0);
+            let is_base_now = matches!(outcome, QueryOutcome::Settled(Settled::Stale { now }) if now.0 == base.0);
             if !is_base_now {
                 return tell(outcome);
             }
@@ -129,34 +129,36 @@
         };
         match self.settle(Command::NameWeights { model, weights }).await {
             // Newer ones were named since.
-            AskOutcome::Settled(Settled::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
+            QueryOutcome::Settled(Settled::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
             outcome => tell(outcome),
         }
     }
 
-    async fn settle(&self, command: Command) -> AskOutcome {
+    async fn settle(&self, command: Command) -> QueryOutcome {
         self.executor.submit(RequestId::random(), command, CHANGE_LIMIT).await
     }
 }
 
 /// What became of a change, as logs name it.
-fn outcome_name(outcome: &AskOutcome) -> &'static str {
+fn outcome_name(outcome: &QueryOutcome) -> &'static str {
     match outcome {
-        AskOutcome::Settled(Settled::Taken(_)) => "acknowledged",
-        AskOutcome::Settled(Settled::Stale { .. }) => "stale",
-        AskOutcome::Settled(Settled::Refused(_)) => "refused",
+        QueryOutcome::Settled(Settled::Taken(_)) => "acknowledged",
+        QueryOutcome::Settled(Settled::Stale { .. }) => "stale",
+        QueryOutcome::Settled(Settled::Refused(_)) => "refused",
         _ => "unknown",
     }
 }
 
-fn tell(outcome: AskOutcome) -> WebOutcome {
+fn tell(outcome: QueryOutcome) -> WebOutcome {
     match outcome {
-        AskOutcome::Settled(Settled::Taken(edition)) => outcome_json(StatusCode::OK, &json!({"edition": edition.0})),
-        AskOutcome::Settled(Settled::Stale { now }) => {
+        QueryOutcome::Settled(Settled::Taken(edition)) => {
+            outcome_json(StatusCode::OK, &json!({"edition": edition.0}))
+        }
+        QueryOutcome::Settled(Settled::Stale { now }) => {
             let reason = format!("another revision is in force: {now}");
             refuse(StatusCode::PRECONDITION_FAILED, "stale", &reason)
         }
-        AskOutcome::Settled(Settled::Refused(complaints)) => tell_faults(&complaints),
+        QueryOutcome::Settled(Settled::Refused(complaints)) => tell_faults(&complaints),
         _ => not_known(),
     }
 }
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -49,7 +49,7 @@
     pub founding: Founding,
     pub core_size: usize,
     /// Any number of machines may join, up to the core's size.
-    pub grows_freely: bool,
+    pub automatic_size: bool,
     pub timing: Timing,
     pub engines: EngineSource,
     pub orders: OrderSource,
@@ -94,10 +94,10 @@
     let fleet = Arc::new(AtomicU64::new(kept.view.as_ref().map_or(0, |view| view.fleet.0)));
     let mut seeds = plan.seeds.clone();
     seeds.extend(remembered);
-    let wishes = Wishes {
-        has_census: matches!(plan.engines, EngineSource::Listing(_)),
+    let wishes = CoordinatorSettings {
+        requires_fresh_listing: matches!(plan.engines, EngineSource::Listing(_)),
         core_size: plan.core_size,
-        grows_freely: plan.grows_freely,
+        automatic_size: plan.automatic_size,
         seeds,
         timing: plan.timing,
     };
@@ -168,7 +168,7 @@
 /// What a keeper needs of its folder to begin.
 struct Prepared {
     me: Member,
-    kept: Kept,
+    kept: PersistedState,
     remembered: Vec<String>,
 }
 
@@ -209,7 +209,11 @@
 }
 
 /// What a fleet founded in an empty folder begins with, unless a seed answers that there is one.
-fn founded(plan: &KeeperPlan, me: &Member, kept: &Kept) -> Result<Option<(Vec<Stored>, Mark, FleetState)>, String> {
+fn founded(
+    plan: &KeeperPlan,
+    me: &Member,
+    kept: &PersistedState,
+) -> Result<Option<(Vec<Stored>, Mark, FleetState)>, String> {
     let Founding::Founds { document, tolerance, or_joins } = &plan.founding else { return Ok(None) };
     if kept.view.is_some() {
         return if *or_joins { Ok(None) } else { Err("the data folder already belongs to a fleet".into()) };
@@ -224,7 +228,7 @@
     let outcome = founding_state.apply(&Submission { request: RequestId::random(), command });
     let Settled::Taken(_) = outcome else { return Err("the founding document was refused".into()) };
     let mark = Mark { edition: founding_state.edition, view: ViewNumber(1) };
-    let stored = Coordinator::founding_for(me, FleetId::random(), founding_state.clone(), *tolerance);
+    let stored = Coordinator::bootstrap_with_tolerance(me, FleetId::random(), founding_state.clone(), *tolerance);
     Ok(Some((stored, mark, founding_state)))
 }
 
--- a/crates/keeper/tests/patience.rs
+++ b/crates/keeper/tests/patience.rs
@@ -1,6 +1,6 @@
 //! What waits for an executor whose disk refuses: kept for a while, then dropped, so that nobody stands still.
 
-use coordinator::prelude::{AskOutcome, Question};
+use coordinator::prelude::{CoreQuery, QueryOutcome};
 use keeper::prelude::*;
 use ledger::prelude::DiskFault;
 use links::prelude::{Hello, LinkEvent, Purpose, accept_links, dial_and_hold};
@@ -21,9 +21,9 @@
     move || if began.elapsed() < span { Err(refusal()) } else { Ok(()) }
 }
 
-fn ask() -> (ExecutorCommand, oneshot::Receiver<AskOutcome>) {
+fn ask() -> (ExecutorCommand, oneshot::Receiver<QueryOutcome>) {
     let (reply, answer) = oneshot::channel();
-    (ExecutorCommand::Ask { question: Question::State, limit: Span::seconds(3), reply }, answer)
+    (ExecutorCommand::Ask { question: CoreQuery::State, limit: Span::seconds(3), reply }, answer)
 }
 
 fn next_commands(patience: &mut Patience) -> Vec<ExecutorCommand> {
--- a/crates/router/src/demand.rs
+++ b/crates/router/src/demand.rs
@@ -13,7 +13,7 @@
         pulse.tick().await;
         let rates = shared.demand(boot_now());
         if !rates.is_empty() {
-            core_line.say(&RouterUp::Demand(DemandReport { router, zone: zone.clone(), rates }));
+            core_line.say(&RouterToAgent::Demand(DemandReport { router, zone: zone.clone(), rates }));
         }
     }
 }
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -16,7 +16,7 @@
 const CLAIM_LIMIT: Duration = Duration::from_millis(2500);
 
 impl CoreLine {
-    pub(crate) fn say(&self, message: &RouterUp) {
+    pub(crate) fn say(&self, message: &RouterToAgent) {
         if let Some(link) = self.link.lock().expect("no holder of this lock panics").as_ref() {
             link.say(message);
         }
@@ -32,7 +32,7 @@
         let asking = async {
             loop {
                 again.tick().await;
-                self.say(&RouterUp::Submit { ticket, submission: submission.clone() });
+                self.say(&RouterToAgent::Submit { ticket, submission: submission.clone() });
             }
         };
         let settled = tokio::select! {
@@ -88,12 +88,12 @@
 }
 
 impl Feed {
-    fn take(&mut self, link_event: LinkEvent<RouterDown>) {
+    fn take(&mut self, link_event: LinkEvent<AgentToRouter>) {
         match link_event {
             LinkEvent::Up(link, _) => {
                 *self.plan.core_line.link.lock().expect("no holder of this lock panics") = Some(link.clone());
                 self.link = Some(link);
-                self.plan.core_line.say(&RouterUp::Here(self.plan.own_address.clone()));
+                self.plan.core_line.say(&RouterToAgent::Announce(self.plan.own_address.clone()));
                 event!(info, "agent_up");
                 let edition = self.plan.shared.sight().state.edition;
                 if edition > Edition(0) {
@@ -104,21 +104,21 @@
                 self.link = None;
                 event!(warn, "agent_down", reason = reason);
             }
-            LinkEvent::Said(_, RouterDown::Settled { ticket, outcome }) => {
+            LinkEvent::Said(_, AgentToRouter::Settled { ticket, outcome }) => {
                 self.plan.core_line.settle(ticket, outcome);
             }
-            LinkEvent::Said(_, RouterDown::Routers(routers)) => self.plan.shared.know_routers(routers),
-            LinkEvent::Said(_, RouterDown::Lease { asked, until, disturbed }) => {
+            LinkEvent::Said(_, AgentToRouter::Routers(routers)) => self.plan.shared.know_routers(routers),
+            LinkEvent::Said(_, AgentToRouter::Lease { asked, until, disturbed }) => {
                 self.plan.shared.renew_lease(asked, until);
                 self.plan.shared.note_disturbed(disturbed);
             }
-            LinkEvent::Said(_, RouterDown::Snapshot { state, gave_way }) => {
+            LinkEvent::Said(_, AgentToRouter::Snapshot { state, gave_way }) => {
                 let current = self.plan.shared.sight();
                 if state.edition > current.state.edition {
                     self.put_in_force(current.starting_over(*state, &gave_way, boot_now()));
                 }
             }
-            LinkEvent::Said(_, RouterDown::Push { number, submission, committed }) => {
+            LinkEvent::Said(_, AgentToRouter::Push { number, submission, committed }) => {
                 let current = self.plan.shared.sight();
                 if number <= current.state.edition {
                     return;
@@ -148,7 +148,7 @@
 
     fn say_applied(&self, edition: Edition) {
         if let Some(link) = &self.link {
-            link.say(&RouterUp::Applied { edition });
+            link.say(&RouterToAgent::Applied { edition });
         }
     }
 }
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -38,4 +38,4 @@
     StatusCode, WebOutcome, WebOutcomeExt, bind, no_such_page, open_stream, outcome_bytes, outcome_json,
     outcome_pieces, read_whole, refuse, serve, small_runtime,
 };
-pub use wire::prelude::{RouterAddress, RouterDown, RouterUp};
+pub use wire::prelude::{AgentToRouter, RouterAddress, RouterToAgent};
--- a/crates/simulator/src/adapted.rs
+++ b/crates/simulator/src/adapted.rs
@@ -193,7 +193,7 @@
             return;
         }
         let report = DemandReport { router: router_id, zone: Zone(ZONES[number % 4].into()), rates };
-        self.tell_node(number, SubscriptionInput::Router(RouterUp::Demand(report)));
+        self.tell_node(number, SubscriptionInput::Router(RouterToAgent::Demand(report)));
     }
 
     // The conductor's part.
@@ -287,15 +287,15 @@
         self.next_ticket += 1;
         let (ticket, life) = (self.next_ticket, self.keepers[number].life);
         self.demand_asks.insert(ticket, (number, life));
-        let input = Input::Ask { ticket, question: Question::Demand, limit: local_now + Span::seconds(2) };
+        let input = Input::Query { ticket, question: CoreQuery::Demand, limit: local_now + Span::seconds(2) };
         self.later(Span::millis(1), SimEvent::KeeperInput { keeper: number, life: Some(life), input });
     }
 
     /// Whether an outcome is one about demand; the planner that asked is told.
-    pub fn hear_demand(&mut self, ticket: u64, outcome: &AskOutcome) -> bool {
+    pub fn hear_demand(&mut self, ticket: u64, outcome: &QueryOutcome) -> bool {
         let Some((number, life)) = self.demand_asks.remove(&ticket) else { return false };
         let keeper = &mut self.keepers[number];
-        if let AskOutcome::Demand(heard) = outcome
+        if let QueryOutcome::Demand(heard) = outcome
             && keeper.life == life
         {
             let local_now = keeper.clock.read(self.now);
--- a/crates/simulator/src/claims.rs
+++ b/crates/simulator/src/claims.rs
@@ -42,7 +42,7 @@
             return;
         }
         if self.nodes[node].fed_router == Some(router) {
-            let input = SubscriptionInput::Router(RouterUp::Submit { ticket, submission: submission.clone() });
+            let input = SubscriptionInput::Router(RouterToAgent::Submit { ticket, submission: submission.clone() });
             self.tell_node(node, input);
         }
         self.later(CLAIM_AGAIN, again(submission));
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -15,13 +15,13 @@
 struct CoreKeeper {
     id: NodeId,
     coordinator: Option<Coordinator>,
-    disk: Kept,
+    disk: PersistedState,
     life: u64,
 }
 
 impl CoreKeeper {
     fn empty(id: NodeId) -> CoreKeeper {
-        CoreKeeper { id, coordinator: None, disk: Kept::default(), life: 0 }
+        CoreKeeper { id, coordinator: None, disk: PersistedState::default(), life: 0 }
     }
 }
 
@@ -91,7 +91,7 @@
             operators: RegisterOperators::default(),
             found: Vec::new(),
         };
-        for stored in Coordinator::founding(&member(0, NodeId(1)), FleetId(77), FleetState::default()) {
+        for stored in Coordinator::bootstrap(&member(0, NodeId(1)), FleetId(77), FleetState::default()) {
             keep(&mut core.keepers[0].disk, stored);
         }
         for number in 0..KEEPERS {
@@ -107,7 +107,12 @@
         }
         keeper.life += 1;
         let seeds = (0..3).map(|seed| format!("k{seed}")).collect();
-        let wishes = Wishes { has_census: false, core_size: KEEPERS, seeds, ..Wishes::default() };
+        let wishes = CoordinatorSettings {
+            requires_fresh_listing: false,
+            core_size: KEEPERS,
+            seeds,
+            ..CoordinatorSettings::default()
+        };
         let life = keeper.life * 1_000_003 + number as u64;
         keeper.coordinator =
             Some(Coordinator::restore(member(number, keeper.id), keeper.disk.clone(), wishes, life, self.now));
@@ -124,7 +129,7 @@
         while self.now < until {
             self.now = self.now + Span::millis(50);
             for number in 0..KEEPERS {
-                self.feed(number, Input::Pulse, false);
+                self.feed(number, Input::Tick, false);
             }
             if self.draw.chance(10) {
                 self.submit();
@@ -157,7 +162,7 @@
             }
             1 => {
                 let ends = self.draw.chance(1);
-                self.feed(number, Input::Pulse, ends);
+                self.feed(number, Input::Tick, ends);
             }
             2 => self.now = self.now + Span::millis(self.draw.between(1, 50)),
             3 => self.submit(),
@@ -241,7 +246,7 @@
     fn read(&mut self, number: usize) {
         self.next_ticket += 1;
         self.operators.call_read(self.next_ticket);
-        self.ask(number, Question::Configuration);
+        self.ask(number, CoreQuery::Configuration);
     }
 
     fn send_change(&mut self, number: usize, change: ConfigurationChange) {
@@ -249,13 +254,13 @@
         self.operators.call_change(self.next_ticket, &change);
         let command = Command::Configure(Box::new(change));
         let submission = Submission { request: RequestId(self.draw.number()), command };
-        self.ask(number, Question::Submit(submission));
+        self.ask(number, CoreQuery::Submit(submission));
     }
 
     /// Asks under the ticket drawn last.
-    fn ask(&mut self, number: usize, question: Question) {
+    fn ask(&mut self, number: usize, question: CoreQuery) {
         let limit = self.now + Span::seconds(3);
-        self.feed(number, Input::Ask { ticket: self.next_ticket, question, limit }, false);
+        self.feed(number, Input::Query { ticket: self.next_ticket, question, limit }, false);
     }
 
     fn submit(&mut self) {
@@ -264,7 +269,7 @@
         let patch = format!(r#"{{"kinds":["k","x{}"]}}"#, self.next_ticket);
         let submission =
             Submission { request: RequestId(self.draw.number()), command: Command::Merge { base: None, patch } };
-        self.ask(number, Question::Submit(submission));
+        self.ask(number, CoreQuery::Submit(submission));
     }
 
     fn deliver(&mut self, way: (usize, usize), ends: bool) {
--- a/crates/simulator/src/events.rs
+++ b/crates/simulator/src/events.rs
@@ -34,7 +34,7 @@
     RouterInput {
         node: usize,
         router: NodeId,
-        message: RouterDown,
+        message: AgentToRouter,
     },
     Dialled {
         node: usize,
@@ -186,7 +186,7 @@
                 if self.keepers[keeper].life != life || self.keepers[keeper].coordinator.is_none() {
                     return;
                 }
-                self.step_keeper(keeper, Some(life), Input::Pulse);
+                self.step_keeper(keeper, Some(life), Input::Tick);
                 self.tend_keeper(keeper);
                 self.later(Span::millis(50), SimEvent::KeeperPulse { keeper, life });
             }
@@ -194,7 +194,7 @@
             SimEvent::Synced { keeper, life } => self.end_sync(keeper, life),
             SimEvent::NodePulse { node, life } => {
                 if self.nodes[node].life == life && self.nodes[node].subscription.is_some() {
-                    self.step_node(node, life, SubscriptionInput::Pulse);
+                    self.step_node(node, life, SubscriptionInput::Tick);
                     self.later(Span::millis(50), SimEvent::NodePulse { node, life });
                 }
             }
--- a/crates/simulator/src/founding.rs
+++ b/crates/simulator/src/founding.rs
@@ -45,7 +45,7 @@
         state.apply(&Submission { request: RequestId(1), command });
         self.found_adapters(&mut state);
         let founder = self.member(0);
-        for stored in Coordinator::founding(&founder, FleetId(77), state) {
+        for stored in Coordinator::bootstrap(&founder, FleetId(77), state) {
             keep(&mut self.keepers[0].disk, stored);
         }
     }
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -19,7 +19,12 @@
         keeper.demand_asked = Instant(0);
         keeper.submitted.clear();
         keeper.census_since = None;
-        let wishes = Wishes { has_census: true, core_size: KEEPERS, seeds, ..Wishes::default() };
+        let wishes = CoordinatorSettings {
+            requires_fresh_listing: true,
+            core_size: KEEPERS,
+            seeds,
+            ..CoordinatorSettings::default()
+        };
         let life = keeper.life.wrapping_mul(1_000_003).wrapping_add(keeper.id.0.wrapping_mul(7919));
         keeper.coordinator =
             Some(Coordinator::restore(member, keeper.disk.clone(), wishes, life, keeper.clock.read(now)));
@@ -47,7 +52,7 @@
         let has_left = keeper.coordinator.as_ref().is_none_or(Coordinator::has_left);
         match has_left || self.now >= until {
             true => self.kill_keeper(number),
-            false => self.later(PULSE_SPAN, SimEvent::StopKeeper { keeper: number, life, until }),
+            false => self.later(HEARTBEAT_INTERVAL, SimEvent::StopKeeper { keeper: number, life, until }),
         }
     }
 
@@ -57,7 +62,7 @@
         let new_id = NodeId(self.draw.number() | 1 << 60);
         let keeper = &mut self.keepers[number];
         keeper.id = new_id;
-        keeper.disk = Kept::default();
+        keeper.disk = PersistedState::default();
         if moves {
             keeper.address = format!("{}x", keeper.address);
         }
@@ -122,9 +127,9 @@
             match effect {
                 Effect::Store(stored) => keep(&mut self.keepers[number].disk, stored),
                 Effect::Send { address, envelope, .. } => self.post(number, &address, envelope),
-                Effect::Tell { node, message, .. } => self.tell(number, node, message),
+                Effect::SendToNode { node, message, .. } => self.tell(number, node, message),
                 Effect::Outcome { ticket, outcome } => self.take_outcome(ticket, outcome),
-                Effect::Note { event, detail } => {
+                Effect::LogEvent { event, detail } => {
                     if event == "campaign" && std::mem::take(&mut self.campaign_fails) {
                         self.fail_campaign();
                     }
@@ -157,7 +162,7 @@
         self.later(delay, SimEvent::KeeperInput { keeper: to, life: None, input: Input::Peer(envelope) });
     }
 
-    pub fn tell(&mut self, keeper: usize, node_id: NodeId, message: NodeDown) {
+    pub fn tell(&mut self, keeper: usize, node_id: NodeId, message: KeeperToAgent) {
         let life = self.keepers[keeper].life;
         let found = self.links.iter().rposition(|link| {
             link.taken_up && link.keeper == keeper && link.keeper_life == life && self.nodes[link.node].id == node_id
@@ -188,9 +193,9 @@
             keeper.census_read = now;
         }
         let state = coordinator.state().clone();
-        let census = coordinator.holds_duty(DutyKind::Census, local_now);
-        let conductor_term = coordinator.holds_duty(DutyKind::Conductor, local_now);
-        let named_term = coordinator.is_named_for(DutyKind::Conductor, local_now);
+        let census = coordinator.actionable_duty(DutyKind::Census, local_now);
+        let conductor_term = coordinator.actionable_duty(DutyKind::Conductor, local_now);
+        let named_term = coordinator.leased_duty(DutyKind::Conductor, local_now);
         if reads_now {
             self.later(Span::millis(3), SimEvent::KeeperInput { keeper: number, life: Some(life), input: reading });
         }
@@ -313,7 +318,7 @@
             return self.defer(woken_at, SimEvent::OrderLeaves { keeper: number, life, engine, order });
         }
         let Some(coordinator) = &keeper.coordinator else { return };
-        let held = coordinator.holds_duty(DutyKind::Conductor, keeper.clock.read(self.now));
+        let held = coordinator.actionable_duty(DutyKind::Conductor, keeper.clock.read(self.now));
         if held.is_some_and(|(term, _)| term == order.term) {
             let delay = self.net.delay(&mut self.draw);
             self.later(delay, SimEvent::Ordered { engine, order });
@@ -336,7 +341,7 @@
         let ticket = self.next_ticket;
         self.asked.insert(ticket, AskedChange { request: submission.request, means });
         let limit = self.keepers[keeper].clock.read(self.now) + Span::seconds(8);
-        let input = Input::Ask { ticket, question: Question::Submit(submission), limit };
+        let input = Input::Query { ticket, question: CoreQuery::Submit(submission), limit };
         let life = self.keepers[keeper].life;
         self.later(Span::millis(1), SimEvent::KeeperInput { keeper, life: Some(life), input });
     }
@@ -358,7 +363,7 @@
 }
 
 /// What a synced store leaves on a simulated disk.
-pub fn keep(disk: &mut Kept, stored: Stored) {
+pub fn keep(disk: &mut PersistedState, stored: Stored) {
     match stored {
         Stored::Record(record) => disk.records.push(record),
         Stored::Snapshot { mark, state } => {
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -25,7 +25,7 @@
     pub id: NodeId,
     pub address: String,
     /// What a crash leaves behind.
-    pub disk: Kept,
+    pub disk: PersistedState,
     pub clock: Clock,
     /// Counts lives; events of an earlier life are void.
     pub life: u64,
@@ -52,7 +52,7 @@
             coordinator: None,
             id: NodeId(number as u64 + 1),
             address: format!("k{number}"),
-            disk: Kept::default(),
+            disk: PersistedState::default(),
             clock,
             life: 0,
             frozen_until: Instant(0),
@@ -144,8 +144,8 @@
     pub open: bool,
     /// Whether the keeper has taken the stream up; until then it still writes to the one before.
     pub taken_up: bool,
-    pub up: VecDeque<NodeUp>,
-    pub down: VecDeque<NodeDown>,
+    pub up: VecDeque<AgentToKeeper>,
+    pub down: VecDeque<KeeperToAgent>,
 }
 
 /// A conductor's order on its way to an engine.
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -31,7 +31,7 @@
 
     pub fn kill_router(&mut self, number: usize) {
         self.lose_runs(number, false);
-        self.tell_node(number, SubscriptionInput::RouterDown);
+        self.tell_node(number, SubscriptionInput::RouterDisconnected);
     }
 
     pub fn kill_node(&mut self, number: usize) {
@@ -76,17 +76,17 @@
                     let delay = self.net.delay(&mut self.draw);
                     self.later(delay, SimEvent::Dialled { node: number, life, address });
                 }
-                SubscriptionEffect::SayCore(message) => {
+                SubscriptionEffect::SendToCore(message) => {
                     let Some(link) = self.nodes[number].link else { continue };
                     self.links[link].up.push_back(message);
                     let delay = self.net.delay(&mut self.draw);
                     self.later(delay, SimEvent::PumpUp { link });
                 }
-                SubscriptionEffect::SayRouter(message) => {
+                SubscriptionEffect::SendToRouter(message) => {
                     let Some(router) = self.nodes[number].fed_router else { continue };
                     self.later(Span::millis(1), SimEvent::RouterInput { node: number, router, message });
                 }
-                SubscriptionEffect::Note { event, detail } => self.note(format!("n{number} {event} {detail}")),
+                SubscriptionEffect::LogEvent { event, detail } => self.note(format!("n{number} {event} {detail}")),
             }
         }
     }
@@ -101,7 +101,7 @@
         }
         if node.life == life && node.router.as_ref().is_some_and(|known| known.id == router) {
             node.fed_router = Some(router);
-            self.step_node(number, life, SubscriptionInput::RouterUp);
+            self.step_node(number, life, SubscriptionInput::RouterConnected);
         }
     }
 
@@ -116,7 +116,7 @@
             is_up && !self.net.is_cut(machine, *keeper) && !self.net.is_cut(*keeper, machine)
         });
         let Some(keeper) = reached else {
-            self.tell_node(number, SubscriptionInput::CoreDown);
+            self.tell_node(number, SubscriptionInput::CoreDisconnected);
             return;
         };
         let keeper_life = self.keepers[keeper].life;
@@ -132,7 +132,7 @@
         let link = self.links.len() - 1;
         self.nodes[number].link = Some(link);
         self.later(Span(0), SimEvent::TakesUp { link });
-        self.tell_node(number, SubscriptionInput::CoreUp);
+        self.tell_node(number, SubscriptionInput::CoreConnected);
     }
 
     /// A keeper that is busy or frozen takes a new stream up afterwards, in its own order of things.
@@ -148,7 +148,7 @@
             return;
         }
         self.links[number].taken_up = true;
-        let input = Input::NodeGone { node: self.nodes[node].id };
+        let input = Input::NodeDisconnected { node: self.nodes[node].id };
         self.step_keeper(keeper, Some(keeper_life), input);
     }
 
@@ -190,18 +190,18 @@
         let machine = NODE_BASE + node;
         let still_linked = self.links.iter().any(|link| link.open && link.node == node && link.keeper == keeper);
         if !self.net.is_cut(machine, keeper) && !still_linked {
-            let input = Input::NodeGone { node: self.nodes[node].id };
+            let input = Input::NodeDisconnected { node: self.nodes[node].id };
             self.step_keeper(keeper, Some(keeper_life), input);
         }
         if self.nodes[node].link == Some(number) && !self.net.is_cut(keeper, machine) {
             self.nodes[node].link = None;
-            self.tell_node(node, SubscriptionInput::CoreDown);
+            self.tell_node(node, SubscriptionInput::CoreDisconnected);
         }
         self.links[number].up.clear();
         self.links[number].down.clear();
     }
 
-    pub fn step_router(&mut self, node_number: usize, router_id: NodeId, message: RouterDown) {
+    pub fn step_router(&mut self, node_number: usize, router_id: NodeId, message: AgentToRouter) {
         let now = self.now;
         let node = &mut self.nodes[node_number];
         if node.frozen_until > now {
@@ -212,22 +212,22 @@
         let local_now = node.clock.read(now);
         let Some(router) = node.router.as_mut().filter(|router| router.id == router_id) else { return };
         let sight = match message {
-            RouterDown::Settled { ticket, outcome } => return self.settle_claim(node_number, ticket, outcome),
-            RouterDown::Routers(routers) => {
+            AgentToRouter::Settled { ticket, outcome } => return self.settle_claim(node_number, ticket, outcome),
+            AgentToRouter::Routers(routers) => {
                 router.routers = routers;
                 return;
             }
-            RouterDown::Lease { until, .. } => {
+            AgentToRouter::Lease { until, .. } => {
                 router.lease_until = router.lease_until.max(until);
                 return;
             }
-            RouterDown::Snapshot { state, gave_way } => {
+            AgentToRouter::Snapshot { state, gave_way } => {
                 if state.edition <= router.sight.state.edition {
                     return;
                 }
                 router.sight.starting_over(*state, &gave_way, local_now)
             }
-            RouterDown::Push { number, submission, committed } => {
+            AgentToRouter::Push { number, submission, committed } => {
                 let expected = router.sight.state.edition.next();
                 if number > expected {
                     return self.see_push_gap(node_number, expected, number);
@@ -250,7 +250,7 @@
             self.see_committed(edition, request, &format!("n{node_number}"));
         }
         self.note_in_force(&state);
-        self.tell_node(node_number, SubscriptionInput::Router(RouterUp::Applied { edition }));
+        self.tell_node(node_number, SubscriptionInput::Router(RouterToAgent::Applied { edition }));
         self.look_at_work(node_number);
     }
 
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 
 impl World {
-    pub fn take_outcome(&mut self, ticket: u64, outcome: AskOutcome) {
+    pub fn take_outcome(&mut self, ticket: u64, outcome: QueryOutcome) {
         if self.hear_demand(ticket, &outcome) {
             return;
         }
@@ -11,7 +11,7 @@
         if let Some(Meaning::Stands { keeper, engine }) = &asked.means {
             self.keepers[*keeper].submitted.remove(engine);
         }
-        let AskOutcome::Settled(Settled::Taken(edition)) = outcome else { return };
+        let QueryOutcome::Settled(Settled::Taken(edition)) = outcome else { return };
         let at = self.millis();
         self.acked.insert(asked.request, edition);
         self.see_committed(edition, asked.request, "an answer");
--- a/crates/simulator/src/prelude.rs
+++ b/crates/simulator/src/prelude.rs
@@ -30,7 +30,9 @@
 };
 pub(crate) use std::cmp::Reverse;
 pub(crate) use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
-pub(crate) use subscription::prelude::{RouterDown, RouterUp, Subscription, SubscriptionEffect, SubscriptionInput};
+pub(crate) use subscription::prelude::{
+    AgentToRouter, RouterToAgent, Subscription, SubscriptionEffect, SubscriptionInput,
+};
 pub(crate) use units::prelude::*;
 pub(crate) use verdict::prelude::{
     CallerLine, NEVER, Record, RegisterAnswer, RegisterCall, RegisterOperation, Violation, WorldLine, check_register,
--- a/crates/simulator/src/register_operators.rs
+++ b/crates/simulator/src/register_operators.rs
@@ -75,12 +75,12 @@
     }
 
     /// Notes what a keeper answered to one of the calls.
-    pub(crate) fn hear(&mut self, ticket: u64, outcome: &AskOutcome) {
+    pub(crate) fn hear(&mut self, ticket: u64, outcome: &QueryOutcome) {
         let Some(place) = self.open.remove(&ticket) else { return };
         let answer = match outcome {
-            AskOutcome::Settled(Settled::Taken(_)) => RegisterAnswer::Taken,
-            AskOutcome::Settled(Settled::Stale { .. }) => RegisterAnswer::Stale,
-            AskOutcome::Configuration { revision, .. } => RegisterAnswer::Revision(revision.0),
+            QueryOutcome::Settled(Settled::Taken(_)) => RegisterAnswer::Taken,
+            QueryOutcome::Settled(Settled::Stale { .. }) => RegisterAnswer::Stale,
+            QueryOutcome::Configuration { revision, .. } => RegisterAnswer::Revision(revision.0),
             _ => return,
         };
         self.moment += 1;
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -277,7 +277,7 @@
     });
     let Some(tail) = tail else { return vec!["rule 12: no tail acts at the end".into()] };
     if world.net.cuts.is_empty() && tail.view().chain.len() != KEEPERS {
-        return vec![format!("rule 12: the chain did not fill up again: {}", list_ids(&tail.view().chain))];
+        return vec![format!("rule 12: the chain did not fill up again: {}", join_ids(&tail.view().chain))];
     }
     world
         .acked
--- a/crates/simulator/src/trouble.rs
+++ b/crates/simulator/src/trouble.rs
@@ -24,8 +24,8 @@
             Fault::StopKeeper(keeper) => {
                 let life = self.keepers[keeper].life;
                 self.step_keeper(keeper, Some(life), Input::Retire);
-                let until = self.now + LEAVING_LIMIT;
-                self.later(PARTING_SPAN, SimEvent::StopKeeper { keeper, life, until });
+                let until = self.now + LEAVE_TIMEOUT;
+                self.later(DRAIN_PERIOD, SimEvent::StopKeeper { keeper, life, until });
             }
             Fault::KillKeepers(keepers) => keepers.into_iter().for_each(|keeper| self.kill_keeper(keeper)),
             Fault::StartKeepers => all_keepers.into_iter().for_each(|keeper| self.start_keeper(keeper)),
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -93,8 +93,8 @@
     /// Takes an input; what is to be done about it, in order.
     pub fn step(&mut self, input: SubscriptionInput, now: Instant) -> Vec<SubscriptionEffect> {
         match input {
-            SubscriptionInput::Pulse => self.pulse(now),
-            SubscriptionInput::CoreUp => {
+            SubscriptionInput::Tick => self.pulse(now),
+            SubscriptionInput::CoreConnected => {
                 self.core = CoreStream::Up;
                 self.last_heard = now;
                 self.last_granted = now;
@@ -102,34 +102,34 @@
                 self.behind_since = None;
                 self.renew(now);
             }
-            SubscriptionInput::CoreDown => self.core = CoreStream::Down,
+            SubscriptionInput::CoreDisconnected => self.core = CoreStream::Down,
             SubscriptionInput::Core(message) => {
                 if self.core == CoreStream::Up {
                     self.last_heard = now;
                     self.hear_core(message, now);
                 }
             }
-            SubscriptionInput::RouterUp => {
+            SubscriptionInput::RouterConnected => {
                 self.lives += 1;
                 self.router = Some(RouterPlace { life: self.lives, applied: None, address: None, has_state: false });
                 self.renew(now);
             }
-            SubscriptionInput::RouterDown => self.router = None,
-            SubscriptionInput::Router(RouterUp::Here(address)) => {
+            SubscriptionInput::RouterDisconnected => self.router = None,
+            SubscriptionInput::Router(RouterToAgent::Announce(address)) => {
                 if let Some(router) = self.router.as_mut() {
                     router.address = Some(address);
                 }
             }
-            SubscriptionInput::Router(RouterUp::Submit { ticket, submission }) => {
-                self.say_core(NodeUp::Submit { ticket, submission });
+            SubscriptionInput::Router(RouterToAgent::Submit { ticket, submission }) => {
+                self.say_core(AgentToKeeper::Submit { ticket, submission });
             }
-            SubscriptionInput::Router(RouterUp::Demand(report)) => self.say_core(NodeUp::Demand(report)),
-            SubscriptionInput::Router(RouterUp::Applied { edition }) => {
+            SubscriptionInput::Router(RouterToAgent::Demand(report)) => self.say_core(AgentToKeeper::Demand(report)),
+            SubscriptionInput::Router(RouterToAgent::Applied { edition }) => {
                 let Some(router) = self.router.as_mut() else { return Vec::new() };
                 let is_first = router.applied.is_none();
                 router.applied = Some(edition);
                 router.has_state = true;
-                self.say_core(NodeUp::Applied { edition });
+                self.say_core(AgentToKeeper::Applied { edition });
                 if is_first {
                     self.renew(now);
                 }
@@ -139,16 +139,16 @@
         std::mem::take(&mut self.plan)
     }
 
-    fn say_core(&mut self, message: NodeUp) {
+    fn say_core(&mut self, message: AgentToKeeper) {
         if self.core == CoreStream::Up {
-            self.plan.push(SubscriptionEffect::SayCore(message));
+            self.plan.push(SubscriptionEffect::SendToCore(message));
         }
     }
 
     fn renew(&mut self, now: Instant) {
         let Some(router) = &self.router else { return };
         let address = router.address.clone();
-        let renewal = NodeUp::Renew { sent: now, applied: router.applied, life: router.life, router: address };
+        let renewal = AgentToKeeper::Renew { sent: now, applied: router.applied, life: router.life, router: address };
         self.last_renewed = now;
         self.say_core(renewal);
     }
@@ -196,7 +196,7 @@
     }
 
     /// When the next pulse is due, if nothing comes before.
-    pub fn next_pulse(&self, now: Instant) -> Instant {
+    pub fn next_tick(&self, now: Instant) -> Instant {
         let due = match self.core {
             CoreStream::Up if self.redirect.is_some() => self.redirected_from(),
             CoreStream::Up if self.router.is_some() => (self.last_renewed + self.pause(now))
@@ -246,10 +246,10 @@
         self.plan.push(SubscriptionEffect::Dial(address));
     }
 
-    fn hear_core(&mut self, message: NodeDown, now: Instant) {
+    fn hear_core(&mut self, message: KeeperToAgent, now: Instant) {
         match message {
-            NodeDown::Membership(view) => self.hear_membership(view, now),
-            NodeDown::Granted { sent, span, life, undisturbed } => {
+            KeeperToAgent::Membership(view) => self.hear_membership(view, now),
+            KeeperToAgent::Granted { sent, span, life, undisturbed } => {
                 self.last_granted = now;
                 self.renew_span = renewal_span(span);
                 self.said_since = self.said_since.max(sent);
@@ -259,35 +259,41 @@
                 if asked_for_this_life {
                     self.lease_until = self.lease_until.max(sent + span);
                     let disturbed = self.when(undisturbed);
-                    let lease = RouterDown::Lease { asked: sent, until: sent + span, disturbed };
-                    self.plan.push(SubscriptionEffect::SayRouter(lease));
+                    let lease = AgentToRouter::Lease { asked: sent, until: sent + span, disturbed };
+                    self.plan.push(SubscriptionEffect::SendToRouter(lease));
                 }
             }
-            NodeDown::NotNow => {}
-            NodeDown::Settled { ticket, outcome } => {
-                self.plan.push(SubscriptionEffect::SayRouter(RouterDown::Settled { ticket, outcome }));
+            KeeperToAgent::NotNow => {}
+            KeeperToAgent::Settled { ticket, outcome } => {
+                self.plan.push(SubscriptionEffect::SendToRouter(AgentToRouter::Settled { ticket, outcome }));
             }
-            NodeDown::Routers(routers) => self.plan.push(SubscriptionEffect::SayRouter(RouterDown::Routers(routers))),
-            NodeDown::Behind => {
+            KeeperToAgent::Routers(routers) => {
+                self.plan.push(SubscriptionEffect::SendToRouter(AgentToRouter::Routers(routers)))
+            }
+            KeeperToAgent::Behind => {
                 let has_applied = self.router.as_ref().is_some_and(|router| router.applied.is_some());
                 if has_applied {
                     self.behind_since.get_or_insert(now);
                 }
             }
-            NodeDown::Snapshot { state, gave_way } => {
+            KeeperToAgent::Snapshot { state, gave_way } => {
                 if let Some(router) = self.router.as_mut() {
                     router.has_state = true;
                 }
                 let gave_way = gave_way.into_iter().map(|(model, weights, age)| (model, weights, self.when(age)));
-                let message = RouterDown::Snapshot { state, gave_way: gave_way.collect() };
-                self.plan.push(SubscriptionEffect::SayRouter(message));
+                let message = AgentToRouter::Snapshot { state, gave_way: gave_way.collect() };
+                self.plan.push(SubscriptionEffect::SendToRouter(message));
             }
-            NodeDown::Push { number, submission, age } => {
+            KeeperToAgent::Push { number, submission, age } => {
                 if !self.router.as_ref().is_some_and(|router| router.has_state) {
                     return;
                 }
                 let committed = age.map(|age| self.when(age));
-                self.plan.push(SubscriptionEffect::SayRouter(RouterDown::Push { number, submission, committed }));
+                self.plan.push(SubscriptionEffect::SendToRouter(AgentToRouter::Push {
+                    number,
+                    submission,
+                    committed,
+                }));
             }
         }
     }
@@ -301,7 +307,7 @@
         let other_fleet = self.view.fleet != FleetId(0) && view.fleet != FleetId(0) && view.fleet != self.view.fleet;
         if other_fleet {
             let detail = format!("theirs={} ours={}", view.fleet, self.view.fleet);
-            self.plan.push(SubscriptionEffect::Note { event: "wrong_fleet", detail });
+            self.plan.push(SubscriptionEffect::LogEvent { event: "wrong_fleet", detail });
             self.dial_another(now);
             return;
         }
@@ -343,10 +349,10 @@
     fn committed(subscription: &mut Subscription, now: Instant) -> Option<Instant> {
         let submission =
             Submission { request: RequestId(1), command: Command::Merge { base: None, patch: "{}".into() } };
-        let push = NodeDown::Push { number: Edition(1), submission, age: Some(Span(0)) };
+        let push = KeeperToAgent::Push { number: Edition(1), submission, age: Some(Span(0)) };
         let plan = subscription.step(SubscriptionInput::Core(push), now);
         plan.into_iter().find_map(|effect| match effect {
-            SubscriptionEffect::SayRouter(RouterDown::Push { committed, .. }) => committed,
+            SubscriptionEffect::SendToRouter(AgentToRouter::Push { committed, .. }) => committed,
             _ => None,
         })
     }
@@ -354,12 +360,12 @@
     #[test]
     fn what_waited_for_a_sleeping_machine_is_not_new() {
         let mut subscription = Subscription::new(vec!["k".into()], 0);
-        subscription.step(SubscriptionInput::Pulse, at(1));
-        subscription.step(SubscriptionInput::CoreUp, at(1));
-        subscription.step(SubscriptionInput::RouterUp, at(1));
-        subscription.step(SubscriptionInput::Router(RouterUp::Applied { edition: Edition(0) }), at(1));
+        subscription.step(SubscriptionInput::Tick, at(1));
+        subscription.step(SubscriptionInput::CoreConnected, at(1));
+        subscription.step(SubscriptionInput::RouterConnected, at(1));
+        subscription.step(SubscriptionInput::Router(RouterToAgent::Applied { edition: Edition(0) }), at(1));
         let granted = |sent| {
-            SubscriptionInput::Core(NodeDown::Granted {
+            SubscriptionInput::Core(KeeperToAgent::Granted {
                 sent,
                 span: Span::seconds(2),
                 life: 1,
--- a/crates/subscription/src/messages.rs
+++ b/crates/subscription/src/messages.rs
@@ -4,9 +4,10 @@
 
 /// The router to its agent, over loopback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum RouterUp {
+pub enum RouterToAgent {
     /// Who the router is and where callers reach it; said first.
-    Here(RouterAddress),
+    #[serde(rename = "Here")]
+    Announce(RouterAddress),
     /// A state is in force at the router.
     Applied {
         /// Its number.
@@ -25,7 +26,7 @@
 
 /// The agent to its router, over loopback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum RouterDown {
+pub enum AgentToRouter {
     /// The whole state, and when each edition of weights lately given up gave way.
     Snapshot {
         /// The state.
@@ -67,19 +68,19 @@
 #[derive(Clone, Debug)]
 pub enum SubscriptionInput {
     /// Time has passed.
-    Pulse,
+    Tick,
     /// The stream to the core is up.
-    CoreUp,
+    CoreConnected,
     /// The stream to the core is gone.
-    CoreDown,
+    CoreDisconnected,
     /// A message from the core.
-    Core(NodeDown),
+    Core(KeeperToAgent),
     /// A router has connected.
-    RouterUp,
+    RouterConnected,
     /// The router's stream is gone.
-    RouterDown,
+    RouterDisconnected,
     /// A message from the router.
-    Router(RouterUp),
+    Router(RouterToAgent),
     /// Other addresses at which the core may be found.
     Seeds(Vec<String>),
 }
@@ -90,11 +91,11 @@
     /// Drop the stream to the core, if there is one, and dial this address.
     Dial(String),
     /// Send a message to the core.
-    SayCore(NodeUp),
+    SendToCore(AgentToKeeper),
     /// Send a message to the router.
-    SayRouter(RouterDown),
+    SendToRouter(AgentToRouter),
     /// Log an event.
-    Note {
+    LogEvent {
         /// The event's name.
         event: &'static str,
         /// What is to be known of it, as key=value.
--- a/crates/subscription/src/prelude.rs
+++ b/crates/subscription/src/prelude.rs
@@ -3,7 +3,7 @@
 pub use crate::machine::*;
 pub use crate::messages::*;
 pub(crate) use coordinator::prelude::{
-    DemandReport, FleetState, NodeDown, NodeUp, RouterAddress, Settled, Submission, View,
+    AgentToKeeper, DemandReport, FleetState, KeeperToAgent, RouterAddress, Settled, Submission, View,
 };
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use timing::prelude::renewal_span;
--- a/crates/subscription/tests/leaving.rs
+++ b/crates/subscription/tests/leaving.rs
@@ -1,6 +1,6 @@
 //! An agent that gives up its keeper turns to another one.
 
-use coordinator::prelude::{Member, NodeDown, View};
+use coordinator::prelude::{KeeperToAgent, Member, View};
 use std::collections::BTreeSet;
 use subscription::prelude::*;
 use units::prelude::*;
@@ -52,14 +52,14 @@
 /// An agent on the tail's stream, with a lease just granted; `spread` is where it begins its turn.
 fn on_tail(spread: usize) -> Subscription {
     let mut subscription = Subscription::new(vec![address(0), address(1), address(TAIL)], spread);
-    subscription.step(SubscriptionInput::Pulse, at(0));
-    subscription.step(SubscriptionInput::CoreUp, at(0));
-    subscription.step(SubscriptionInput::RouterUp, at(0));
-    if dialled(subscription.step(SubscriptionInput::Core(NodeDown::Membership(view())), at(300))).is_some() {
-        subscription.step(SubscriptionInput::CoreUp, at(310));
+    subscription.step(SubscriptionInput::Tick, at(0));
+    subscription.step(SubscriptionInput::CoreConnected, at(0));
+    subscription.step(SubscriptionInput::RouterConnected, at(0));
+    if dialled(subscription.step(SubscriptionInput::Core(KeeperToAgent::Membership(view())), at(300))).is_some() {
+        subscription.step(SubscriptionInput::CoreConnected, at(310));
     }
     let (sent, span) = (at(400), Span::millis(6500));
-    let granted = NodeDown::Granted { sent, span, life: 1, undisturbed: Span::seconds(60) };
+    let granted = KeeperToAgent::Granted { sent, span, life: 1, undisturbed: Span::seconds(60) };
     subscription.step(SubscriptionInput::Core(granted), at(400));
     subscription
 }
@@ -67,8 +67,8 @@
 /// The keeper dialled once the present one grants nothing any more, though it answers.
 fn dialled_after_no_grant(subscription: &mut Subscription) -> String {
     for now in (410..4000).step_by(10) {
-        subscription.step(SubscriptionInput::Core(NodeDown::NotNow), at(now));
-        if let Some(address) = dialled(subscription.step(SubscriptionInput::Pulse, at(now))) {
+        subscription.step(SubscriptionInput::Core(KeeperToAgent::NotNow), at(now));
+        if let Some(address) = dialled(subscription.step(SubscriptionInput::Tick, at(now))) {
             return address;
         }
     }
@@ -89,7 +89,7 @@
         let mut subscription = on_tail(spread);
         let first = dialled_after_no_grant(&mut subscription);
         let second =
-            (4000..8000).step_by(10).find_map(|now| dialled(subscription.step(SubscriptionInput::Pulse, at(now))));
+            (4000..8000).step_by(10).find_map(|now| dialled(subscription.step(SubscriptionInput::Tick, at(now))));
         assert_ne!(second, Some(first), "spread {spread}");
     }
 }
@@ -97,9 +97,9 @@
 #[test]
 fn the_only_keeper_known_is_dialled_again() {
     let mut subscription = Subscription::new(vec![address(0)], 0);
-    subscription.step(SubscriptionInput::Pulse, at(0));
-    subscription.step(SubscriptionInput::CoreUp, at(0));
-    subscription.step(SubscriptionInput::RouterUp, at(0));
+    subscription.step(SubscriptionInput::Tick, at(0));
+    subscription.step(SubscriptionInput::CoreConnected, at(0));
+    subscription.step(SubscriptionInput::RouterConnected, at(0));
     assert_eq!(dialled_after_no_grant(&mut subscription), address(0));
 }
 
@@ -108,14 +108,14 @@
     for spread in 0..12 {
         let mut subscription = on_tail(spread);
         let replaced = view_after(&[0, 1, 2], &[4, 5, 6]);
-        let heard = SubscriptionInput::Core(NodeDown::Membership(replaced.clone()));
+        let heard = SubscriptionInput::Core(KeeperToAgent::Membership(replaced.clone()));
         assert_eq!(dialled(subscription.step(heard, at(500))), None, "its tail is the same");
-        subscription.step(SubscriptionInput::CoreDown, at(600));
+        subscription.step(SubscriptionInput::CoreDisconnected, at(600));
         let mut dialled_addresses = BTreeSet::new();
         for now in (600..6000).step_by(10) {
-            if let Some(address) = dialled(subscription.step(SubscriptionInput::Pulse, at(now))) {
+            if let Some(address) = dialled(subscription.step(SubscriptionInput::Tick, at(now))) {
                 dialled_addresses.insert(address);
-                subscription.step(SubscriptionInput::CoreDown, at(now));
+                subscription.step(SubscriptionInput::CoreDisconnected, at(now));
             }
         }
         for member in &replaced.members {
@@ -130,19 +130,19 @@
         let mut subscription = on_tail(spread);
         let other = dialled_after_no_grant(&mut subscription);
         let up = at(5000);
-        subscription.step(SubscriptionInput::CoreDown, at(4500));
+        subscription.step(SubscriptionInput::CoreDisconnected, at(4500));
         let target = (4500..5000)
             .step_by(10)
-            .find_map(|now| dialled(subscription.step(SubscriptionInput::Pulse, at(now))))
+            .find_map(|now| dialled(subscription.step(SubscriptionInput::Tick, at(now))))
             .unwrap_or(other);
-        subscription.step(SubscriptionInput::CoreUp, up);
+        subscription.step(SubscriptionInput::CoreConnected, up);
         if target == address(TAIL) {
             continue;
         }
-        let named = SubscriptionInput::Core(NodeDown::Membership(view()));
+        let named = SubscriptionInput::Core(KeeperToAgent::Membership(view()));
         let mut first = dialled(subscription.step(named, up + Span::millis(2)));
         for waited in (2..100).step_by(2) {
-            first = first.or_else(|| dialled(subscription.step(SubscriptionInput::Pulse, up + Span::millis(waited))));
+            first = first.or_else(|| dialled(subscription.step(SubscriptionInput::Tick, up + Span::millis(waited))));
         }
         assert_eq!(first, Some(address(TAIL)), "spread {spread}");
     }
@@ -151,16 +151,17 @@
 #[test]
 fn a_redirect_is_forgotten_once_the_keeper_grants() {
     let mut subscription = Subscription::new(vec![address(0), address(1)], 0);
-    let first = dialled(subscription.step(SubscriptionInput::Pulse, at(0)));
+    let first = dialled(subscription.step(SubscriptionInput::Tick, at(0)));
     assert_eq!(first, Some(address(0)));
-    subscription.step(SubscriptionInput::CoreUp, at(1));
-    subscription.step(SubscriptionInput::RouterUp, at(1));
-    let named = SubscriptionInput::Core(NodeDown::Membership(view()));
+    subscription.step(SubscriptionInput::CoreConnected, at(1));
+    subscription.step(SubscriptionInput::RouterConnected, at(1));
+    let named = SubscriptionInput::Core(KeeperToAgent::Membership(view()));
     assert_eq!(dialled(subscription.step(named, at(3))), None, "it was dialled just now");
-    let granted = NodeDown::Granted { sent: at(3), span: Span::seconds(6), life: 1, undisturbed: Span::seconds(60) };
+    let granted =
+        KeeperToAgent::Granted { sent: at(3), span: Span::seconds(6), life: 1, undisturbed: Span::seconds(60) };
     subscription.step(SubscriptionInput::Core(granted), at(4));
     for now in 5..500 {
-        assert_eq!(dialled(subscription.step(SubscriptionInput::Pulse, at(now))), None);
+        assert_eq!(dialled(subscription.step(SubscriptionInput::Tick, at(now))), None);
     }
 }
 
@@ -168,12 +169,12 @@
 fn a_seed_that_is_a_member_takes_one_place_in_the_turn() {
     for spread in 0..12 {
         let mut subscription = on_tail(spread);
-        subscription.step(SubscriptionInput::CoreDown, at(500));
+        subscription.step(SubscriptionInput::CoreDisconnected, at(500));
         let mut turn = Vec::new();
         for now in (500..8000).step_by(10) {
-            if let Some(address) = dialled(subscription.step(SubscriptionInput::Pulse, at(now))) {
+            if let Some(address) = dialled(subscription.step(SubscriptionInput::Tick, at(now))) {
                 turn.push(address);
-                subscription.step(SubscriptionInput::CoreDown, at(now));
+                subscription.step(SubscriptionInput::CoreDisconnected, at(now));
             }
         }
         for window in turn.windows(KEEPERS as usize) {
--- a/crates/subscription/tests/pushes.rs
+++ b/crates/subscription/tests/pushes.rs
@@ -1,6 +1,6 @@
 //! A router takes changes without gaps only: none is passed on to one that has no state they could follow.
 
-use coordinator::prelude::{Command, FleetState, NodeDown, Submission};
+use coordinator::prelude::{Command, FleetState, KeeperToAgent, Submission};
 use subscription::prelude::*;
 use units::prelude::*;
 
@@ -9,24 +9,24 @@
 /// Whether a push that comes now is passed on to the router.
 fn passes_on(subscription: &mut Subscription) -> bool {
     let submission = Submission { request: RequestId(1), command: Command::Merge { base: None, patch: "{}".into() } };
-    let push = NodeDown::Push { number: Edition(7), submission, age: Some(Span(0)) };
+    let push = KeeperToAgent::Push { number: Edition(7), submission, age: Some(Span(0)) };
     let plan = subscription.step(SubscriptionInput::Core(push), NOW);
-    plan.iter().any(|effect| matches!(effect, SubscriptionEffect::SayRouter(RouterDown::Push { .. })))
+    plan.iter().any(|effect| matches!(effect, SubscriptionEffect::SendToRouter(AgentToRouter::Push { .. })))
 }
 
 #[test]
 fn a_router_without_a_state_is_pushed_no_change() {
     let mut subscription = Subscription::new(vec!["k".into()], 0);
-    subscription.step(SubscriptionInput::Pulse, NOW);
-    subscription.step(SubscriptionInput::CoreUp, NOW);
-    subscription.step(SubscriptionInput::RouterUp, NOW);
+    subscription.step(SubscriptionInput::Tick, NOW);
+    subscription.step(SubscriptionInput::CoreConnected, NOW);
+    subscription.step(SubscriptionInput::RouterConnected, NOW);
     assert!(!passes_on(&mut subscription), "it was pushed for another life of the router");
     let state = Box::new(FleetState::default());
-    subscription.step(SubscriptionInput::Core(NodeDown::Snapshot { state, gave_way: Vec::new() }), NOW);
+    subscription.step(SubscriptionInput::Core(KeeperToAgent::Snapshot { state, gave_way: Vec::new() }), NOW);
     assert!(passes_on(&mut subscription), "it follows the snapshot");
-    subscription.step(SubscriptionInput::RouterDown, NOW);
-    subscription.step(SubscriptionInput::RouterUp, NOW);
+    subscription.step(SubscriptionInput::RouterDisconnected, NOW);
+    subscription.step(SubscriptionInput::RouterConnected, NOW);
     assert!(!passes_on(&mut subscription), "the router has begun again without a state");
-    subscription.step(SubscriptionInput::Router(RouterUp::Applied { edition: Edition(6) }), NOW);
+    subscription.step(SubscriptionInput::Router(RouterToAgent::Applied { edition: Edition(6) }), NOW);
     assert!(passes_on(&mut subscription), "it has kept its state");
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Inbound {
     Core(Envelope),
-    Node(NodeUp),
+    Node(AgentToKeeper),
 }
 
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, String> {
--- a/crates/wire/src/prelude.rs
+++ b/crates/wire/src/prelude.rs
@@ -1,8 +1,8 @@
 //! The one import of this package's files.
 
 pub use crate::frame::*;
-pub use coordinator::prelude::{CoreMessage, Envelope, NodeDown, NodeUp, RouterAddress};
+pub use coordinator::prelude::{AgentToKeeper, CoreMessage, Envelope, KeeperToAgent, RouterAddress};
 pub(crate) use serde::{Deserialize, Serialize, de::DeserializeOwned};
 pub(crate) use std::io::{Read, Write};
-pub use subscription::prelude::{RouterDown, RouterUp};
+pub use subscription::prelude::{AgentToRouter, RouterToAgent};
 pub(crate) use units::prelude::*;
