--- a/crates/coordinator/src/addressing.rs
+++ b/crates/coordinator/src/addressing.rs
@@ -1,33 +1,33 @@
 //! Who a message between keepers is meant for. Streams lead to addresses; behind one there may stand, by the time
-//! something arrives, a later life of the process or an empty keeper in a lost one's place. Each message names the
-//! receiver's disk and life, and whoever else gets it drops it.
+//! something arrives, a later incarnation of the process or an empty keeper in a lost one's place. Each message names the
+//! receiver's disk and incarnation, and whoever else gets it drops it.
 
 use crate::prelude::*;
 
 /// Dropped messages are noted in the log at most so often.
-const NOTE_PAUSE: Span = Span::seconds(1);
+const LOG_INTERVAL: Span = Span::seconds(1);
 
 /// Messages that came to this keeper and were meant for another.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Misdirected {
     pub(crate) count: u64,
-    noted: Option<Instant>,
+    logged_at: Option<Instant>,
     /// When a sender was last told who answers here: each answer is a step of the sender's, which may send again.
-    answered: Option<Instant>,
+    answered_at: Option<Instant>,
 }
 
 impl Coordinator {
-    /// This keeper, in this life.
+    /// This keeper, in this incarnation.
     pub fn own_incarnation(&self) -> KeeperIncarnation {
-        KeeperIncarnation { id: self.me.id, life: self.life }
+        KeeperIncarnation { id: self.me.id, incarnation: self.incarnation }
     }
 
-    /// How many messages were dropped since they were meant for another keeper, life or fleet.
+    /// How many messages were dropped since they were meant for another keeper, incarnation or fleet.
     pub fn misdirected(&self) -> u64 {
         self.misdirected.count
     }
 
-    /// Sends to a keeper, in the life of it that is known: the one that is being answered, or the one heard last.
+    /// Sends to a keeper, in the incarnation of it that is known: the one that is being answered, or the one heard last.
     pub(crate) fn send(&mut self, to: NodeId, message: CoreMessage) {
         self.send_until(to, message, None);
     }
@@ -38,14 +38,19 @@
             self.inbox.push_back(message);
             return;
         }
-        let receiver = self.known_life(to);
+        let receiver = self.known_incarnation(to);
         if receiver.is_some() || message.is_broadcast() {
             self.send_envelope(to, receiver, message, until);
         }
     }
 
-    /// Sends to one life of a keeper and no other.
-    pub(crate) fn send_to_life(&mut self, to: KeeperIncarnation, message: CoreMessage, until: Option<Instant>) {
+    /// Sends to one incarnation of a keeper and no other.
+    pub(crate) fn send_to_incarnation(
+        &mut self,
+        to: KeeperIncarnation,
+        message: CoreMessage,
+        until: Option<Instant>,
+    ) {
         if to.id == self.me.id {
             self.inbox.push_back(message);
             return;
@@ -56,48 +61,48 @@
     fn send_envelope(
         &mut self,
         to: NodeId,
-        life: Option<KeeperIncarnation>,
+        incarnation: Option<KeeperIncarnation>,
         message: CoreMessage,
         until: Option<Instant>,
     ) {
         let Some(address) = self.address_of(to) else { return };
-        let receiver = life.filter(|_| !message.is_broadcast());
+        let receiver = incarnation.filter(|_| !message.is_broadcast());
         let envelope = self.envelope(receiver, message);
-        self.plan.push(Effect::Send { address, envelope, until });
+        self.effects.push(Effect::Send { address, envelope, until });
     }
 
     /// Tells whoever answers at an address what is for anyone.
-    pub(crate) fn knock(&mut self, address: String, message: CoreMessage) {
+    pub(crate) fn send_to_address(&mut self, address: String, message: CoreMessage) {
         let envelope = self.envelope(None, message);
-        self.plan.push(Effect::Send { address, envelope, until: None });
+        self.effects.push(Effect::Send { address, envelope, until: None });
     }
 
     fn envelope(&self, to: Option<KeeperIncarnation>, message: CoreMessage) -> Envelope {
         Envelope { fleet: self.view.fleet, from: self.own_incarnation(), to, message }
     }
 
-    fn known_life(&self, id: NodeId) -> Option<KeeperIncarnation> {
-        let answered = self.answered.filter(|answered| answered.id == id);
-        answered.or_else(|| self.peers.get(&id).map(|peer| KeeperIncarnation { id, life: peer.life }))
+    fn known_incarnation(&self, id: NodeId) -> Option<KeeperIncarnation> {
+        let answered = self.replying_to.filter(|answered| answered.id == id);
+        answered.or_else(|| self.peers.get(&id).map(|peer| KeeperIncarnation { id, incarnation: peer.incarnation }))
     }
 
     fn address_of(&self, node: NodeId) -> Option<String> {
-        let known_member = self.acquaintances.get(&node).or_else(|| self.view.member(node))?;
+        let known_member = self.known_members.get(&node).or_else(|| self.view.member(node))?;
         Some(known_member.address.clone())
     }
 
-    /// Takes what another keeper sent, if it is meant for this life of this one.
+    /// Takes what another keeper sent, if it is meant for this incarnation of this one.
     pub(crate) fn receive(&mut self, envelope: Envelope, now: Instant) {
-        if !self.is_meant_for_us(&envelope) {
+        if !self.is_addressed_to_us(&envelope) {
             self.drop_misdirected(&envelope, now);
             return;
         }
-        self.answered = Some(envelope.from);
-        self.hear(envelope.from, envelope.message, now);
-        self.answered = None;
+        self.replying_to = Some(envelope.from);
+        self.handle_message(envelope.from, envelope.message, now);
+        self.replying_to = None;
     }
 
-    fn is_meant_for_us(&self, envelope: &Envelope) -> bool {
+    fn is_addressed_to_us(&self, envelope: &Envelope) -> bool {
         let own_fleet = self.view.fleet;
         let is_other_fleet = own_fleet != FleetId(0) && envelope.fleet != FleetId(0) && envelope.fleet != own_fleet;
         let is_addressed = match envelope.to {
@@ -110,22 +115,23 @@
     /// Whoever takes us for another learns who we are, unless it is of another fleet.
     fn drop_misdirected(&mut self, envelope: &Envelope, now: Instant) {
         self.misdirected.count += 1;
-        let is_due = self.misdirected.noted.is_none_or(|noted| now.since(noted) >= NOTE_PAUSE);
+        let is_due = self.misdirected.logged_at.is_none_or(|noted| now.since(noted) >= LOG_INTERVAL);
         if is_due {
-            self.misdirected.noted = Some(now);
+            self.misdirected.logged_at = Some(now);
             let meant = envelope.to.map_or("nobody".to_owned(), |receiver| receiver.id.to_string());
             let detail = format!(
                 "from={} fleet={} for={meant} count={}",
                 envelope.from.id, envelope.fleet, self.misdirected.count
             );
-            self.note("misdirected", detail);
+            self.log_event("misdirected", detail);
         }
         let is_of_this_fleet = envelope.fleet == self.view.fleet && envelope.from.id != self.me.id;
-        let may_answer = self.misdirected.answered.is_none_or(|answered| now.since(answered) >= HEARTBEAT_INTERVAL);
+        let may_answer =
+            self.misdirected.answered_at.is_none_or(|answered| now.since(answered) >= HEARTBEAT_INTERVAL);
         if is_of_this_fleet && envelope.to.is_some() && may_answer {
-            self.misdirected.answered = Some(now);
-            let news = CoreMessage::Heartbeat(self.news(now));
-            self.send(envelope.from.id, news);
+            self.misdirected.answered_at = Some(now);
+            let status = CoreMessage::Heartbeat(self.own_status(now));
+            self.send(envelope.from.id, status);
         }
     }
 }
--- a/crates/coordinator/src/leaving.rs
+++ b/crates/coordinator/src/leaving.rs
@@ -14,7 +14,7 @@
     pub(crate) fn retire(&mut self, now: Instant) {
         if !self.retired {
             self.retired = true;
-            self.tell_news(now);
+            self.broadcast_status(now);
         }
         self.hand_over_all(now);
     }
@@ -40,7 +40,7 @@
     pub(crate) fn is_leaving(&self, member: NodeId, now: Instant) -> bool {
         match member == self.me.id {
             true => self.retired,
-            false => self.is_alive(member, now) && self.peer_news(member).is_some_and(|news| news.leaving),
+            false => self.is_alive(member, now) && self.peer_status(member).is_some_and(|status| status.leaving),
         }
     }
 
@@ -54,22 +54,22 @@
     }
 
     /// Whether a chain member leaves that the chain can do without.
-    pub(crate) fn may_let_go(&self, now: Instant) -> bool {
+    pub(crate) fn can_release_leaver(&self, now: Instant) -> bool {
         let somebody_leaves = self.view.chain.iter().any(|member| self.is_leaving(*member, now));
         somebody_leaves && self.chain_without_leavers(now).is_some()
     }
 
     /// What becomes of a leaver's seat: of an even number of voters it is given up, since one fewer bear as many
     /// losses; else a spare takes it.
-    pub(crate) fn seat_of_leaver(&self, spare: Option<NodeId>, now: Instant) -> Option<Growth> {
+    pub(crate) fn change_for_leaver(&self, spare: Option<NodeId>, now: Instant) -> Option<MembershipChange> {
         let stays = self.chain_without_leavers(now)?;
         let leaver =
             self.view.voters.iter().copied().find(|voter| self.is_leaving(*voter, now) && !stays.contains(voter))?;
-        if self.can_spare_a_seat() {
-            return Some(Growth::GiveUp(leaver));
+        if self.can_remove_voter() {
+            return Some(MembershipChange::RemoveVoter(leaver));
         }
         // The seat of one that is lost comes first: it will not come back by itself.
         let all_live = self.alive_voters(now) == self.view.voters.len();
-        spare.filter(|_| all_live).map(|spare| Growth::Replace { dead: leaver, spare })
+        spare.filter(|_| all_live).map(|spare| MembershipChange::Replace { dead: leaver, spare })
     }
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -6,13 +6,13 @@
 pub mod prelude;
 
 mod addressing;
-mod asks;
-mod chaining;
-mod composing;
 mod dispatch;
 mod duties;
 mod leaving;
 mod machine;
 mod messages;
+mod queries;
+mod replication;
 mod tail;
-mod viewing;
+mod view_changes;
+mod view_composition;
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -3,13 +3,13 @@
 use crate::prelude::*;
 
 pub const HEARTBEAT_INTERVAL: Span = Span::millis(200);
-const DATED_RECORDS: usize = 1024;
+const MAX_COMMIT_TIMES: usize = 1024;
 /// Longer than any router goes on with weights that gave way.
-const KEPT_WEIGHTS_SPAN: Span = Span::seconds(60);
-pub const SUSPECT_AFTER: Span = Span::millis(800);
+const SUPERSEDED_WEIGHTS_RETENTION: Span = Span::seconds(60);
+pub const SUSPECT_TIMEOUT: Span = Span::millis(800);
 /// How often a keeper looks around while something is under way.
-const BUSY_PULSE: Span = Span::millis(50);
-const FORGET_AFTER: Span = Span::seconds(30);
+const BUSY_TICK_INTERVAL: Span = Span::millis(50);
+const FORGET_TIMEOUT: Span = Span::seconds(30);
 
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorSettings {
@@ -26,48 +26,48 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// Which life of its process was heard last.
-    pub(crate) life: u64,
-    pub(crate) news: Option<KeeperStatus>,
+    /// Which incarnation of its process was heard last.
+    pub(crate) incarnation: u64,
+    pub(crate) status: Option<KeeperStatus>,
     pub(crate) last_heard: Instant,
     /// Since when it has been heard without a break.
     pub(crate) heard_since: Instant,
     /// Since when it stands still behind us as our successor, or idle as the tail.
-    pub(crate) stands_since: Option<Instant>,
+    pub(crate) stalled_since: Option<Instant>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     pub(crate) me: Member,
-    /// Differs for each life of the process.
-    pub(crate) life: u64,
+    /// Differs for each incarnation of the process.
+    pub(crate) incarnation: u64,
     /// The keeper whose message is being answered.
-    pub(crate) answered: Option<KeeperIncarnation>,
+    pub(crate) replying_to: Option<KeeperIncarnation>,
     pub(crate) misdirected: Misdirected,
     pub(crate) settings: CoordinatorSettings,
     pub(crate) view: View,
     pub(crate) vote: Vote,
     pub(crate) sealed_since: Instant,
-    pub(crate) aligned: ViewNumber,
+    pub(crate) synced_view: ViewNumber,
     /// The view before whose beginning everything committed is surely in this log: it was aligned in
     /// an earlier one and has stood in every chain since, so nothing was committed without it.
-    pub(crate) whole: ViewNumber,
+    pub(crate) complete_view: ViewNumber,
     pub(crate) log: Log,
     pub(crate) committed: Edition,
-    /// When this life first saw recent records; those of an earlier life are not in it.
+    /// When this incarnation first saw recent records; those of an earlier incarnation are not in it.
     pub(crate) committed_at: BTreeMap<Edition, Instant>,
-    /// The weights wanted when last looked, and when the ones before them gave way in this life.
+    /// The weights wanted when last looked, and when the ones before them gave way in this incarnation.
     pub(crate) wanted_weights: BTreeMap<ModelName, WeightsEdition>,
-    pub(crate) gave_way: BTreeMap<(ModelName, WeightsEdition), Instant>,
+    pub(crate) superseded_at: BTreeMap<(ModelName, WeightsEdition), Instant>,
     pub(crate) peers: BTreeMap<NodeId, Peer>,
-    pub(crate) acquaintances: BTreeMap<NodeId, Member>,
-    /// Where the log ended when this life began, or was replaced by a snapshot.
+    pub(crate) known_members: BTreeMap<NodeId, Member>,
+    /// Where the log ended when this incarnation began, or was replaced by a snapshot.
     pub(crate) restored_at: Edition,
     pub(crate) nonce: u64,
     /// When it was first asked, under which nonce, to be brought level.
-    pub(crate) asked_level: Option<(u64, Instant)>,
-    pub(crate) began: Instant,
-    pub(crate) adopted: Instant,
+    pub(crate) catch_up_request: Option<(u64, Instant)>,
+    pub(crate) started_at: Instant,
+    pub(crate) adopted_at: Instant,
     pub(crate) campaign: Option<Campaign>,
     pub(crate) highest_round: u64,
     pub(crate) campaign_after: Instant,
@@ -77,46 +77,46 @@
     pub(crate) duties: BTreeMap<DutyKind, HeldDuty>,
     /// About to stop: takes no duty any more.
     pub(crate) retired: bool,
-    pub(crate) waiting: BTreeMap<u64, Waiting>,
-    pub(crate) last_pulse: Instant,
+    pub(crate) pending_queries: BTreeMap<u64, PendingQuery>,
+    pub(crate) last_heartbeat: Instant,
     pub(crate) inbox: VecDeque<CoreMessage>,
-    pub(crate) plan: Vec<Effect>,
+    pub(crate) effects: Vec<Effect>,
 }
 
 impl Coordinator {
-    /// A keeper with what its folder holds; `life` differs for each life of the process.
+    /// A keeper with what its folder holds; `incarnation` differs for each incarnation of the process.
     pub fn restore(
         me: Member,
         kept: PersistedState,
         settings: CoordinatorSettings,
-        life: u64,
+        incarnation: u64,
         now: Instant,
     ) -> Coordinator {
         let view = kept.view.unwrap_or_default();
-        let acquaintances = view.members.iter().map(|member| (member.id, member.clone())).collect();
+        let known_members = view.members.iter().map(|member| (member.id, member.clone())).collect();
         let mut restored = Coordinator {
             me,
-            life,
-            answered: None,
+            incarnation,
+            replying_to: None,
             misdirected: Misdirected::default(),
             settings,
             view,
             vote: kept.vote,
             sealed_since: now,
-            aligned: kept.aligned,
-            whole: kept.whole,
+            synced_view: kept.synced_view,
+            complete_view: kept.complete_view,
             log: Log::restore(kept.mark, kept.state, kept.records),
             committed: Edition(0),
             committed_at: BTreeMap::new(),
             wanted_weights: BTreeMap::new(),
-            gave_way: BTreeMap::new(),
+            superseded_at: BTreeMap::new(),
             peers: BTreeMap::new(),
-            acquaintances,
+            known_members,
             restored_at: Edition(0),
-            nonce: life,
-            asked_level: None,
-            began: now,
-            adopted: now,
+            nonce: incarnation,
+            catch_up_request: None,
+            started_at: now,
+            adopted_at: now,
             campaign: None,
             highest_round: 0,
             campaign_after: now,
@@ -125,12 +125,12 @@
             duty_lease: HeldLease::default(),
             duties: BTreeMap::new(),
             retired: false,
-            waiting: BTreeMap::new(),
-            last_pulse: Instant(0),
+            pending_queries: BTreeMap::new(),
+            last_heartbeat: Instant(0),
             inbox: VecDeque::new(),
-            plan: Vec::new(),
+            effects: Vec::new(),
         };
-        restored.forget_dates();
+        restored.clear_commit_times();
         if restored.view.tail() == Some(restored.me.id) {
             let has_begun = kept.begun == restored.view.number;
             let wait = if has_begun { Span(0) } else { READ_LEASE + LEASE_MARGIN };
@@ -166,40 +166,40 @@
             Stored::Snapshot { mark, state: Box::new(founding_state) },
             Stored::Vote(Vote::default()),
             Stored::View(first_view),
-            Stored::Aligned(FOUNDING_VIEW),
-            Stored::Whole(FOUNDING_VIEW),
+            Stored::SyncedView(FOUNDING_VIEW),
+            Stored::CompleteView(FOUNDING_VIEW),
         ]
     }
 
     pub fn step(&mut self, input: Input, now: Instant) -> Vec<Effect> {
         match input {
-            Input::Tick => self.pulse(now),
+            Input::Tick => self.tick(now),
             Input::Peer(envelope) => self.receive(envelope, now),
-            Input::Node { node, message } => self.hear_node(node, message, now),
-            Input::NodeDisconnected { node } => self.lose_node(node),
-            Input::NotSent { node, messages } => self.take_back(node, &messages),
-            Input::Query { ticket, question, limit } => self.begin_ask(ticket, question, limit, now),
-            Input::ListingRead { read, asked } => self.listing_check.note_reading(read, asked),
+            Input::Node { node, message } => self.handle_node(node, message, now),
+            Input::NodeDisconnected { node } => self.forget_node(node),
+            Input::NotSent { node, messages } => self.roll_back(node, &messages),
+            Input::Query { ticket, question, limit } => self.begin_query(ticket, question, limit, now),
+            Input::ListingRead { read, asked } => self.listing_check.record_reading(read, asked),
             Input::Retire => self.retire(now),
             Input::HandOver(kind) => self.hand_over(kind, now),
             Input::Seeds(seeds) => self.settings.seeds = seeds,
         }
         while let Some(own_message) = self.inbox.pop_front() {
-            self.hear(self.own_incarnation(), own_message, now);
+            self.handle_message(self.own_incarnation(), own_message, now);
         }
-        self.date_records(now);
-        self.tend_tail(now);
-        std::mem::take(&mut self.plan)
+        self.record_commit_times(now);
+        self.run_tail(now);
+        std::mem::take(&mut self.effects)
     }
 
-    fn date_records(&mut self, now: Instant) {
+    fn record_commit_times(&mut self, now: Instant) {
         let last_edition = self.log.last().edition;
-        let dated_last = self.committed_at.last_key_value().map_or(self.restored_at, |(edition, _)| *edition);
-        let dated_last = dated_last.max(self.restored_at);
-        for number in (dated_last.0 + 1)..=last_edition.0 {
+        let last_timed = self.committed_at.last_key_value().map_or(self.restored_at, |(edition, _)| *edition);
+        let last_timed = last_timed.max(self.restored_at);
+        for number in (last_timed.0 + 1)..=last_edition.0 {
             self.committed_at.insert(Edition(number), now);
         }
-        while self.committed_at.len() > DATED_RECORDS {
+        while self.committed_at.len() > MAX_COMMIT_TIMES {
             self.committed_at.pop_first();
         }
         let wanted = self.log.state().desired.models.iter().map(|(model, wish)| (model.clone(), wish.weights));
@@ -209,10 +209,10 @@
         }
         for (model, weights) in std::mem::replace(&mut self.wanted_weights, wanted) {
             if self.wanted_weights.get(&model).is_some_and(|wanted| *wanted > weights) {
-                self.gave_way.insert((model, weights), now);
+                self.superseded_at.insert((model, weights), now);
             }
         }
-        self.gave_way.retain(|_, since| now.since(*since) < KEPT_WEIGHTS_SPAN);
+        self.superseded_at.retain(|_, since| now.since(*since) < SUPERSEDED_WEIGHTS_RETENTION);
     }
 
     pub fn view(&self) -> &View {
@@ -239,60 +239,60 @@
         self.vote.sealed()
     }
 
-    pub(crate) fn is_aligned(&self) -> bool {
-        self.has_view() && self.aligned == self.view.number && self.view.in_chain(self.me.id)
+    pub(crate) fn is_synced(&self) -> bool {
+        self.has_view() && self.synced_view == self.view.number && self.view.in_chain(self.me.id)
     }
 
     pub(crate) fn store(&mut self, stored: Stored) {
-        self.plan.push(Effect::Store(stored));
+        self.effects.push(Effect::Store(stored));
     }
 
-    pub(crate) fn note(&mut self, event: &'static str, detail: String) {
-        self.plan.push(Effect::LogEvent { event, detail });
+    pub(crate) fn log_event(&mut self, event: &'static str, detail: String) {
+        self.effects.push(Effect::LogEvent { event, detail });
     }
 
     /// Tells a node's agent; carried out later than `until`, it is dropped.
-    pub(crate) fn tell(&mut self, node: NodeId, message: KeeperToAgent, until: Option<Instant>) {
-        self.plan.push(Effect::SendToNode { node, message, until });
+    pub(crate) fn send_to_node(&mut self, node: NodeId, message: KeeperToAgent, until: Option<Instant>) {
+        self.effects.push(Effect::SendToNode { node, message, until });
     }
 
-    pub(crate) fn hear(&mut self, sender: KeeperIncarnation, message: CoreMessage, now: Instant) {
+    pub(crate) fn handle_message(&mut self, sender: KeeperIncarnation, message: CoreMessage, now: Instant) {
         let from = sender.id;
         match message {
-            CoreMessage::Heartbeat(news) => self.hear_news(sender, news, now),
-            CoreMessage::View(view_message) => self.hear_view(from, view_message, now),
-            CoreMessage::Chain(chain_message) => self.hear_chain(from, chain_message, now),
-            CoreMessage::ReadLeaseRequest { view, sent } => self.hear_read_lease_ask(from, view, sent),
-            CoreMessage::ReadLeaseGranted { view, sent } => self.hear_read_lease_given(from, view, sent),
-            CoreMessage::Retired { view } => self.hear_retired(from, view, now),
-            CoreMessage::DutyLeaseRequest { sent } => self.hear_duty_ask(from, sent, now),
-            CoreMessage::DutyLeaseGranted { sent, duties } => self.hear_duty_given(from, sent, duties, now),
-            CoreMessage::Submit(submission) => self.hear_submit(submission),
-            CoreMessage::Query { ticket, question } => self.hear_ask(sender, ticket, question, now),
-            CoreMessage::Outcome { ticket, outcome } => self.hear_outcome(ticket, outcome),
+            CoreMessage::Heartbeat(status) => self.handle_status(sender, status, now),
+            CoreMessage::View(view_message) => self.handle_view(from, view_message, now),
+            CoreMessage::Chain(chain_message) => self.handle_chain(from, chain_message, now),
+            CoreMessage::ReadLeaseRequest { view, sent } => self.handle_read_lease_ask(from, view, sent),
+            CoreMessage::ReadLeaseGranted { view, sent } => self.handle_read_lease_given(from, view, sent),
+            CoreMessage::Retired { view } => self.handle_retired(from, view, now),
+            CoreMessage::DutyLeaseRequest { sent } => self.handle_duty_ask(from, sent, now),
+            CoreMessage::DutyLeaseGranted { sent, duties } => self.handle_duty_given(from, sent, duties, now),
+            CoreMessage::Submit(submission) => self.handle_submit(submission),
+            CoreMessage::Query { ticket, question } => self.handle_query(sender, ticket, question, now),
+            CoreMessage::Outcome { ticket, outcome } => self.handle_outcome(ticket, outcome),
         }
     }
 
-    fn pulse(&mut self, now: Instant) {
-        if now.since(self.last_pulse) >= HEARTBEAT_INTERVAL {
-            self.last_pulse = now;
-            self.tell_news(now);
-            self.ask_to_be_levelled(now);
+    fn tick(&mut self, now: Instant) {
+        if now.since(self.last_heartbeat) >= HEARTBEAT_INTERVAL {
+            self.last_heartbeat = now;
+            self.broadcast_status(now);
+            self.request_catch_up(now);
             self.ask_read_lease(now);
-            self.ask_duty(now);
-            self.forget_the_gone(now);
+            self.request_duty_lease(now);
+            self.forget_absent_members(now);
         }
-        self.tend_campaign(now);
-        self.tend_asks(now);
+        self.run_campaign(now);
+        self.retry_queries(now);
     }
 
-    pub(crate) fn news(&self, now: Instant) -> KeeperStatus {
+    pub(crate) fn own_status(&self, now: Instant) -> KeeperStatus {
         KeeperStatus {
             member: self.me.clone(),
             fleet: self.view.fleet,
             view: self.view.number,
-            aligned: self.aligned,
-            whole: self.whole,
+            synced_view: self.synced_view,
+            complete_view: self.complete_view,
             last: self.log.last(),
             committed: self.committed,
             tail_active: self.tail_is_active(now),
@@ -301,88 +301,98 @@
         }
     }
 
-    pub(crate) fn tell_news(&mut self, now: Instant) {
-        let message = CoreMessage::Heartbeat(self.news(now));
-        let told_members: Vec<NodeId> =
-            self.acquaintances.keys().copied().filter(|member| *member != self.me.id).collect();
-        for member in told_members {
+    pub(crate) fn broadcast_status(&mut self, now: Instant) {
+        let message = CoreMessage::Heartbeat(self.own_status(now));
+        let receivers: Vec<NodeId> =
+            self.known_members.keys().copied().filter(|member| *member != self.me.id).collect();
+        for member in receivers {
             self.send(member, message.clone());
         }
         let heard_few = !self.has_view() || self.alive_voters(now) < self.view.majority();
         if heard_few {
             for address in self.settings.seeds.clone() {
                 if address != self.me.address {
-                    self.knock(address, message.clone());
+                    self.send_to_address(address, message.clone());
                 }
             }
         }
     }
 
-    fn hear_news(&mut self, sender: KeeperIncarnation, news: KeeperStatus, now: Instant) {
+    fn handle_status(&mut self, sender: KeeperIncarnation, status: KeeperStatus, now: Instant) {
         let from = sender.id;
         if from == self.me.id {
             return;
         }
-        let address_moved = self.acquaintances.get(&from) != Some(&news.member);
+        let address_moved = self.known_members.get(&from) != Some(&status.member);
         if address_moved {
-            self.forget_at(&news.member.address);
-            self.acquaintances.insert(from, news.member.clone());
+            self.forget_address(&status.member.address);
+            self.known_members.insert(from, status.member.clone());
         }
-        let is_new_life = self.peers.get(&from).is_none_or(|peer| peer.life != sender.life);
-        let last_news = self.note_heard(sender, &news, now);
-        if is_new_life {
-            // It must know this life before it can ask or answer anything.
-            let own_news = CoreMessage::Heartbeat(self.news(now));
-            self.send(from, own_news);
+        let is_new_incarnation = self.peers.get(&from).is_none_or(|peer| peer.incarnation != sender.incarnation);
+        let last_status = self.record_heard(sender, &status, now);
+        if is_new_incarnation {
+            // It must know this incarnation before it can ask or answer anything.
+            let own_status = CoreMessage::Heartbeat(self.own_status(now));
+            self.send(from, own_status);
             self.ask_read_lease(now);
         }
-        if self.view.tail() == Some(from) && news.view == self.view.number {
-            self.committed = self.committed.max(news.committed);
+        if self.view.tail() == Some(from) && status.view == self.view.number {
+            self.committed = self.committed.max(status.committed);
         }
-        if self.has_view() && news.view < self.view.number {
+        if self.has_view() && status.view < self.view.number {
             let decided = CoreMessage::View(ViewMessage::Decided(self.view.clone()));
             self.send(from, decided);
         }
-        self.watch_wellness(from, &news, now);
-        self.resend_to_successor(from, &news, last_news.as_ref());
-        let can_level = news.view == self.view.number && news.aligned == self.view.number;
-        if can_level && self.view.before(self.me.id) == Some(from) {
-            self.ask_to_be_levelled(now);
+        self.track_stalls(from, &status, now);
+        self.resend_to_successor(from, &status, last_status.as_ref());
+        let predecessor_is_synced = status.view == self.view.number && status.synced_view == self.view.number;
+        if predecessor_is_synced && self.view.before(self.me.id) == Some(from) {
+            self.request_catch_up(now);
         }
     }
 
     /// Notes that a peer was heard, and what it said before.
-    fn note_heard(&mut self, sender: KeeperIncarnation, news: &KeeperStatus, now: Instant) -> Option<KeeperStatus> {
-        let heard_first =
-            Peer { life: sender.life, news: None, last_heard: now, heard_since: now, stands_since: None };
+    fn record_heard(
+        &mut self,
+        sender: KeeperIncarnation,
+        status: &KeeperStatus,
+        now: Instant,
+    ) -> Option<KeeperStatus> {
+        let heard_first = Peer {
+            incarnation: sender.incarnation,
+            status: None,
+            last_heard: now,
+            heard_since: now,
+            stalled_since: None,
+        };
         let peer = self.peers.entry(sender.id).or_insert(heard_first.clone());
-        if peer.life != sender.life {
+        if peer.incarnation != sender.incarnation {
             *peer = heard_first;
         }
-        if now.since(peer.last_heard) >= SUSPECT_AFTER {
+        if now.since(peer.last_heard) >= SUSPECT_TIMEOUT {
             peer.heard_since = now;
         }
         peer.last_heard = now;
-        peer.news.replace(news.clone())
+        peer.status.replace(status.clone())
     }
 
     /// Whoever was known at an address is not there any more: its machine came back without its disk.
-    fn forget_at(&mut self, address: &str) {
+    fn forget_address(&mut self, address: &str) {
         let me = self.me.id;
-        self.acquaintances.retain(|id, member| *id == me || member.address != address);
+        self.known_members.retain(|id, member| *id == me || member.address != address);
     }
 
     /// Drops keepers that have long left both the view and our hearing; one that is back knocks.
-    fn forget_the_gone(&mut self, now: Instant) {
+    fn forget_absent_members(&mut self, now: Instant) {
         let me = self.me.id;
         let gone: Vec<NodeId> = self
-            .acquaintances
+            .known_members
             .keys()
             .copied()
-            .filter(|id| *id != me && self.view.member(*id).is_none() && self.silence(*id, now) >= FORGET_AFTER)
+            .filter(|id| *id != me && self.view.member(*id).is_none() && self.silence(*id, now) >= FORGET_TIMEOUT)
             .collect();
         for id in gone {
-            self.acquaintances.remove(&id);
+            self.known_members.remove(&id);
             self.peers.remove(&id);
         }
     }
@@ -393,19 +403,19 @@
         let tail_waits = self
             .tail
             .as_ref()
-            .is_some_and(|tail| !tail.begun || !tail.pending.is_empty() || !tail.leases.settled(now));
+            .is_some_and(|tail| !tail.started || !tail.pending.is_empty() || !tail.leases.settled(now));
         let is_busy = tail_waits
             || self.retired
             || self.sealed()
             || self.campaign.is_some()
-            || !self.waiting.is_empty()
+            || !self.pending_queries.is_empty()
             || !self.has_view()
             || self.view.voters.iter().any(is_silent);
-        if is_busy { BUSY_PULSE } else { HEARTBEAT_INTERVAL }
+        if is_busy { BUSY_TICK_INTERVAL } else { HEARTBEAT_INTERVAL }
     }
 
     pub(crate) fn is_alive(&self, node: NodeId, now: Instant) -> bool {
-        node == self.me.id || self.peers.get(&node).is_some_and(|peer| now.since(peer.last_heard) < SUSPECT_AFTER)
+        node == self.me.id || self.peers.get(&node).is_some_and(|peer| now.since(peer.last_heard) < SUSPECT_TIMEOUT)
     }
 
     /// Everybody heard of lately, this keeper included.
@@ -423,10 +433,10 @@
         if node == self.me.id {
             return Span(0);
         }
-        now.since(self.peers.get(&node).map_or(self.began, |peer| peer.last_heard))
+        now.since(self.peers.get(&node).map_or(self.started_at, |peer| peer.last_heard))
     }
 
-    pub(crate) fn peer_news(&self, node: NodeId) -> Option<&KeeperStatus> {
-        self.peers.get(&node).and_then(|peer| peer.news.as_ref())
+    pub(crate) fn peer_status(&self, node: NodeId) -> Option<&KeeperStatus> {
+        self.peers.get(&node).and_then(|peer| peer.status.as_ref())
     }
 }
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -2,12 +2,13 @@
 
 use crate::prelude::*;
 
-/// One life of a keeper's process on one disk. A keeper that starts again has another life, and one whose disk
+/// One incarnation of a keeper's process on one disk. A keeper that starts again has another incarnation, and one whose disk
 /// was lost another id, though it answers at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeeperIncarnation {
     pub id: NodeId,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// A message between keepers, with its sender and its receiver. Streams lead to addresses, and another keeper
@@ -28,8 +29,10 @@
     pub member: Member,
     pub fleet: FleetId,
     pub view: ViewNumber,
-    pub aligned: ViewNumber,
-    pub whole: ViewNumber,
+    #[serde(rename = "aligned")]
+    pub synced_view: ViewNumber,
+    #[serde(rename = "whole")]
+    pub complete_view: ViewNumber,
     pub last: Mark,
     pub committed: Edition,
     pub tail_active: bool,
@@ -82,7 +85,7 @@
 
 impl CoreMessage {
     /// KeeperStatus are about their sender alone, and a decided view is the same for everyone: both are told before the
-    /// receiver's life is known.
+    /// receiver's incarnation is known.
     pub fn is_broadcast(&self) -> bool {
         matches!(self, CoreMessage::Heartbeat(_) | CoreMessage::View(ViewMessage::Decided(_)))
     }
@@ -144,7 +147,8 @@
     Renew {
         sent: Instant,
         applied: Option<Edition>,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         #[serde(rename = "door")]
         router: Option<RouterAddress>,
     },
@@ -169,7 +173,8 @@
     Granted {
         sent: Instant,
         span: Span,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// How long ago a core machine was last seen to come or go.
         undisturbed: Span,
     },
@@ -242,10 +247,10 @@
     },
     View(View),
     Vote(Vote),
-    Aligned(ViewNumber),
-    Whole(ViewNumber),
+    SyncedView(ViewNumber),
+    CompleteView(ViewNumber),
     /// This keeper has begun to act as the tail of a view: no tail before it acts any more.
-    Begun(ViewNumber),
+    TailStarted(ViewNumber),
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -262,8 +267,8 @@
 pub struct PersistedState {
     pub view: Option<View>,
     pub vote: Vote,
-    pub aligned: ViewNumber,
-    pub whole: ViewNumber,
+    pub synced_view: ViewNumber,
+    pub complete_view: ViewNumber,
     pub begun: ViewNumber,
     pub mark: Mark,
     pub state: FleetState,
--- a/crates/coordinator/src/prelude.rs
+++ b/crates/coordinator/src/prelude.rs
@@ -1,15 +1,15 @@
 //! The one import of this package's files.
 
 pub(crate) use crate::addressing::*;
-pub(crate) use crate::asks::*;
-pub(crate) use crate::composing::*;
 pub use crate::dispatch::*;
 pub(crate) use crate::duties::*;
 pub use crate::leaving::*;
 pub use crate::machine::*;
 pub use crate::messages::*;
+pub(crate) use crate::queries::*;
 pub(crate) use crate::tail::*;
-pub use crate::viewing::join_ids;
+pub use crate::view_changes::join_ids;
+pub(crate) use crate::view_composition::*;
 pub use adapters::prelude::{DemandReport, HeardDemand};
 pub use chain::prelude::{Ages, ChainMessage, Log, Record};
 pub use desired::prelude::{
--- a/crates/coordinator/src/asks.rs
+++ b/crates/coordinator/src/queries.rs
@@ -3,23 +3,23 @@
 
 use crate::prelude::*;
 
-const ASK_AGAIN: Span = Span::millis(300);
+const QUERY_RETRY_INTERVAL: Span = Span::millis(300);
 
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct PendingQuery {
     question: CoreQuery,
     limit: Instant,
     asked: Instant,
 }
 
 impl Coordinator {
-    pub(crate) fn begin_ask(&mut self, ticket: u64, question: CoreQuery, limit: Instant, now: Instant) {
-        let waiting = Waiting { question, limit, asked: now };
-        self.send_ask(ticket, &waiting);
-        self.waiting.insert(ticket, waiting);
+    pub(crate) fn begin_query(&mut self, ticket: u64, question: CoreQuery, limit: Instant, now: Instant) {
+        let waiting = PendingQuery { question, limit, asked: now };
+        self.send_query(ticket, &waiting);
+        self.pending_queries.insert(ticket, waiting);
     }
 
-    fn send_ask(&mut self, ticket: u64, waiting: &Waiting) {
+    fn send_query(&mut self, ticket: u64, waiting: &PendingQuery) {
         let (Some(head), Some(tail)) = (self.view.head(), self.view.tail()) else { return };
         let tail_question = match &waiting.question {
             CoreQuery::Submit(submission) => {
@@ -34,33 +34,33 @@
         self.send(tail, CoreMessage::Query { ticket, question: tail_question });
     }
 
-    pub(crate) fn tend_asks(&mut self, now: Instant) {
+    pub(crate) fn retry_queries(&mut self, now: Instant) {
         let mut asked_again = Vec::new();
         let mut run_out = Vec::new();
-        for (ticket, waiting) in self.waiting.iter_mut() {
+        for (ticket, waiting) in self.pending_queries.iter_mut() {
             if now >= waiting.limit {
                 run_out.push(*ticket);
-            } else if now.since(waiting.asked) >= ASK_AGAIN {
+            } else if now.since(waiting.asked) >= QUERY_RETRY_INTERVAL {
                 waiting.asked = now;
                 asked_again.push((*ticket, waiting.clone()));
             }
         }
         for ticket in run_out {
-            self.hear_outcome(ticket, QueryOutcome::Unknown);
+            self.handle_outcome(ticket, QueryOutcome::Unknown);
         }
         for (ticket, waiting) in asked_again {
-            self.send_ask(ticket, &waiting);
+            self.send_query(ticket, &waiting);
         }
     }
 
-    pub(crate) fn hear_outcome(&mut self, ticket: u64, outcome: QueryOutcome) {
-        if self.waiting.remove(&ticket).is_some() {
-            self.plan.push(Effect::Outcome { ticket, outcome });
+    pub(crate) fn handle_outcome(&mut self, ticket: u64, outcome: QueryOutcome) {
+        if self.pending_queries.remove(&ticket).is_some() {
+            self.effects.push(Effect::Outcome { ticket, outcome });
         }
     }
 
     /// The tail's side.
-    pub(crate) fn hear_ask(&mut self, from: KeeperIncarnation, ticket: u64, question: CoreQuery, now: Instant) {
+    pub(crate) fn handle_query(&mut self, from: KeeperIncarnation, ticket: u64, question: CoreQuery, now: Instant) {
         if !self.tail_is_active(now) {
             return;
         }
@@ -94,6 +94,6 @@
                 QueryOutcome::Nodes(reports)
             }
         };
-        self.send_to_life(from, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
+        self.send_to_incarnation(from, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
     }
 }
--- a/crates/coordinator/src/chaining.rs
+++ b/crates/coordinator/src/replication.rs
@@ -4,12 +4,12 @@
 
 const UNCOMMITTED_LIMIT: u64 = 256;
 /// The ages of so many records are told to a member that is brought level.
-const TOLD_AGES: usize = 64;
+const MAX_AGES_SENT: usize = 64;
 
 impl Coordinator {
-    pub(crate) fn hear_submit(&mut self, submission: Submission) {
+    pub(crate) fn handle_submit(&mut self, submission: Submission) {
         let may_take = self.view.head() == Some(self.me.id)
-            && self.is_aligned()
+            && self.is_synced()
             && !self.sealed()
             && self.view.takes_writes()
             && self.log.last().edition.0 < self.committed.0 + UNCOMMITTED_LIMIT;
@@ -28,48 +28,50 @@
         self.send(successor, CoreMessage::Chain(append));
     }
 
-    pub(crate) fn hear_chain(&mut self, from: NodeId, message: ChainMessage, now: Instant) {
+    pub(crate) fn handle_chain(&mut self, from: NodeId, message: ChainMessage, now: Instant) {
         match message {
-            ChainMessage::Append { view, previous, records } => self.hear_append(from, view, previous, records, now),
+            ChainMessage::Append { view, previous, records } => {
+                self.handle_append(from, view, previous, records, now)
+            }
             ChainMessage::Have { view, last, nonce } => {
                 let is_outside = !self.view.in_chain(from);
-                let may_level = self.is_aligned() || (is_outside && self.holds_all_committed(self.me.id));
-                if view == self.view.number && may_level {
+                let can_serve_catch_up = self.is_synced() || (is_outside && self.holds_all_committed(self.me.id));
+                if view == self.view.number && can_serve_catch_up {
                     let answer = self.log.level(view, last, nonce, self.ages(now));
                     self.send(from, CoreMessage::Chain(answer));
                 }
             }
             ChainMessage::Level { view, nonce, previous, records, ages } => {
-                if self.may_be_levelled(from, view, nonce) && previous == self.log.last() {
-                    let was_aligned = self.is_aligned();
+                if self.accepts_catch_up(from, view, nonce) && previous == self.log.last() {
+                    let was_synced = self.is_synced();
                     self.take_records(previous, records);
-                    if !was_aligned {
+                    if !was_synced {
                         self.take_ages(&ages, nonce);
                     }
-                    self.align();
+                    self.mark_synced();
                 }
             }
             ChainMessage::Snapshot { view, nonce, mark, state, ages } => {
                 // What a sealed keeper has told of its log must stay in it.
                 let is_shorter = mark.edition < self.log.last().edition;
-                if self.may_be_levelled(from, view, nonce) && !(self.sealed() && is_shorter) {
+                if self.accepts_catch_up(from, view, nonce) && !(self.sealed() && is_shorter) {
                     self.log = Log::restore(mark, (*state).clone(), Vec::new());
                     self.store(Stored::Snapshot { mark, state });
                     self.take_ages(&ages, nonce);
-                    self.align();
+                    self.mark_synced();
                 }
             }
         }
     }
 
-    fn hear_append(&mut self, from: NodeId, view: ViewNumber, previous: Mark, records: Vec<Record>, now: Instant) {
+    fn handle_append(&mut self, from: NodeId, view: ViewNumber, previous: Mark, records: Vec<Record>, now: Instant) {
         let from_before = self.view.before(self.me.id) == Some(from);
-        if view != self.view.number || !from_before || !self.is_aligned() || self.sealed() {
+        if view != self.view.number || !from_before || !self.is_synced() || self.sealed() {
             return;
         }
         let last = self.log.last();
         if previous.edition > last.edition {
-            self.ask_level_of(from, now);
+            self.request_catch_up_from(from, now);
             return;
         }
         let new_records: Vec<Record> =
@@ -85,14 +87,14 @@
             self.log.append(record.clone());
             self.store(Stored::Record(record.clone()));
         }
-        if self.is_aligned() {
+        if self.is_synced() {
             self.pass_on(previous, records);
         }
     }
 
     /// A chain member is levelled by the one before it alone, and not once sealed; a keeper outside
     /// the chain by any aligned member, also while it is sealed: nothing is committed through it.
-    fn may_be_levelled(&self, from: NodeId, view: ViewNumber, nonce: u64) -> bool {
+    fn accepts_catch_up(&self, from: NodeId, view: ViewNumber, nonce: u64) -> bool {
         if view != self.view.number || nonce != self.nonce {
             return false;
         }
@@ -102,8 +104,8 @@
 
     /// How long ago what is dated here was committed at the most.
     fn ages(&self, now: Instant) -> Ages {
-        let records = self.committed_at.iter().rev().take(TOLD_AGES);
-        let gave_way = self.gave_way.iter();
+        let records = self.committed_at.iter().rev().take(MAX_AGES_SENT);
+        let gave_way = self.superseded_at.iter();
         Ages {
             records: records.map(|(edition, since)| (*edition, now.since(*since))).collect(),
             gave_way: gave_way
@@ -116,91 +118,96 @@
     /// than it was committed: the head numbered each record before anybody could commit it, or was in every
     /// chain since, and each member has its dates from the one before it.
     fn take_ages(&mut self, ages: &Ages, nonce: u64) {
-        self.forget_dates();
-        let Some(asked) = self.asked_level.filter(|(asked_nonce, _)| *asked_nonce == nonce) else { return };
-        let when = |age: Span| Instant(asked.1.0.saturating_sub(age.0));
+        self.clear_commit_times();
+        let Some(asked) = self.catch_up_request.filter(|(catch_up_nonce, _)| *catch_up_nonce == nonce) else {
+            return;
+        };
+        let instant_at_age = |age: Span| Instant(asked.1.0.saturating_sub(age.0));
         let last = self.log.last().edition;
         let records = ages.records.iter().filter(|(edition, _)| *edition <= last);
-        self.committed_at = records.map(|(edition, age)| (*edition, when(*age))).collect();
+        self.committed_at = records.map(|(edition, age)| (*edition, instant_at_age(*age))).collect();
         let gave_way = ages.gave_way.iter();
-        self.gave_way = gave_way.map(|(model, weights, age)| ((model.clone(), *weights), when(*age))).collect();
+        self.superseded_at =
+            gave_way.map(|(model, weights, age)| ((model.clone(), *weights), instant_at_age(*age))).collect();
     }
 
     /// What was committed before we stood aligned may be older than our seeing it: its age is not
     /// known. An aligned member's own append comes before the commit, so its dates are right.
-    pub(crate) fn forget_dates(&mut self) {
+    pub(crate) fn clear_commit_times(&mut self) {
         self.restored_at = self.log.last().edition;
         self.committed_at.clear();
         let models = &self.log.state().desired.models;
         self.wanted_weights = models.iter().map(|(model, wish)| (model.clone(), wish.weights)).collect();
-        self.gave_way.clear();
+        self.superseded_at.clear();
     }
 
-    fn align(&mut self) {
+    fn mark_synced(&mut self) {
         self.nonce = self.nonce.wrapping_add(1);
-        if !self.view.in_chain(self.me.id) || self.aligned == self.view.number {
+        if !self.view.in_chain(self.me.id) || self.synced_view == self.view.number {
             return;
         }
-        self.aligned = self.view.number;
-        self.whole = self.view.number;
-        self.store(Stored::Aligned(self.aligned));
-        self.store(Stored::Whole(self.whole));
-        self.note("aligned", format!("view={} edition={}", self.aligned, self.log.last().edition));
+        self.synced_view = self.view.number;
+        self.complete_view = self.view.number;
+        self.store(Stored::SyncedView(self.synced_view));
+        self.store(Stored::CompleteView(self.complete_view));
+        self.log_event("aligned", format!("view={} edition={}", self.synced_view, self.log.last().edition));
         if let Some(successor) = self.view.after(self.me.id) {
-            let news = CoreMessage::Heartbeat(self.news(self.last_pulse));
-            self.send(successor, news);
+            let status = CoreMessage::Heartbeat(self.own_status(self.last_heartbeat));
+            self.send(successor, status);
         }
     }
 
-    fn ask_level_of(&mut self, other: NodeId, now: Instant) {
-        let is_first_asking = self.asked_level.is_none_or(|(nonce, _)| nonce != self.nonce);
+    fn request_catch_up_from(&mut self, other: NodeId, now: Instant) {
+        let is_first_asking = self.catch_up_request.is_none_or(|(nonce, _)| nonce != self.nonce);
         if is_first_asking {
-            self.asked_level = Some((self.nonce, now));
+            self.catch_up_request = Some((self.nonce, now));
         }
         let have = ChainMessage::Have { view: self.view.number, last: self.log.last(), nonce: self.nonce };
         self.send(other, CoreMessage::Chain(have));
     }
 
-    pub(crate) fn ask_to_be_levelled(&mut self, now: Instant) {
-        if !self.has_view() || self.is_aligned() {
+    pub(crate) fn request_catch_up(&mut self, now: Instant) {
+        if !self.has_view() || self.is_synced() {
             return;
         }
         let asked_member = match self.view.in_chain(self.me.id) {
             true => self.view.before(self.me.id),
-            false => self.levelling_member(now),
+            false => self.catch_up_source(now),
         };
         if let Some(asked_member) = asked_member {
-            self.ask_level_of(asked_member, now);
+            self.request_catch_up_from(asked_member, now);
         }
     }
 
     /// Who levels a keeper outside the chain: the tail, or whoever else is there and level. Where the members
     /// before it are lost, one that is not aligned in this view but holds all that was committed does it, too.
-    fn levelling_member(&self, now: Instant) -> Option<NodeId> {
-        let is_level = |member: &NodeId| {
-            let news = self.peer_news(*member).filter(|_| self.is_alive(*member, now));
-            let is_aligned = news.is_some_and(|news| news.view == self.view.number && news.aligned == news.view);
-            is_aligned || (news.is_some() && self.holds_all_committed(*member))
+    fn catch_up_source(&self, now: Instant) -> Option<NodeId> {
+        let can_serve = |member: &NodeId| {
+            let status = self.peer_status(*member).filter(|_| self.is_alive(*member, now));
+            let is_synced =
+                status.is_some_and(|status| status.view == self.view.number && status.synced_view == status.view);
+            is_synced || (status.is_some() && self.holds_all_committed(*member))
         };
-        let level_members = self.view.chain.iter().rev().copied().filter(is_level);
-        level_members.chain(self.view.tail()).next()
+        let sources = self.view.chain.iter().rev().copied().filter(can_serve);
+        sources.chain(self.view.tail()).next()
     }
 
     /// A successor whose log stood still behind ours between two pulses missed something.
     pub(crate) fn resend_to_successor(
         &mut self,
         from: NodeId,
-        news: &KeeperStatus,
-        last_news: Option<&KeeperStatus>,
+        status: &KeeperStatus,
+        last_status: Option<&KeeperStatus>,
     ) {
         let is_successor = self.view.after(self.me.id) == Some(from);
-        let both_aligned = self.is_aligned() && news.aligned == self.view.number && news.view == self.view.number;
-        let stood_still = last_news.is_some_and(|earlier| earlier.last == news.last);
-        if !is_successor || !both_aligned || !stood_still || news.last.edition >= self.log.last().edition {
+        let both_synced =
+            self.is_synced() && status.synced_view == self.view.number && status.view == self.view.number;
+        let is_unchanged = last_status.is_some_and(|earlier| earlier.last == status.last);
+        if !is_successor || !both_synced || !is_unchanged || status.last.edition >= self.log.last().edition {
             return;
         }
-        let Some(records) = self.log.after(news.last.edition) else { return };
-        let append = ChainMessage::Append { view: self.view.number, previous: news.last, records };
+        let Some(records) = self.log.after(status.last.edition) else { return };
+        let append = ChainMessage::Append { view: self.view.number, previous: status.last, records };
         self.send(from, CoreMessage::Chain(append));
     }
 }
--- a/crates/coordinator/src/tail/claims.rs
+++ b/crates/coordinator/src/tail/claims.rs
@@ -4,7 +4,7 @@
 
 impl Coordinator {
     /// Claims and their giving back go from nodes to the head; the node is told once that is committed.
-    pub(crate) fn hear_claim(&mut self, node: NodeId, ticket: u64, submission: Submission, now: Instant) {
+    pub(crate) fn handle_claim(&mut self, node: NodeId, ticket: u64, submission: Submission, now: Instant) {
         if !matches!(submission.command, Command::Claim { .. } | Command::Release { .. }) {
             return;
         }
@@ -18,18 +18,18 @@
     }
 
     /// Has the book of claims turned once this tail has seen its page for the whole span.
-    pub(crate) fn turn_claims(&mut self, now: Instant) {
+    pub(crate) fn rotate_claims(&mut self, now: Instant) {
         let turn = self.log.state().claim_book.turn;
         let (Some(head), Some(tail)) = (self.view.head(), self.tail.as_mut()) else { return };
-        if tail.claim_turn.0 != turn {
-            tail.claim_turn = (turn, now);
+        if tail.claim_rotation.0 != turn {
+            tail.claim_rotation = (turn, now);
         }
-        if now.since(tail.claim_turn.1) < CLAIM_SPAN {
+        if now.since(tail.claim_rotation.1) < CLAIM_SPAN {
             return;
         }
-        tail.claim_turn.1 = now;
-        let request = request_of(b"turn", &[turn]);
+        tail.claim_rotation.1 = now;
+        let request = derived_request_id(b"turn", &[turn]);
         self.send(head, CoreMessage::Submit(Submission { request, command: Command::TurnClaims { turn } }));
-        self.take_own_outcomes();
+        self.process_inbox();
     }
 }
--- a/crates/coordinator/src/tail/listing_check.rs
+++ b/crates/coordinator/src/tail/listing_check.rs
@@ -5,9 +5,9 @@
 
 /// How old the agreement of state and platform may be for a node's lease to be granted on it: with the
 /// lease itself this stays below the three seconds an engine that was listed away may get requests.
-const LISTING_AGE: Span = Span::millis(800);
+const MAX_LISTING_AGE: Span = Span::millis(800);
 /// How long a failed reading counts: the platform is away, and the last list holds.
-const FAILED_AGE: Span = Span::millis(1300);
+const MAX_FAILURE_AGE: Span = Span::millis(1300);
 /// How many listings of the state are remembered: the latest, and the one that nodes have which have yet to
 /// apply it.
 const REMEMBERED_LISTINGS: usize = 2;
@@ -19,7 +19,7 @@
     asked: Instant,
     newest: Option<(String, ListingNumber)>,
     /// When the latest reading that failed began.
-    faulted: Instant,
+    failed_at: Instant,
     /// The listings in the state, latest first: the edition each came in, and when the latest reading
     /// began that agreed with it.
     agreed: VecDeque<(Edition, Instant)>,
@@ -27,9 +27,9 @@
 
 impl ListingCheck {
     /// Notes a reading that began at `asked`; nothing was read if the platform could not be reached.
-    pub(crate) fn note_reading(&mut self, read: Option<(String, ListingNumber)>, asked: Instant) {
+    pub(crate) fn record_reading(&mut self, read: Option<(String, ListingNumber)>, asked: Instant) {
         match read {
-            None => self.faulted = self.faulted.max(asked),
+            None => self.failed_at = self.failed_at.max(asked),
             Some((boot, number)) if asked >= self.asked => {
                 self.asked = asked;
                 self.newest = Some((boot, number));
@@ -55,8 +55,8 @@
     fn is_fresh(&self, applied: Edition, now: Instant) -> bool {
         let own_agreed = self.agreed.iter().find(|(edition, _)| applied >= *edition);
         let has_latest = self.agreed.front().is_some_and(|(edition, _)| applied >= *edition);
-        let platform_away = self.faulted >= self.asked && now.since(self.faulted) < FAILED_AGE;
-        own_agreed.is_some_and(|(_, agreed)| now.since(*agreed) < LISTING_AGE) || (has_latest && platform_away)
+        let platform_away = self.failed_at >= self.asked && now.since(self.failed_at) < MAX_FAILURE_AGE;
+        own_agreed.is_some_and(|(_, agreed)| now.since(*agreed) < MAX_LISTING_AGE) || (has_latest && platform_away)
     }
 }
 
--- a/crates/coordinator/src/tail/node_views.rs
+++ b/crates/coordinator/src/tail/node_views.rs
@@ -8,13 +8,13 @@
 
 impl Coordinator {
     /// Tells every linked node the present view, if it was not told yet.
-    pub(crate) fn tell_view(&mut self) {
+    pub(crate) fn send_view(&mut self) {
         let view_number = self.view.number;
         let Some(tail) = self.tail.as_mut() else { return };
         for (node, place) in tail.pushed.iter_mut().filter(|(_, place)| place.view != view_number) {
             place.view = view_number;
             let message = KeeperToAgent::Membership(self.view.clone());
-            self.plan.push(Effect::SendToNode { node: *node, message, until: None });
+            self.effects.push(Effect::SendToNode { node: *node, message, until: None });
         }
     }
 }
--- a/crates/coordinator/src/tail/nodes.rs
+++ b/crates/coordinator/src/tail/nodes.rs
@@ -6,51 +6,51 @@
 struct Renewal {
     sent: Instant,
     applied: Option<Edition>,
-    life: u64,
+    incarnation: u64,
     router: Option<RouterAddress>,
 }
 
 impl TailRole {
     /// Renews a node's lease, unless it lags behind what is due.
     fn renew_lease(&mut self, node: NodeId, known_edition: Option<Edition>, now: Instant) -> bool {
-        known_edition.is_some_and(|edition| self.leases.renew(node, edition, self.due, now))
+        known_edition.is_some_and(|edition| self.leases.renew(node, edition, self.required_edition, now))
     }
 }
 
 impl Coordinator {
     /// A node's message; one that comes to a keeper which is not the acting tail is told who that is.
-    pub(crate) fn hear_node(&mut self, node: NodeId, message: AgentToKeeper, now: Instant) {
+    pub(crate) fn handle_node(&mut self, node: NodeId, message: AgentToKeeper, now: Instant) {
         if !self.tail_is_active(now) {
-            self.tell(node, KeeperToAgent::Membership(self.view.clone()), None);
+            self.send_to_node(node, KeeperToAgent::Membership(self.view.clone()), None);
             return;
         }
         self.compare_listing();
         match message {
-            AgentToKeeper::Submit { ticket, submission } => self.hear_claim(node, ticket, submission, now),
-            AgentToKeeper::Applied { edition } => self.hear_applied(node, edition),
-            AgentToKeeper::Demand(report) => self.hear_demand(node, report, now),
-            AgentToKeeper::Renew { sent, applied, life, router } => {
-                self.hear_renewal(node, Renewal { sent, applied, life, router }, now);
+            AgentToKeeper::Submit { ticket, submission } => self.handle_claim(node, ticket, submission, now),
+            AgentToKeeper::Applied { edition } => self.handle_applied(node, edition),
+            AgentToKeeper::Demand(report) => self.handle_demand(node, report, now),
+            AgentToKeeper::Renew { sent, applied, incarnation, router } => {
+                self.handle_renewal(node, Renewal { sent, applied, incarnation, router }, now);
             }
         }
     }
 
-    fn hear_applied(&mut self, node: NodeId, edition: Edition) {
+    fn handle_applied(&mut self, node: NodeId, edition: Edition) {
         let last_edition = self.log.last().edition;
         if let Some(tail) = self.tail.as_mut() {
             tail.leases.note_applied(node, edition.min(last_edition));
         }
     }
 
-    fn hear_demand(&mut self, node: NodeId, report: DemandReport, now: Instant) {
+    fn handle_demand(&mut self, node: NodeId, report: DemandReport, now: Instant) {
         if let Some(tail) = self.tail.as_mut() {
             tail.demand.insert(node, (report, now));
         }
     }
 
     /// Grants a lease on a fresh listing alone, to a node that has applied what is due.
-    fn hear_renewal(&mut self, node: NodeId, renewal: Renewal, now: Instant) {
-        let Renewal { sent, applied, life, router } = renewal;
+    fn handle_renewal(&mut self, node: NodeId, renewal: Renewal, now: Instant) {
+        let Renewal { sent, applied, incarnation, router } = renewal;
         let last_edition = self.log.last().edition;
         let known_edition = applied.filter(|edition| *edition <= last_edition);
         let core_is_fresh = self.listing_is_fresh(last_edition, now);
@@ -59,18 +59,18 @@
         let undisturbed = now.since(self.last_liveness_change(now));
         let read_until = self.read_until();
         let Some(tail) = self.tail.as_mut() else { return };
-        tail.note_place(node, life, known_edition);
+        tail.record_push_state(node, incarnation, known_edition);
         let same_address = tail.routers.same_address(node, router.as_ref());
-        tail.routers.note(node, router, now);
+        tail.routers.set_router(node, router, now);
         let message = if !core_is_fresh {
             KeeperToAgent::NotNow
         } else if node_is_fresh && tail.renew_lease(node, known_edition, now) {
             same_address.into_iter().for_each(|earlier| tail.leases.forget(earlier));
-            KeeperToAgent::Granted { sent, span, life, undisturbed }
+            KeeperToAgent::Granted { sent, span, incarnation, undisturbed }
         } else {
             KeeperToAgent::Behind
         };
-        self.tell(node, message, Some(read_until));
+        self.send_to_node(node, message, Some(read_until));
     }
 
     /// What nodes with a lease told of the requests on adapters.
@@ -89,6 +89,6 @@
             let is_silent = !self.is_alive(*node, now);
             if is_silent { peer.last_heard } else { peer.heard_since }
         });
-        of_peers.max().unwrap_or_default().max(self.began)
+        of_peers.max().unwrap_or_default().max(self.started_at)
     }
 }
--- a/crates/coordinator/src/tail/pushes.rs
+++ b/crates/coordinator/src/tail/pushes.rs
@@ -2,10 +2,10 @@
 
 use crate::prelude::*;
 
-/// A linked node: the life of the router behind it, and how far it was told.
+/// A linked node: the incarnation of the router behind it, and how far it was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct PushPlace {
-    pub(crate) life: u64,
+pub(crate) struct PushState {
+    pub(crate) incarnation: u64,
     /// The edition it was pushed last; none if it needs a snapshot.
     pub(crate) pushed: Option<Edition>,
     /// The number of the list of routers it was told last.
@@ -14,9 +14,9 @@
     pub(crate) view: ViewNumber,
 }
 
-impl PushPlace {
+impl PushState {
     /// A message for this node was planned and never sent.
-    fn take_back(&mut self, message: &KeeperToAgent) {
+    fn roll_back(&mut self, message: &KeeperToAgent) {
         match message {
             KeeperToAgent::Push { number, .. } => {
                 let before = Edition(number.0.saturating_sub(1));
@@ -35,7 +35,7 @@
 }
 
 /// A change as routers get it: they need no operators' own words.
-fn for_routers(mut submission: Submission) -> Submission {
+fn without_source(mut submission: Submission) -> Submission {
     if let Command::Configure(change) = &mut submission.command {
         change.source.clear();
     }
@@ -45,18 +45,18 @@
 impl TailRole {
     /// A renewal tells what a node has: it is pushed from there on if its router began anew, has nothing, or
     /// has more than it was pushed.
-    pub(crate) fn note_place(&mut self, node: NodeId, life: u64, known_edition: Option<Edition>) {
-        let fresh_place = PushPlace { life, pushed: known_edition, routers: NO_ROUTER_LIST, view: NO_VIEW };
-        let place = self.pushed.entry(node).or_insert(fresh_place);
-        if place.life != life || place.pushed < known_edition || known_edition.is_none() {
-            *place = fresh_place;
+    pub(crate) fn record_push_state(&mut self, node: NodeId, incarnation: u64, known_edition: Option<Edition>) {
+        let fresh_state = PushState { incarnation, pushed: known_edition, routers: NO_ROUTER_LIST, view: NO_VIEW };
+        let place = self.pushed.entry(node).or_insert(fresh_state);
+        if place.incarnation != incarnation || place.pushed < known_edition || known_edition.is_none() {
+            *place = fresh_state;
         }
     }
 }
 
 impl Coordinator {
     /// Pushes to every linked node what it lacks.
-    pub(crate) fn push_news(&mut self, now: Instant, read_until: Instant) {
+    pub(crate) fn push_changes(&mut self, now: Instant, read_until: Instant) {
         let last_edition = self.log.last().edition;
         let Some(tail) = self.tail.as_mut() else { return };
         let mut lacking = Vec::new();
@@ -65,14 +65,14 @@
             place.pushed = Some(last_edition);
         }
         for (node, pushed) in lacking {
-            for message in self.news_after(pushed, now) {
-                self.tell(node, message, Some(read_until));
+            for message in self.changes_after(pushed, now) {
+                self.send_to_node(node, message, Some(read_until));
             }
         }
     }
 
     /// The changes after an edition, or a snapshot if the log does not reach back to it.
-    fn news_after(&self, pushed: Option<Edition>, now: Instant) -> Vec<KeeperToAgent> {
+    fn changes_after(&self, pushed: Option<Edition>, now: Instant) -> Vec<KeeperToAgent> {
         match pushed.and_then(|edition| self.log.after(edition)) {
             Some(records) => records.into_iter().map(|record| self.push_of(record, now)).collect(),
             None => vec![self.snapshot(now)],
@@ -82,26 +82,26 @@
     fn push_of(&self, record: Record, now: Instant) -> KeeperToAgent {
         let number = record.mark.edition;
         let age = self.committed_at.get(&number).map(|committed| now.since(*committed));
-        KeeperToAgent::Push { number, submission: for_routers(record.submission), age }
+        KeeperToAgent::Push { number, submission: without_source(record.submission), age }
     }
 
     fn snapshot(&self, now: Instant) -> KeeperToAgent {
-        let gave_way = self.gave_way.iter();
+        let gave_way = self.superseded_at.iter();
         let gave_way =
             gave_way.map(|((model, weights), since)| (model.clone(), *weights, now.since(*since))).collect();
         KeeperToAgent::Snapshot { state: Box::new(self.log.state().without_claims()), gave_way }
     }
 
     /// What was dropped is pushed again from there on, as soon as this tail acts.
-    pub(crate) fn take_back(&mut self, node: NodeId, messages: &[KeeperToAgent]) {
+    pub(crate) fn roll_back(&mut self, node: NodeId, messages: &[KeeperToAgent]) {
         let Some(place) = self.tail.as_mut().and_then(|tail| tail.pushed.get_mut(&node)) else { return };
         for message in messages {
-            place.take_back(message);
+            place.roll_back(message);
         }
     }
 
     /// A node's link ended.
-    pub(crate) fn lose_node(&mut self, node: NodeId) {
+    pub(crate) fn forget_node(&mut self, node: NodeId) {
         if let Some(tail) = &mut self.tail {
             tail.pushed.remove(&node);
         }
--- a/crates/coordinator/src/tail/read_lease.rs
+++ b/crates/coordinator/src/tail/read_lease.rs
@@ -20,7 +20,7 @@
     }
 
     /// The voter's side: agrees unless it has promised its vote to a next view.
-    pub(crate) fn hear_read_lease_ask(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
+    pub(crate) fn handle_read_lease_ask(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
         let agrees = view == self.view.number
             && self.view.tail() == Some(from)
             && !self.sealed()
@@ -31,7 +31,7 @@
     }
 
     /// One voter agreed; the lease counts from when it was asked.
-    pub(crate) fn hear_read_lease_given(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
+    pub(crate) fn handle_read_lease_given(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
         if view == self.view.number
             && let Some(tail) = &mut self.tail
         {
--- a/crates/coordinator/src/tail/router_list.rs
+++ b/crates/coordinator/src/tail/router_list.rs
@@ -6,9 +6,9 @@
 pub(crate) const NO_ROUTER_LIST: u64 = 0;
 /// A list that changed goes out once nothing more came for so long: a tail that begins hears of its routers one
 /// by one, and those of a list that is not whole yet would take over what the others read.
-const SETTLED_SPAN: Span = Span::millis(1000);
+const SETTLE_PERIOD: Span = Span::millis(1000);
 /// A list that goes on changing goes out after so long all the same.
-const LONGEST_DELAY: Span = Span::millis(3000);
+const MAX_DELAY: Span = Span::millis(3000);
 
 /// The routers behind linked nodes, and the list of them as it was told last.
 #[derive(Clone, Debug)]
@@ -18,25 +18,25 @@
     /// The number of the list told last; it grows with each change.
     number: u64,
     /// The change that was not told yet, if there is one.
-    untold: Option<UntoldChange>,
+    unsent: Option<UnsentChange>,
 }
 
 /// Since when the routers differ from the list told last, and when they last changed.
 #[derive(Clone, Copy, Debug)]
-struct UntoldChange {
+struct UnsentChange {
     since: Instant,
     latest: Instant,
 }
 
 impl Default for RouterList {
     fn default() -> RouterList {
-        RouterList { by_node: BTreeMap::new(), told: Vec::new(), number: NO_ROUTER_LIST, untold: None }
+        RouterList { by_node: BTreeMap::new(), told: Vec::new(), number: NO_ROUTER_LIST, unsent: None }
     }
 }
 
 impl RouterList {
     /// Notes the router behind a node, or that there is none.
-    pub(crate) fn note(&mut self, node: NodeId, router: Option<RouterAddress>, now: Instant) {
+    pub(crate) fn set_router(&mut self, node: NodeId, router: Option<RouterAddress>, now: Instant) {
         if self.by_node.get(&node) == router.as_ref() {
             return;
         }
@@ -44,12 +44,12 @@
             Some(router) => self.by_node.insert(node, router),
             None => self.by_node.remove(&node),
         };
-        self.note_change(now);
+        self.record_change(now);
     }
 
-    fn note_change(&mut self, now: Instant) {
-        let since = self.untold.map_or(now, |untold| untold.since);
-        self.untold = Some(UntoldChange { since, latest: now });
+    fn record_change(&mut self, now: Instant) {
+        let since = self.unsent.map_or(now, |unsent| unsent.since);
+        self.unsent = Some(UnsentChange { since, latest: now });
     }
 
     /// Other nodes with the same callers' address: what they were has ended, or is the same router.
@@ -65,15 +65,14 @@
         let count = self.by_node.len();
         self.by_node.retain(|node, _| leased.contains(node));
         if self.by_node.len() != count {
-            self.note_change(now);
+            self.record_change(now);
         }
-        let is_settled = |untold: &UntoldChange| {
-            now.since(untold.latest) >= SETTLED_SPAN || now.since(untold.since) >= LONGEST_DELAY
-        };
-        if !self.untold.as_ref().is_some_and(is_settled) {
+        let is_settled =
+            |unsent: &UnsentChange| now.since(unsent.latest) >= SETTLE_PERIOD || now.since(unsent.since) >= MAX_DELAY;
+        if !self.unsent.as_ref().is_some_and(is_settled) {
             return;
         }
-        self.untold = None;
+        self.unsent = None;
         if !self.by_node.values().eq(self.told.iter()) {
             self.told = self.by_node.values().cloned().collect();
             self.number += 1;
@@ -83,7 +82,7 @@
 
 impl Coordinator {
     /// Tells every linked node which routers serve, if it was not told this list.
-    pub(crate) fn tell_routers(&mut self, now: Instant, read_until: Instant) {
+    pub(crate) fn send_router_list(&mut self, now: Instant, read_until: Instant) {
         let Some(tail) = self.tail.as_mut() else { return };
         let leased = tail.leased_nodes();
         tail.routers.refresh(&leased, now);
@@ -91,7 +90,7 @@
         for (node, place) in tail.pushed.iter_mut().filter(|(_, place)| place.routers != number) {
             place.routers = number;
             let message = KeeperToAgent::Routers(tail.routers.told.clone());
-            self.plan.push(Effect::SendToNode { node: *node, message, until: Some(read_until) });
+            self.effects.push(Effect::SendToNode { node: *node, message, until: Some(read_until) });
         }
     }
 }
--- a/crates/coordinator/src/tail/settlements.rs
+++ b/crates/coordinator/src/tail/settlements.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 
 /// How long a request is kept after it was last asked about.
-const PENDING_SPAN: Span = Span::seconds(2);
+const PENDING_TIMEOUT: Span = Span::seconds(2);
 
 /// Who waits for a settlement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     }
 
     /// Whether an outcome may be told: a change that was taken, to a keeper, only once it is in force.
-    fn may_tell(&self, from: Requester, outcome: &Settled, now: Instant) -> bool {
+    fn may_answer_with(&self, from: Requester, outcome: &Settled, now: Instant) -> bool {
         match (from, outcome) {
             (Requester::Keeper(_), Settled::Taken(edition)) => {
                 self.leases.settled(now) && *edition <= self.leases.in_force()
@@ -58,16 +58,16 @@
             let state = self.log.state();
             let in_use = state.id_in_use(pending.request, pending.fingerprint);
             let outcome = in_use.or_else(|| state.settled_before(pending.request));
-            match outcome.filter(|outcome| tail.may_tell(pending.from, outcome, now)) {
+            match outcome.filter(|outcome| tail.may_answer_with(pending.from, outcome, now)) {
                 Some(outcome) => answered.push((pending, outcome)),
-                None if now.since(pending.since) < PENDING_SPAN => tail.pending.push(pending),
+                None if now.since(pending.since) < PENDING_TIMEOUT => tail.pending.push(pending),
                 None => {}
             }
         }
         for (pending, outcome) in answered {
             self.answer_pending(&pending, outcome, read_until);
         }
-        self.take_own_outcomes();
+        self.process_inbox();
     }
 
     fn answer_pending(&mut self, pending: &PendingRequest, outcome: Settled, read_until: Instant) {
@@ -75,18 +75,20 @@
         match pending.from {
             Requester::Keeper(keeper) => {
                 let outcome = QueryOutcome::Settled(outcome);
-                self.send_to_life(keeper, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
+                self.send_to_incarnation(keeper, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
+            }
+            Requester::Node(node) => {
+                self.send_to_node(node, KeeperToAgent::Settled { ticket, outcome }, Some(read_until))
             }
-            Requester::Node(node) => self.tell(node, KeeperToAgent::Settled { ticket, outcome }, Some(read_until)),
         }
     }
 
     /// Takes what this keeper, as the tail, has said to itself in this step.
-    pub(crate) fn take_own_outcomes(&mut self) {
+    pub(crate) fn process_inbox(&mut self) {
         while let Some(message) = self.inbox.pop_front() {
             match message {
-                CoreMessage::Outcome { ticket, outcome } => self.hear_outcome(ticket, outcome),
-                CoreMessage::Submit(submission) => self.hear_submit(submission),
+                CoreMessage::Outcome { ticket, outcome } => self.handle_outcome(ticket, outcome),
+                CoreMessage::Submit(submission) => self.handle_submit(submission),
                 _ => {}
             }
         }
--- a/crates/coordinator/src/viewing.rs
+++ b/crates/coordinator/src/view_changes.rs
@@ -3,19 +3,19 @@
 use crate::prelude::*;
 
 const RANK_DELAY: Span = Span::millis(200);
-const SEALED_LIMIT: Span = Span::millis(600);
-const CAMPAIGN_LIMIT: Span = Span::millis(500);
+const SEAL_TIMEOUT: Span = Span::millis(600);
+const CAMPAIGN_TIMEOUT: Span = Span::millis(500);
 /// How long a member may be heard and yet not do its part.
-const STANDS_LIMIT: Span = Span::millis(4000);
+const STALL_TIMEOUT: Span = Span::millis(4000);
 
 impl Coordinator {
-    pub(crate) fn hear_view(&mut self, from: NodeId, message: ViewMessage, now: Instant) {
+    pub(crate) fn handle_view(&mut self, from: NodeId, message: ViewMessage, now: Instant) {
         match message {
             ViewMessage::Decided(view) => self.adopt(view, now),
-            ViewMessage::Prepare { next, ballot } => self.hear_prepare(from, next, ballot, now),
-            ViewMessage::Accept { next, ballot, view } => self.hear_accept(from, next, ballot, view, now),
+            ViewMessage::Prepare { next, ballot } => self.handle_prepare(from, next, ballot, now),
+            ViewMessage::Accept { next, ballot, view } => self.handle_accept(from, next, ballot, view, now),
             ViewMessage::Promise { next, ballot, accepted, last } => {
-                self.hear_promise(from, (next, ballot), accepted, last, now);
+                self.handle_promise(from, (next, ballot), accepted, last, now);
             }
             ViewMessage::Accepted { next, ballot } => {
                 let Some(campaign) = self.campaign.as_mut() else { return };
@@ -23,7 +23,7 @@
                     return;
                 }
                 let Some(decided_view) = campaign.take_acceptance(&self.view, from) else { return };
-                self.tell_decided(&decided_view);
+                self.broadcast_decided(&decided_view);
                 self.adopt(decided_view, now);
             }
             ViewMessage::Outbid { next, promised } => {
@@ -47,7 +47,7 @@
         next == self.view.number.next()
     }
 
-    fn hear_prepare(&mut self, from: NodeId, next: ViewNumber, ballot: Ballot, now: Instant) {
+    fn handle_prepare(&mut self, from: NodeId, next: ViewNumber, ballot: Ballot, now: Instant) {
         if !self.may_vote(from, next) {
             return;
         }
@@ -63,7 +63,7 @@
         self.send(from, CoreMessage::View(reply));
     }
 
-    fn hear_accept(&mut self, from: NodeId, next: ViewNumber, ballot: Ballot, view: View, now: Instant) {
+    fn handle_accept(&mut self, from: NodeId, next: ViewNumber, ballot: Ballot, view: View, now: Instant) {
         if !self.may_vote(from, next) {
             return;
         }
@@ -78,7 +78,7 @@
         self.send(from, CoreMessage::View(reply));
     }
 
-    fn hear_promise(
+    fn handle_promise(
         &mut self,
         from: NodeId,
         (next, ballot): (ViewNumber, Ballot),
@@ -113,16 +113,16 @@
 
     /// Notes since when a member that is heard does not do its part: our successor that stays behind us,
     /// or a tail that does not act.
-    pub(crate) fn watch_wellness(&mut self, from: NodeId, news: &KeeperStatus, now: Instant) {
+    pub(crate) fn track_stalls(&mut self, from: NodeId, status: &KeeperStatus, now: Instant) {
         let is_successor = self.view.after(self.me.id) == Some(from);
-        let is_behind = news.aligned != self.view.number || news.last.edition < self.log.last().edition;
-        let stuck = is_successor && self.is_aligned() && is_behind;
-        let should_act = self.view.takes_writes() && news.aligned == self.view.number;
-        let idle = self.view.tail() == Some(from) && should_act && !news.tail_active;
-        let adopted = self.adopted;
+        let is_behind = status.synced_view != self.view.number || status.last.edition < self.log.last().edition;
+        let stuck = is_successor && self.is_synced() && is_behind;
+        let should_act = self.view.takes_writes() && status.synced_view == self.view.number;
+        let idle = self.view.tail() == Some(from) && should_act && !status.tail_active;
+        let adopted = self.adopted_at;
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        peer.stands_since = match stuck || idle {
-            true => Some(peer.stands_since.unwrap_or(now).max(adopted)),
+        peer.stalled_since = match stuck || idle {
+            true => Some(peer.stalled_since.unwrap_or(now).max(adopted)),
             false => None,
         };
     }
@@ -135,60 +135,62 @@
 
     /// Whether most voters hear a keeper, by their own word: then our not hearing it is a matter of one
     /// way between us, which only neighbours in the chain need.
-    pub(crate) fn is_widely_heard(&self, member: NodeId, now: Instant) -> bool {
+    pub(crate) fn is_heard_by_majority(&self, member: NodeId, now: Instant) -> bool {
         let hears_it = |voter: &NodeId| match *voter == self.me.id {
             true => self.is_alive(member, now),
             false => {
-                let news = self.peer_news(*voter).filter(|_| self.is_alive(*voter, now));
-                news.is_some_and(|news| news.hears.contains(&member))
+                let status = self.peer_status(*voter).filter(|_| self.is_alive(*voter, now));
+                status.is_some_and(|status| status.hears.contains(&member))
             }
         };
         self.view.voters.iter().filter(|voter| hears_it(voter)).count() >= self.view.majority()
     }
 
     /// A newcomer must hear every living chain member and be heard by every one: any may become its neighbour.
-    pub(crate) fn hears_and_is_heard(&self, node: NodeId, news: &KeeperStatus, now: Instant) -> bool {
+    pub(crate) fn has_mutual_links(&self, node: NodeId, status: &KeeperStatus, now: Instant) -> bool {
         self.view.chain.iter().filter(|member| self.is_alive(**member, now)).all(|member| {
             let is_heard = match *member == self.me.id {
                 true => self.is_alive(node, now),
-                false => self.peer_news(*member).is_some_and(|member_news| member_news.hears.contains(&node)),
+                false => self.peer_status(*member).is_some_and(|member_status| member_status.hears.contains(&node)),
             };
-            is_heard && news.hears.contains(member)
+            is_heard && status.hears.contains(member)
         })
     }
 
-    pub(crate) fn is_unwell(&self, member: NodeId, now: Instant) -> bool {
+    pub(crate) fn is_unhealthy(&self, member: NodeId, now: Instant) -> bool {
         if member == self.me.id {
             return false;
         }
         let Some(peer) = self.peers.get(&member) else { return false };
-        let Some(news) = &peer.news else { return false };
-        let heard_voters = self.view.voters.iter().filter(|voter| news.hears.contains(voter)).count();
-        let is_deaf = heard_voters < self.view.majority() && now.since(peer.heard_since) >= SUSPECT_AFTER;
-        let stands_still = peer.stands_since.is_some_and(|since| now.since(since) >= STANDS_LIMIT);
-        is_deaf || stands_still
+        let Some(status) = &peer.status else { return false };
+        let heard_voters = self.view.voters.iter().filter(|voter| status.hears.contains(voter)).count();
+        let hears_too_few = heard_voters < self.view.majority() && now.since(peer.heard_since) >= SUSPECT_TIMEOUT;
+        let is_stalled = peer.stalled_since.is_some_and(|since| now.since(since) >= STALL_TIMEOUT);
+        hears_too_few || is_stalled
     }
 
     /// Whether the present view should give way, as this voter sees it.
-    fn wants_view(&self, now: Instant) -> bool {
+    fn should_change_view(&self, now: Instant) -> bool {
         if !self.has_view() || !self.view.votes(self.me.id) || self.alive_voters(now) < self.view.majority() {
             return false;
         }
         let rank = self.rank(now);
         let patience = RANK_DELAY.times(rank);
         let member_lost = self.view.chain.iter().any(|member| {
-            let is_silent = self.silence(*member, now) >= SUSPECT_AFTER + patience
-                && (self.is_neighbour(*member) || !self.is_widely_heard(*member, now));
-            is_silent || (self.is_unwell(*member, now) && now.since(self.adopted) >= SUSPECT_AFTER + patience)
+            let is_silent = self.silence(*member, now) >= SUSPECT_TIMEOUT + patience
+                && (self.is_neighbour(*member) || !self.is_heard_by_majority(*member, now));
+            is_silent || (self.is_unhealthy(*member, now) && now.since(self.adopted_at) >= SUSPECT_TIMEOUT + patience)
         });
-        let lets_go = self.may_let_go(now) && now.since(self.adopted) >= patience;
-        let seal_hangs = self.sealed() && now.since(self.sealed_since) >= SEALED_LIMIT + patience;
+        let leaver_can_go = self.can_release_leaver(now) && now.since(self.adopted_at) >= patience;
+        let seal_expired = self.sealed() && now.since(self.sealed_since) >= SEAL_TIMEOUT + patience;
         let first_living = self.view.chain.iter().find(|member| self.is_alive(**member, now));
-        let is_steady = first_living == Some(&self.me.id)
-            && now.since(self.adopted) >= self.steady_span()
+        let is_stable = first_living == Some(&self.me.id)
+            && now.since(self.adopted_at) >= self.stability_period()
             && !self.sealed()
             && (self.tail_seen(now) || !self.view.takes_writes());
-        seal_hangs || ((member_lost || lets_go) && self.can_compose(now)) || (is_steady && self.growth(now).is_some())
+        seal_expired
+            || ((member_lost || leaver_can_go) && self.can_compose(now))
+            || (is_stable && self.membership_change(now).is_some())
     }
 
     fn tail_seen(&self, now: Instant) -> bool {
@@ -196,28 +198,29 @@
         if tail == self.me.id {
             return self.tail_is_active(now);
         }
-        self.is_alive(tail, now) && self.peer_news(tail).is_some_and(|news| news.tail_active)
+        self.is_alive(tail, now) && self.peer_status(tail).is_some_and(|status| status.tail_active)
     }
 
-    pub(crate) fn tend_campaign(&mut self, now: Instant) {
-        let wanted = self.wants_view(now);
-        let is_running = self.campaign.as_ref().is_some_and(|campaign| now.since(campaign.started) < CAMPAIGN_LIMIT);
+    pub(crate) fn run_campaign(&mut self, now: Instant) {
+        let wanted = self.should_change_view(now);
+        let is_running =
+            self.campaign.as_ref().is_some_and(|campaign| now.since(campaign.started) < CAMPAIGN_TIMEOUT);
         if !wanted || is_running || now < self.campaign_after {
             return;
         }
         let ballot = Ballot { round: self.highest_round + 1, proposer: self.me.id };
         let next = self.view.number.next();
         self.campaign = Some(Campaign::new(next, ballot, now));
-        self.note("campaign", format!("view={next} round={}", ballot.round));
+        self.log_event("campaign", format!("view={next} round={}", ballot.round));
         for voter in self.view.voters.clone() {
             self.send(voter, CoreMessage::View(ViewMessage::Prepare { next, ballot }));
         }
     }
 
-    fn tell_decided(&mut self, decided_view: &View) {
-        let mut told_members: Vec<NodeId> = self.acquaintances.keys().copied().collect();
-        told_members.retain(|member| *member != self.me.id);
-        for member in told_members {
+    fn broadcast_decided(&mut self, decided_view: &View) {
+        let mut receivers: Vec<NodeId> = self.known_members.keys().copied().collect();
+        receivers.retain(|member| *member != self.me.id);
+        for member in receivers {
             self.send(member, CoreMessage::View(ViewMessage::Decided(decided_view.clone())));
         }
     }
@@ -231,26 +234,27 @@
         self.vote = Vote::default();
         self.campaign = None;
         self.highest_round = 0;
-        self.adopted = now;
+        self.adopted_at = now;
         self.nonce = self.nonce.wrapping_add(1);
         for member in self.view.members.clone() {
-            let is_taken = self.acquaintances.values().any(|known| known.address == member.address);
+            let is_taken = self.known_members.values().any(|known| known.address == member.address);
             if member.id != self.me.id && !is_taken {
-                self.acquaintances.insert(member.id, member);
+                self.known_members.insert(member.id, member);
             }
         }
         self.store(Stored::View(self.view.clone()));
         self.store(Stored::Vote(Vote::default()));
-        let stays_whole = self.whole != ViewNumber(0) && self.view.was_always_in_chain(self.me.id, self.whole);
-        if stays_whole || self.view.holders.contains(&self.me.id) {
-            self.whole = self.view.number;
-            self.store(Stored::Whole(self.whole));
+        let stays_complete =
+            self.complete_view != ViewNumber(0) && self.view.was_always_in_chain(self.me.id, self.complete_view);
+        if stays_complete || self.view.holders.contains(&self.me.id) {
+            self.complete_view = self.view.number;
+            self.store(Stored::CompleteView(self.complete_view));
         }
         if self.view.head() == Some(self.me.id) {
-            self.aligned = self.view.number;
-            self.store(Stored::Aligned(self.aligned));
+            self.synced_view = self.view.number;
+            self.store(Stored::SyncedView(self.synced_view));
         }
-        self.note(
+        self.log_event(
             "view_adopted",
             format!(
                 "view={} chain={} voters={}",
@@ -259,8 +263,8 @@
                 join_ids(&self.view.voters)
             ),
         );
-        self.move_tail(&previous_view, now);
-        self.ask_to_be_levelled(now);
+        self.update_tail_role(&previous_view, now);
+        self.request_catch_up(now);
         self.ask_read_lease(now);
     }
 }
--- a/crates/coordinator/tests/addressing.rs
+++ b/crates/coordinator/tests/addressing.rs
@@ -1,4 +1,4 @@
-//! A message between keepers counts for the life of the keeper it was meant for, and for no other that gets it.
+//! A message between keepers counts for the incarnation of the keeper it was meant for, and for no other that gets it.
 
 mod common;
 
@@ -11,14 +11,14 @@
 const ME: NodeId = NodeId(2);
 const THIRD: NodeId = NodeId(3);
 const START: Instant = Instant(1_000_000_000_000);
-const LIFE: u64 = 70;
+const INCARNATION: u64 = 70;
 
 fn member(id: NodeId) -> Member {
     Member { id, address: format!("{id}:1"), door: format!("{id}:2"), zone: "a".into() }
 }
 
-/// The tail of a chain of three, in some life of its process.
-fn tail_in_life(life: u64) -> Coordinator {
+/// The tail of a chain of three, in some incarnation of its process.
+fn tail_with_incarnation(incarnation: u64) -> Coordinator {
     let view = View {
         fleet: FleetId(1),
         number: ViewNumber(2),
@@ -30,31 +30,31 @@
     let number = view.number;
     let kept = PersistedState {
         view: Some(view),
-        aligned: number,
-        whole: number,
+        synced_view: number,
+        complete_view: number,
         begun: number,
         ..PersistedState::default()
     };
-    Coordinator::restore(member(ME), kept, CoordinatorSettings::default(), life, START)
+    Coordinator::restore(member(ME), kept, CoordinatorSettings::default(), incarnation, START)
 }
 
 fn envelope(to: Option<KeeperIncarnation>, fleet: FleetId, message: CoreMessage) -> Input {
-    Input::Peer(Envelope { fleet, from: played(OTHER), to, message })
+    Input::Peer(Envelope { fleet, from: peer_incarnation(OTHER), to, message })
 }
 
-/// A voter's word, given to an asking of long after `START`, as one of a life before a reboot can be.
+/// A voter's word, given to an asking of long after `START`, as one of a incarnation before a reboot can be.
 fn read_lease_from_the_future() -> CoreMessage {
     CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START + Span::seconds(3600) }
 }
 
 #[test]
 fn a_read_lease_given_to_an_earlier_life_lets_no_later_one_act() {
-    let mut tail = tail_in_life(LIFE);
-    let earlier = KeeperIncarnation { id: ME, life: LIFE - 1 };
+    let mut tail = tail_with_incarnation(INCARNATION);
+    let earlier = KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 };
     tail.step(Input::Tick, START);
     for voter in [OTHER, THIRD] {
         let message = read_lease_from_the_future();
-        let from = played(voter);
+        let from = peer_incarnation(voter);
         tail.step(Input::Peer(Envelope { fleet: FleetId(1), from, to: Some(earlier), message }), START);
     }
     assert!(!tail.tail_is_active(START + Span::seconds(20)), "cut off for twenty seconds, it acts");
@@ -63,7 +63,7 @@
 
 #[test]
 fn what_is_meant_for_this_life_counts() {
-    let mut tail = tail_in_life(LIFE);
+    let mut tail = tail_with_incarnation(INCARNATION);
     for voter in [OTHER, THIRD] {
         let message = CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START };
         let input = from_keeper(&tail, voter, message);
@@ -75,13 +75,13 @@
 
 #[test]
 fn an_answer_to_a_question_of_an_earlier_life_reaches_nobody() {
-    let mut keeper = tail_in_life(LIFE);
+    let mut keeper = tail_with_incarnation(INCARNATION);
     let question = CoreQuery::Configuration;
     let (ticket, limit) = (5, START + Span::seconds(3));
     keeper.step(Input::Query { ticket, question, limit }, START);
     let outcome = QueryOutcome::Configuration { revision: Revision(1), source: "old".into() };
     let answer = CoreMessage::Outcome { ticket, outcome };
-    let earlier = KeeperIncarnation { id: ME, life: LIFE - 1 };
+    let earlier = KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 };
     let effects = keeper.step(envelope(Some(earlier), FleetId(1), answer.clone()), START);
     assert!(!effects.iter().any(|effect| matches!(effect, Effect::Outcome { .. })));
     let own = Some(keeper.own_incarnation());
@@ -91,9 +91,9 @@
 
 #[test]
 fn what_is_of_another_fleet_or_for_nobody_is_dropped() {
-    let mut keeper = tail_in_life(LIFE);
+    let mut keeper = tail_with_incarnation(INCARNATION);
     let own = Some(keeper.own_incarnation());
-    for (to, fleet) in [(own, FleetId(9)), (None, FleetId(1)), (Some(played(THIRD)), FleetId(1))] {
+    for (to, fleet) in [(own, FleetId(9)), (None, FleetId(1)), (Some(peer_incarnation(THIRD)), FleetId(1))] {
         let ballot = Ballot { round: 1, proposer: OTHER };
         let prepare = CoreMessage::View(ViewMessage::Prepare { next: ViewNumber(3), ballot });
         let effects = keeper.step(envelope(to, fleet, prepare), START);
@@ -102,11 +102,11 @@
     assert_eq!(keeper.misdirected(), 3);
 }
 
-/// Whoever sends to an earlier life is told of this one, and then sends to it.
+/// Whoever sends to an earlier incarnation is told of this one, and then sends to it.
 #[test]
 fn a_keeper_that_began_again_is_known_after_one_exchange() {
-    let (mut first, mut second) = (tail_in_life(LIFE), tail_in_life(LIFE + 1));
-    introduce(&mut first, OTHER, START);
+    let (mut first, mut second) = (tail_with_incarnation(INCARNATION), tail_with_incarnation(INCARNATION + 1));
+    deliver_status(&mut first, OTHER, START);
     let earlier = Some(first.own_incarnation());
     let ask = CoreMessage::DutyLeaseRequest { sent: START };
     let effects = second.step(envelope(earlier, FleetId(1), ask), START);
@@ -119,17 +119,17 @@
     assert!(matches!(told.message, CoreMessage::Heartbeat(_)));
 }
 
-/// The answer goes to the life that asked, not to one that was heard since.
+/// The answer goes to the incarnation that asked, not to one that was heard since.
 #[test]
 fn an_answer_names_the_life_that_asked() {
-    let mut tail = tail_in_life(LIFE);
-    introduce(&mut tail, OTHER, START);
-    introduce(&mut tail, THIRD, START);
+    let mut tail = tail_with_incarnation(INCARNATION);
+    deliver_status(&mut tail, OTHER, START);
+    deliver_status(&mut tail, THIRD, START);
     for voter in [OTHER, THIRD] {
         let input = from_keeper(&tail, voter, CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START });
         tail.step(input, START);
     }
-    let asked_in = KeeperIncarnation { id: OTHER, life: PLAYED_LIFE + 8 };
+    let asked_in = KeeperIncarnation { id: OTHER, incarnation: PEER_INCARNATION + 8 };
     let message = CoreMessage::Query { ticket: 4, question: CoreQuery::Configuration };
     let to = Some(tail.own_incarnation());
     let effects = tail.step(Input::Peer(Envelope { fleet: FleetId(1), from: asked_in, to, message }), START);
@@ -148,9 +148,9 @@
 /// A sender that goes on under a wrong name is answered at the pace of pulses: an answer makes it send again.
 #[test]
 fn misdirected_messages_are_not_each_answered() {
-    let mut keeper = tail_in_life(LIFE);
-    introduce(&mut keeper, OTHER, START);
-    let earlier = Some(KeeperIncarnation { id: ME, life: LIFE - 1 });
+    let mut keeper = tail_with_incarnation(INCARNATION);
+    deliver_status(&mut keeper, OTHER, START);
+    let earlier = Some(KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 });
     let mut answers = 0;
     for number in 0..1000 {
         let now = START + Span::millis(number);
--- a/crates/coordinator/tests/ages.rs
+++ b/crates/coordinator/tests/ages.rs
@@ -19,7 +19,7 @@
     Member { id, address: format!("{id}:1"), door: format!("{id}:2"), zone: "a".into() }
 }
 
-fn middle_member() -> Coordinator {
+fn middle_keeper() -> Coordinator {
     let view = View {
         fleet: FleetId(1),
         number: VIEW,
@@ -31,8 +31,8 @@
     let kept = PersistedState { view: Some(view), ..PersistedState::default() };
     let mut coordinator = Coordinator::restore(member(MIDDLE), kept, CoordinatorSettings::default(), 1, START);
     // The head is heard, though it could level nobody yet.
-    let news = KeeperStatus { aligned: ViewNumber(1), tail_active: false, ..news_of(&coordinator, HEAD) };
-    let input = from_keeper(&coordinator, HEAD, CoreMessage::Heartbeat(news));
+    let status = KeeperStatus { synced_view: ViewNumber(1), tail_active: false, ..status_of(&coordinator, HEAD) };
+    let input = from_keeper(&coordinator, HEAD, CoreMessage::Heartbeat(status));
     coordinator.step(input, START);
     coordinator
 }
@@ -47,14 +47,14 @@
 }
 
 /// The nonce under which the member asks the head to be brought level.
-fn asked_nonce(effects: &[Effect]) -> Option<u64> {
+fn catch_up_nonce(effects: &[Effect]) -> Option<u64> {
     chain_messages(effects, HEAD).into_iter().find_map(|message| match message {
         ChainMessage::Have { nonce, .. } => Some(nonce),
         _ => None,
     })
 }
 
-fn told_ages() -> Ages {
+fn sample_ages() -> Ages {
     Ages {
         records: vec![(Edition(7), Span::millis(300))],
         gave_way: vec![("model".into(), WeightsEdition(1), Span::millis(300))],
@@ -64,12 +64,12 @@
 fn snapshot(coordinator: &Coordinator, nonce: u64) -> Input {
     let mark = Mark { edition: Edition(7), view: ViewNumber(1) };
     let state = Box::new(FleetState { edition: Edition(7), ..FleetState::default() });
-    let message = ChainMessage::Snapshot { view: VIEW, nonce, mark, state, ages: told_ages() };
+    let message = ChainMessage::Snapshot { view: VIEW, nonce, mark, state, ages: sample_ages() };
     from_keeper(coordinator, HEAD, CoreMessage::Chain(message))
 }
 
 /// The ages with which the member levels its successor.
-fn ages_passed_on(coordinator: &mut Coordinator, now: Instant) -> Option<Ages> {
+fn ages_sent_to_successor(coordinator: &mut Coordinator, now: Instant) -> Option<Ages> {
     let have = ChainMessage::Have { view: VIEW, last: Mark::default(), nonce: 5 };
     let input = from_keeper(coordinator, TAIL, CoreMessage::Chain(have));
     let effects = coordinator.step(input, now);
@@ -81,14 +81,14 @@
 
 #[test]
 fn ages_are_counted_from_the_first_asking_and_passed_on() {
-    let mut coordinator = middle_member();
-    let nonce = asked_nonce(&coordinator.step(Input::Tick, START)).expect("it asks to be brought level");
+    let mut coordinator = middle_keeper();
+    let nonce = catch_up_nonce(&coordinator.step(Input::Tick, START)).expect("it asks to be brought level");
     let asked_again = coordinator.step(Input::Tick, START + Span::millis(400));
-    assert_eq!(asked_nonce(&asked_again), Some(nonce), "the same asking, repeated");
-    assert_eq!(ages_passed_on(&mut coordinator, START), None, "not level yet");
+    assert_eq!(catch_up_nonce(&asked_again), Some(nonce), "the same asking, repeated");
+    assert_eq!(ages_sent_to_successor(&mut coordinator, START), None, "not level yet");
     let input = snapshot(&coordinator, nonce);
     coordinator.step(input, START + Span::millis(500));
-    let ages = ages_passed_on(&mut coordinator, START + Span::millis(700)).expect("it levels its successor");
+    let ages = ages_sent_to_successor(&mut coordinator, START + Span::millis(700)).expect("it levels its successor");
     assert_eq!(ages.records, [(Edition(7), Span::millis(1000))], "700 ms since the first asking and 300 before");
     assert_eq!(ages.gave_way, [("model".into(), WeightsEdition(1), Span::millis(1000))]);
 }
@@ -105,22 +105,28 @@
     };
     let state = FleetState { edition: Edition(7), ..FleetState::default() };
     let mark = Mark { edition: Edition(7), view: ViewNumber(1) };
-    let kept =
-        PersistedState { view: Some(view), aligned: VIEW, whole: VIEW, mark, state, ..PersistedState::default() };
+    let kept = PersistedState {
+        view: Some(view),
+        synced_view: VIEW,
+        complete_view: VIEW,
+        mark,
+        state,
+        ..PersistedState::default()
+    };
     let mut coordinator = Coordinator::restore(member(MIDDLE), kept, CoordinatorSettings::default(), 1, START);
     coordinator.step(Input::Tick, START);
-    assert_eq!(ages_passed_on(&mut coordinator, START), Some(Ages::default()));
+    assert_eq!(ages_sent_to_successor(&mut coordinator, START), Some(Ages::default()));
 }
 
 #[test]
 fn a_member_asks_as_soon_as_the_one_before_it_is_level() {
-    let mut coordinator = middle_member();
+    let mut coordinator = middle_keeper();
     coordinator.step(Input::Tick, START);
-    let hear = |coordinator: &mut Coordinator, aligned| {
-        let news = KeeperStatus { aligned, tail_active: false, ..news_of(coordinator, HEAD) };
-        let input = from_keeper(coordinator, HEAD, CoreMessage::Heartbeat(news));
+    let hear = |coordinator: &mut Coordinator, synced_view| {
+        let status = KeeperStatus { synced_view, tail_active: false, ..status_of(coordinator, HEAD) };
+        let input = from_keeper(coordinator, HEAD, CoreMessage::Heartbeat(status));
         coordinator.step(input, START + Span::millis(1))
     };
-    assert_eq!(asked_nonce(&hear(&mut coordinator, ViewNumber(1))), None, "it could not answer yet");
-    assert!(asked_nonce(&hear(&mut coordinator, VIEW)).is_some());
+    assert_eq!(catch_up_nonce(&hear(&mut coordinator, ViewNumber(1))), None, "it could not answer yet");
+    assert!(catch_up_nonce(&hear(&mut coordinator, VIEW)).is_some());
 }
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -5,21 +5,21 @@
 use coordinator::prelude::*;
 use units::prelude::*;
 
-/// The life of every keeper that a test plays itself.
-pub const PLAYED_LIFE: u64 = 1;
+/// The incarnation of every keeper that a test plays itself.
+pub const PEER_INCARNATION: u64 = 1;
 
-pub fn played(id: NodeId) -> KeeperIncarnation {
-    KeeperIncarnation { id, life: PLAYED_LIFE }
+pub fn peer_incarnation(id: NodeId) -> KeeperIncarnation {
+    KeeperIncarnation { id, incarnation: PEER_INCARNATION }
 }
 
-/// A message of a keeper, addressed to the life that the coordinator has now.
+/// A message of a keeper, addressed to the incarnation that the coordinator has now.
 pub fn from_keeper(coordinator: &Coordinator, from: NodeId, message: CoreMessage) -> Input {
     let to = Some(coordinator.own_incarnation()).filter(|_| !message.is_broadcast());
-    Input::Peer(Envelope { fleet: coordinator.view().fleet, from: played(from), to, message })
+    Input::Peer(Envelope { fleet: coordinator.view().fleet, from: peer_incarnation(from), to, message })
 }
 
 /// What a keeper says that stands where the coordinator does, and hears everybody of its view.
-pub fn news_of(coordinator: &Coordinator, from: NodeId) -> KeeperStatus {
+pub fn status_of(coordinator: &Coordinator, from: NodeId) -> KeeperStatus {
     let view = coordinator.view();
     let address = format!("{from}:1");
     let stranger = Member { id: from, door: format!("{from}:2"), address, zone: "a".into() };
@@ -27,8 +27,8 @@
         member: view.member(from).cloned().unwrap_or(stranger),
         fleet: view.fleet,
         view: view.number,
-        aligned: view.number,
-        whole: view.number,
+        synced_view: view.number,
+        complete_view: view.number,
         last: coordinator.last(),
         committed: coordinator.last().edition,
         tail_active: view.tail() == Some(from),
@@ -37,14 +37,14 @@
     }
 }
 
-/// Has the coordinator hear a keeper, so that it knows which life of it to answer.
-pub fn introduce(coordinator: &mut Coordinator, from: NodeId, now: Instant) -> Vec<Effect> {
-    let news = CoreMessage::Heartbeat(news_of(coordinator, from));
-    let input = from_keeper(coordinator, from, news);
+/// Has the coordinator hear a keeper, so that it knows which incarnation of it to answer.
+pub fn deliver_status(coordinator: &mut Coordinator, from: NodeId, now: Instant) -> Vec<Effect> {
+    let status = CoreMessage::Heartbeat(status_of(coordinator, from));
+    let input = from_keeper(coordinator, from, status);
     coordinator.step(input, now)
 }
 
-/// What the effects send to a keeper, whichever life of it.
+/// What the effects send to a keeper, whichever incarnation of it.
 pub fn sent_to(effects: &[Effect], to: NodeId) -> Vec<CoreMessage> {
     let sent = effects.iter().filter_map(|effect| match effect {
         Effect::Send { envelope, .. } if envelope.to.is_some_and(|told| told.id == to) => Some(&envelope.message),
@@ -65,8 +65,8 @@
         match stored {
             Stored::Snapshot { mark, state } => (kept.mark, kept.state) = (mark, *state),
             Stored::View(view) => kept.view = Some(view),
-            Stored::Aligned(view) => kept.aligned = view,
-            Stored::Whole(view) => kept.whole = view,
+            Stored::SyncedView(view) => kept.synced_view = view,
+            Stored::CompleteView(view) => kept.complete_view = view,
             _ => {}
         }
     }
--- a/crates/coordinator/tests/dispatch.rs
+++ b/crates/coordinator/tests/dispatch.rs
@@ -9,7 +9,7 @@
 const NODE: NodeId = NodeId(100);
 const OTHER: NodeId = NodeId(101);
 /// By then a list of routers that has not changed meanwhile was told.
-const ROUTERS_SETTLED: Span = Span::millis(1400);
+const ROUTER_LIST_SENT_WITHIN: Span = Span::millis(1400);
 
 fn tell(node: NodeId, number: u64, until: Option<Instant>) -> Effect {
     let submission =
@@ -69,7 +69,7 @@
 #[test]
 fn a_snapshot_that_was_not_sent_is_planned_again_at_once() {
     let (mut coordinator, now) = acting_tail();
-    let renewal = AgentToKeeper::Renew { sent: now, applied: None, life: 1, router: None };
+    let renewal = AgentToKeeper::Renew { sent: now, applied: None, incarnation: 1, router: None };
     let plan = coordinator.step(Input::Node { node: NODE, message: renewal }, now);
     assert_eq!(told(&plan), ["view", "snapshot"]);
     assert_eq!(told(&coordinator.step(Input::Tick, now)), [""; 0], "it counts as sent");
@@ -82,9 +82,9 @@
     let (mut coordinator, mut now) = acting_tail();
     let router = RouterAddress { router: NodeId(5), address: "r".into(), zone: Zone("z".into()), relay: None };
     let edition = coordinator.last().edition;
-    let renewal = AgentToKeeper::Renew { sent: now, applied: Some(edition), life: 1, router: Some(router) };
+    let renewal = AgentToKeeper::Renew { sent: now, applied: Some(edition), incarnation: 1, router: Some(router) };
     coordinator.step(Input::Node { node: NODE, message: renewal }, now);
-    let told_by = now + ROUTERS_SETTLED;
+    let told_by = now + ROUTER_LIST_SENT_WITHIN;
     let plan = loop {
         now = now + HEARTBEAT_INTERVAL;
         let plan = coordinator.step(Input::Tick, now);
@@ -101,14 +101,14 @@
 #[test]
 fn what_was_not_sent_to_a_node_that_left_is_not_planned_again() {
     let (mut coordinator, now) = acting_tail();
-    let renewal = AgentToKeeper::Renew { sent: now, applied: None, life: 1, router: None };
+    let renewal = AgentToKeeper::Renew { sent: now, applied: None, incarnation: 1, router: None };
     let plan = coordinator.step(Input::Node { node: NODE, message: renewal }, now);
     coordinator.step(Input::NodeDisconnected { node: NODE }, now);
     assert_eq!(told(&coordinator.step(not_sent(plan), now)), [""; 0]);
 }
 
 /// The members of the views that a plan tells the node.
-fn told_members(plan: &[Effect]) -> Vec<Vec<NodeId>> {
+fn receivers(plan: &[Effect]) -> Vec<Vec<NodeId>> {
     let views = plan.iter().filter_map(|effect| match effect {
         Effect::SendToNode { node: NODE, message: KeeperToAgent::Membership(view), .. } => Some(view),
         _ => None,
@@ -119,9 +119,9 @@
 #[test]
 fn a_node_is_told_of_new_members_while_its_tail_stays() {
     let (mut coordinator, now) = acting_tail();
-    let renewal = AgentToKeeper::Renew { sent: now, applied: None, life: 1, router: None };
+    let renewal = AgentToKeeper::Renew { sent: now, applied: None, incarnation: 1, router: None };
     let plan = coordinator.step(Input::Node { node: NODE, message: renewal }, now);
-    assert_eq!(told_members(&plan), [[NodeId(1)]], "on its first renewal, though this is the tail");
+    assert_eq!(receivers(&plan), [[NodeId(1)]], "on its first renewal, though this is the tail");
     let newcomer = Member { id: NodeId(2), door: "n".into(), address: "n".into(), zone: Zone("z".into()) };
     let mut next_view = coordinator.view().clone();
     next_view.number = next_view.number.next();
@@ -130,11 +130,11 @@
     let input = from_keeper(&coordinator, NodeId(2), decided);
     let mut plan = coordinator.step(input, now);
     let mut later = now;
-    while told_members(&plan).is_empty() {
+    while receivers(&plan).is_empty() {
         later = later + HEARTBEAT_INTERVAL;
         assert!(later < now + Span::seconds(5), "it is never told");
         plan = coordinator.step(Input::Tick, later);
     }
-    assert_eq!(told_members(&plan), [[NodeId(1), NodeId(2)]]);
+    assert_eq!(receivers(&plan), [[NodeId(1), NodeId(2)]]);
     assert_eq!(told(&coordinator.step(Input::Tick, later)), [""; 0], "once");
 }
--- a/crates/coordinator/tests/duties.rs
+++ b/crates/coordinator/tests/duties.rs
@@ -10,7 +10,7 @@
 
 const HOLDER: NodeId = NodeId(1);
 const TAIL: NodeId = NodeId(2);
-const EMPTY_ONE: NodeId = NodeId(3);
+const REPLACEMENT: NodeId = NodeId(3);
 const START: Instant = Instant(1_000_000_000_000);
 
 fn member(id: NodeId) -> Member {
@@ -32,7 +32,7 @@
 }
 
 /// Whether a keeper takes itself for the conductor after a lease for it came that was asked for at an instant.
-fn is_conductor_after(keeper: &mut Coordinator, sent: Instant) -> bool {
+fn holds_conductor_lease_after(keeper: &mut Coordinator, sent: Instant) -> bool {
     let message = CoreMessage::DutyLeaseGranted { sent, duties: vec![(DutyKind::Conductor, Term(1))] };
     let now = START + Span::millis(100);
     let input = from_keeper(keeper, TAIL, message);
@@ -42,16 +42,16 @@
 
 #[test]
 fn a_keeper_that_asked_holds_its_duty() {
-    assert!(is_conductor_after(&mut keeper(HOLDER), START));
+    assert!(holds_conductor_lease_after(&mut keeper(HOLDER), START));
 }
 
 #[test]
 fn what_an_earlier_process_asked_for_is_no_lease() {
     let before = Instant(START.0 - Span::millis(1).0);
-    assert!(!is_conductor_after(&mut keeper(HOLDER), before));
+    assert!(!holds_conductor_lease_after(&mut keeper(HOLDER), before));
 }
 
 #[test]
 fn a_keeper_that_is_not_in_the_chain_takes_no_lease_that_was_meant_for_another() {
-    assert!(!is_conductor_after(&mut keeper(EMPTY_ONE), START));
+    assert!(!holds_conductor_lease_after(&mut keeper(REPLACEMENT), START));
 }
--- a/crates/coordinator/tests/exhaustive.rs
+++ b/crates/coordinator/tests/exhaustive.rs
@@ -16,13 +16,13 @@
 const START: Instant = Instant(1_000_000_000_000);
 const TICK: Span = Span::millis(250);
 /// Enough in a run of the tests; the search says when it was not enough for its bounds.
-const USUAL_STATES: usize = 100_000;
+const DEFAULT_MAX_STATES: usize = 100_000;
 /// The ids of keepers that come in the place of lost ones.
 const FIRST_NEW_ID: u64 = 100;
 
 /// What may still happen.
 #[derive(Clone, Copy, Debug, Hash)]
-struct Budget {
+struct EventBudget {
     ticks: u32,
     ends: u32,
     lost_disks: u32,
@@ -33,7 +33,7 @@
 #[derive(Clone)]
 struct Machine {
     id: NodeId,
-    life: u64,
+    incarnation: u64,
     disk: PersistedState,
     running: Option<Coordinator>,
 }
@@ -41,12 +41,12 @@
 /// One thing that happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
-    Arrives { from: usize, to: usize },
-    StreamLost { from: usize, to: usize },
+    Delivered { from: usize, to: usize },
+    StreamDropped { from: usize, to: usize },
     Tick,
-    Ends(usize),
-    Starts(usize),
-    DiskLost(usize),
+    Stopped(usize),
+    Started(usize),
+    DiskWiped(usize),
     Change(usize),
 }
 
@@ -55,7 +55,7 @@
     now: Instant,
     machines: Vec<Machine>,
     streams: BTreeMap<(usize, usize), VecDeque<Envelope>>,
-    budget: Budget,
+    budget: EventBudget,
     next_id: u64,
     /// What acting tails had in their logs, by record.
     committed: BTreeMap<Edition, RequestId>,
@@ -80,23 +80,23 @@
         }
         Stored::View(view) => disk.view = Some(view),
         Stored::Vote(vote) => disk.vote = vote,
-        Stored::Aligned(view) => disk.aligned = view,
-        Stored::Whole(view) => disk.whole = view,
-        Stored::Begun(view) => disk.begun = view,
+        Stored::SyncedView(view) => disk.synced_view = view,
+        Stored::CompleteView(view) => disk.complete_view = view,
+        Stored::TailStarted(view) => disk.begun = view,
     }
 }
 
 /// Whether a message waits in its stream, to arrive before or after anything else.
-fn is_ordered_by_lot(message: &CoreMessage) -> bool {
+fn has_variable_delivery(message: &CoreMessage) -> bool {
     matches!(message, CoreMessage::View(_) | CoreMessage::Chain(_) | CoreMessage::Submit(_))
 }
 
 impl Core {
     /// A core of three whose chain is whole and whose tail acts.
-    fn formed(budget: Budget) -> Core {
+    fn formed(budget: EventBudget) -> Core {
         let machines = (0..KEEPERS).map(|place| Machine {
             id: NodeId(place as u64 + 1),
-            life: 0,
+            incarnation: 0,
             disk: PersistedState::default(),
             running: None,
         });
@@ -104,7 +104,7 @@
             now: START,
             machines: machines.collect(),
             streams: BTreeMap::new(),
-            budget: Budget { ticks: u32::MAX, ..budget },
+            budget: EventBudget { ticks: u32::MAX, ..budget },
             next_id: FIRST_NEW_ID,
             committed: BTreeMap::new(),
             views: BTreeMap::new(),
@@ -116,7 +116,7 @@
             core.start(place);
         }
         for _ in 0..60 {
-            core.happen(Event::Tick).expect("nothing goes wrong in order");
+            core.apply_event(Event::Tick).expect("nothing goes wrong in order");
             core.deliver_all().expect("nothing goes wrong in order");
         }
         let tail = core.acting_tails();
@@ -129,7 +129,7 @@
 
     fn deliver_all(&mut self) -> Result<(), String> {
         while let Some((from, to)) = self.open_streams().first().copied() {
-            self.happen(Event::Arrives { from, to })?;
+            self.apply_event(Event::Delivered { from, to })?;
         }
         Ok(())
     }
@@ -141,12 +141,12 @@
     fn start(&mut self, place: usize) {
         let now = self.now;
         let machine = &mut self.machines[place];
-        machine.life += 1;
-        let life = machine.id.0 * 1000 + machine.life;
+        machine.incarnation += 1;
+        let incarnation = machine.id.0 * 1000 + machine.incarnation;
         let seeds = (0..KEEPERS).map(address).collect();
         let settings = CoordinatorSettings { core_size: KEEPERS, seeds, ..CoordinatorSettings::default() };
         let me = member(place, machine.id);
-        machine.running = Some(Coordinator::restore(me, machine.disk.clone(), settings, life, now));
+        machine.running = Some(Coordinator::restore(me, machine.disk.clone(), settings, incarnation, now));
     }
 
     fn end(&mut self, place: usize) {
@@ -155,12 +155,12 @@
     }
 
     /// All that may happen next.
-    fn possible(&self) -> Vec<Event> {
+    fn possible_events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for (from, to) in self.open_streams() {
-            events.push(Event::Arrives { from, to });
+            events.push(Event::Delivered { from, to });
             if self.budget.lost_streams > 0 {
-                events.push(Event::StreamLost { from, to });
+                events.push(Event::StreamDropped { from, to });
             }
         }
         if self.budget.ticks > 0 {
@@ -169,13 +169,13 @@
         for place in 0..KEEPERS {
             let runs = self.machines[place].running.is_some();
             if !runs {
-                events.push(Event::Starts(place));
+                events.push(Event::Started(place));
             }
             if runs && self.budget.ends > 0 {
-                events.push(Event::Ends(place));
+                events.push(Event::Stopped(place));
             }
             if self.budget.lost_disks > 0 {
-                events.push(Event::DiskLost(place));
+                events.push(Event::DiskWiped(place));
             }
             if runs && self.budget.changes > 0 {
                 events.push(Event::Change(place));
@@ -184,15 +184,15 @@
         events
     }
 
-    fn happen(&mut self, event: Event) -> Result<(), String> {
+    fn apply_event(&mut self, event: Event) -> Result<(), String> {
         match event {
-            Event::Arrives { from, to } => {
+            Event::Delivered { from, to } => {
                 let arrived = self.streams.get_mut(&(from, to)).and_then(VecDeque::pop_front);
                 if let Some(envelope) = arrived {
                     self.feed(to, Input::Peer(envelope))?;
                 }
             }
-            Event::StreamLost { from, to } => {
+            Event::StreamDropped { from, to } => {
                 self.budget.lost_streams -= 1;
                 self.streams.remove(&(from, to));
             }
@@ -203,17 +203,17 @@
                     self.feed(place, Input::Tick)?;
                 }
             }
-            Event::Ends(place) => {
+            Event::Stopped(place) => {
                 self.budget.ends -= 1;
                 self.end(place);
             }
-            Event::Starts(place) => self.start(place),
-            Event::DiskLost(place) => {
+            Event::Started(place) => self.start(place),
+            Event::DiskWiped(place) => {
                 self.budget.lost_disks -= 1;
                 self.end(place);
                 let id = NodeId(self.next_id);
                 self.next_id += 1;
-                self.machines[place] = Machine { id, life: 0, disk: PersistedState::default(), running: None };
+                self.machines[place] = Machine { id, incarnation: 0, disk: PersistedState::default(), running: None };
             }
             Event::Change(place) => {
                 let number = self.budget.changes;
@@ -244,7 +244,7 @@
                         if self.machines[to].running.is_none() {
                             continue;
                         }
-                        match is_ordered_by_lot(&envelope.message) {
+                        match has_variable_delivery(&envelope.message) {
                             true => self.streams.entry((place, to)).or_default().push_back(envelope),
                             false => inputs.push_back((to, Input::Peer(envelope))),
                         }
@@ -252,7 +252,7 @@
                     _ => {}
                 }
             }
-            self.hold_to_invariants(place)?;
+            self.check_invariants(place)?;
         }
         Ok(())
     }
@@ -265,13 +265,13 @@
         (0..KEEPERS).filter(acts).collect()
     }
 
-    fn hold_to_invariants(&mut self, place: usize) -> Result<(), String> {
+    fn check_invariants(&mut self, place: usize) -> Result<(), String> {
         let Some(coordinator) = &self.machines[place].running else { return Ok(()) };
-        self.views = one_view_a_number(std::mem::take(&mut self.views), coordinator.view())?;
+        self.views = check_view_numbers_unique(std::mem::take(&mut self.views), coordinator.view())?;
         if coordinator.tail_is_active(self.now) {
-            self.committed = nothing_committed_is_lost(std::mem::take(&mut self.committed), coordinator.state())?;
+            self.committed = check_committed_records_kept(std::mem::take(&mut self.committed), coordinator.state())?;
         }
-        one_tail_acts(&self.acting_tails())
+        check_single_active_tail(&self.acting_tails())
     }
 
     /// Equal for states from which the same can happen.
@@ -282,7 +282,7 @@
         self.committed.hash(&mut hasher);
         for machine in &self.machines {
             machine.id.hash(&mut hasher);
-            machine.life.hash(&mut hasher);
+            machine.incarnation.hash(&mut hasher);
             format!("{:?}{:?}", machine.running, machine.disk.vote).hash(&mut hasher);
         }
         format!("{:?}", self.streams).hash(&mut hasher);
@@ -292,7 +292,7 @@
 
 type Views = BTreeMap<ViewNumber, (Vec<NodeId>, Vec<NodeId>)>;
 
-fn one_view_a_number(mut views: Views, view: &View) -> Result<Views, String> {
+fn check_view_numbers_unique(mut views: Views, view: &View) -> Result<Views, String> {
     let seen = (view.chain.clone(), view.voters.clone());
     let known = views.entry(view.number).or_insert_with(|| seen.clone());
     match *known == seen {
@@ -301,12 +301,12 @@
     }
 }
 
-fn one_tail_acts(tails: &[usize]) -> Result<(), String> {
+fn check_single_active_tail(tails: &[usize]) -> Result<(), String> {
     if tails.len() > 1 { Err(format!("tails {tails:?} act at once")) } else { Ok(()) }
 }
 
 /// An acting tail has every record that one before it had, and counts what it has besides.
-fn nothing_committed_is_lost(
+fn check_committed_records_kept(
     mut committed: BTreeMap<Edition, RequestId>,
     state: &FleetState,
 ) -> Result<BTreeMap<Edition, RequestId>, String> {
@@ -336,18 +336,18 @@
 }
 
 /// Goes through all states that the budget allows, deepest first, up to a number of them.
-fn explore(budget: Budget, most_states: usize) -> Found {
+fn explore(budget: EventBudget, max_states: usize) -> Found {
     let mut met = HashSet::new();
     let mut open = vec![(Core::formed(budget), Vec::new())];
     while let Some((core, way)) = open.pop() {
-        if met.len() >= most_states {
+        if met.len() >= max_states {
             return Found { states: met.len(), is_complete: false, broken: None };
         }
-        for event in core.possible() {
+        for event in core.possible_events() {
             let mut next = core.clone();
             let mut next_way: Vec<Event> = way.clone();
             next_way.push(event);
-            if let Err(reason) = next.happen(event) {
+            if let Err(reason) = next.apply_event(event) {
                 return Found { states: met.len(), is_complete: false, broken: Some((reason, next_way)) };
             }
             if met.insert(next.key()) {
@@ -358,37 +358,37 @@
     Found { states: met.len(), is_complete: true, broken: None }
 }
 
-fn most_states() -> usize {
-    std::env::var("EXHAUSTIVE_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(USUAL_STATES)
+fn max_states() -> usize {
+    std::env::var("EXHAUSTIVE_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_MAX_STATES)
 }
 
 #[track_caller]
-fn assert_holds(named: &str, budget: Budget) {
-    let found = explore(budget, most_states());
+fn assert_holds(named: &str, budget: EventBudget) {
+    let found = explore(budget, max_states());
     println!("{named}: {} states, {}", found.states, if found.is_complete { "all of them" } else { "broken off" });
     assert!(found.broken.is_none(), "{named}: {:?}", found.broken);
 }
 
-const NOTHING: Budget = Budget { ticks: 0, ends: 0, lost_disks: 0, lost_streams: 0, changes: 0 };
+const NOTHING: EventBudget = EventBudget { ticks: 0, ends: 0, lost_disks: 0, lost_streams: 0, changes: 0 };
 
 #[test]
 fn two_changes_and_a_lost_stream() {
-    assert_holds("two changes, a lost stream", Budget { ticks: 2, lost_streams: 1, changes: 2, ..NOTHING });
+    assert_holds("two changes, a lost stream", EventBudget { ticks: 2, lost_streams: 1, changes: 2, ..NOTHING });
 }
 
 #[test]
 fn a_keeper_ends_in_the_midst_of_a_change() {
-    assert_holds("a change, an end", Budget { ticks: 4, ends: 1, changes: 1, ..NOTHING });
+    assert_holds("a change, an end", EventBudget { ticks: 4, ends: 1, changes: 1, ..NOTHING });
 }
 
 #[test]
 fn a_disk_is_lost_in_the_midst_of_a_change() {
-    assert_holds("a change, a lost disk", Budget { ticks: 3, lost_disks: 1, changes: 1, ..NOTHING });
+    assert_holds("a change, a lost disk", EventBudget { ticks: 3, lost_disks: 1, changes: 1, ..NOTHING });
 }
 
 #[test]
 fn an_end_and_a_lost_disk_overlap() {
-    assert_holds("an end, a lost disk, a change", Budget { ticks: 5, ends: 1, lost_disks: 1, ..NOTHING });
+    assert_holds("an end, a lost disk, a change", EventBudget { ticks: 5, ends: 1, lost_disks: 1, ..NOTHING });
 }
 
 /// Each invariant complains of what it is there for.
@@ -399,18 +399,18 @@
         chain: chain.iter().copied().map(NodeId).collect(),
         ..View::default()
     };
-    let views = one_view_a_number(BTreeMap::new(), &view(&[1, 2])).expect("the first");
-    assert!(one_view_a_number(views.clone(), &view(&[1, 2])).is_ok());
-    assert!(one_view_a_number(views, &view(&[2, 1])).is_err());
-    assert!(one_tail_acts(&[1]).is_ok() && one_tail_acts(&[0, 2]).is_err());
+    let views = check_view_numbers_unique(BTreeMap::new(), &view(&[1, 2])).expect("the first");
+    assert!(check_view_numbers_unique(views.clone(), &view(&[1, 2])).is_ok());
+    assert!(check_view_numbers_unique(views, &view(&[2, 1])).is_err());
+    assert!(check_single_active_tail(&[1]).is_ok() && check_single_active_tail(&[0, 2]).is_err());
     let mut state = FleetState::default();
     let command = |kind: &str| Command::Merge { base: None, patch: format!(r#"{{"kinds":["{kind}"]}}"#) };
     let earlier = state.clone();
     state.apply(&Submission { request: RequestId(1), command: command("a") });
-    let committed = nothing_committed_is_lost(BTreeMap::new(), &state).expect("the first");
+    let committed = check_committed_records_kept(BTreeMap::new(), &state).expect("the first");
     assert_eq!(committed.values().copied().collect::<BTreeSet<_>>(), [RequestId(1)].into());
-    assert!(nothing_committed_is_lost(committed.clone(), &earlier).is_err(), "lost");
+    assert!(check_committed_records_kept(committed.clone(), &earlier).is_err(), "lost");
     let mut other = FleetState::default();
     other.apply(&Submission { request: RequestId(2), command: command("a") });
-    assert!(nothing_committed_is_lost(committed, &other).is_err(), "another in its place");
+    assert!(check_committed_records_kept(committed, &other).is_err(), "another in its place");
 }
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -32,8 +32,8 @@
             lineage: vec![(ViewNumber(1), vec![NodeId(1)])],
             ..View::default()
         };
-        let (aligned, whole) = (view.number, view.number);
-        let kept = PersistedState { view: Some(view), aligned, whole, ..PersistedState::default() };
+        let (synced_view, complete_view) = (view.number, view.number);
+        let kept = PersistedState { view: Some(view), synced_view, complete_view, ..PersistedState::default() };
         let settings = CoordinatorSettings { core_size: size as usize, ..CoordinatorSettings::default() };
         let keepers =
             (1..=size).map(|id| Coordinator::restore(member(id), kept.clone(), settings.clone(), id, START));
@@ -105,7 +105,7 @@
         for leaver in 1..=size {
             let mut core = Core::of(size);
             let left = core.stop(leaver);
-            assert!(left < SUSPECT_AFTER, "{leaver} of {size} took {} ms", left.as_millis());
+            assert!(left < SUSPECT_TIMEOUT, "{leaver} of {size} took {} ms", left.as_millis());
             assert!(!core.view().in_chain(NodeId(leaver)));
             core.submit(1);
             core.run(Span::seconds(5));
--- a/crates/coordinator/tests/levelling.rs
+++ b/crates/coordinator/tests/levelling.rs
@@ -41,8 +41,8 @@
 }
 
 /// Has it asked to be brought level; the nonce of its asking.
-fn asked_nonce(keeper: &mut Coordinator) -> u64 {
-    introduce(keeper, TAIL, START);
+fn catch_up_nonce(keeper: &mut Coordinator) -> u64 {
+    deliver_status(keeper, TAIL, START);
     let effects = keeper.step(Input::Tick, START);
     let asked = sent_to(&effects, TAIL).into_iter().find_map(|message| match message {
         CoreMessage::Chain(ChainMessage::Have { nonce, .. }) => Some(nonce),
@@ -72,7 +72,7 @@
 #[test]
 fn a_promise_tells_where_the_log_ends_and_that_stays_in_it() {
     let mut keeper = outsider();
-    let nonce = asked_nonce(&mut keeper);
+    let nonce = catch_up_nonce(&mut keeper);
     assert_eq!(promise(&mut keeper), mark(5));
     let late = snapshot_of(&keeper, nonce, 3);
     keeper.step(late, START);
@@ -85,7 +85,7 @@
 #[test]
 fn before_it_has_promised_it_takes_what_the_chain_has() {
     let mut keeper = outsider();
-    let nonce = asked_nonce(&mut keeper);
+    let nonce = catch_up_nonce(&mut keeper);
     let shorter = snapshot_of(&keeper, nonce, 3);
     keeper.step(shorter, START);
     assert_eq!(keeper.last(), mark(3));
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -35,18 +35,18 @@
     let number = view.number;
     let kept = PersistedState {
         view: Some(view),
-        aligned: number,
-        whole: number,
+        synced_view: number,
+        complete_view: number,
         begun: number,
         ..PersistedState::default()
     };
     let mut tail = Coordinator::restore(member(TAIL), kept, CoordinatorSettings::default(), 1, START);
-    lend_read_lease(&mut tail, START);
+    grant_read_lease(&mut tail, START);
     assert!(tail.tail_is_active(START));
     tail
 }
 
-fn lend_read_lease(tail: &mut Coordinator, now: Instant) {
+fn grant_read_lease(tail: &mut Coordinator, now: Instant) {
     let view = tail.view().number;
     for voter in [HEAD, THIRD] {
         let input = from_keeper(tail, voter, CoreMessage::ReadLeaseGranted { view, sent: now });
@@ -67,11 +67,11 @@
 }
 
 /// The head's disk is lost: the next view has this member alone in its chain.
-fn lose_head(tail: &mut Coordinator, now: Instant) {
+fn adopt_single_member_view(tail: &mut Coordinator, now: Instant) {
     let decided = CoreMessage::View(ViewMessage::Decided(view_of(3, &[TAIL])));
     let input = from_keeper(tail, THIRD, decided);
     tail.step(input, now);
-    lend_read_lease(tail, now);
+    grant_read_lease(tail, now);
 }
 
 fn asks(tail: &mut Coordinator, question: CoreQuery, now: Instant) -> bool {
@@ -85,7 +85,7 @@
 fn a_change_that_came_to_a_single_disk_is_neither_told_nor_counted() {
     let mut tail = acting_tail();
     // The view changes before this tail has counted the change: it stands on its own disk, and on one just lost.
-    lose_head(&mut tail, START + Span::millis(10));
+    adopt_single_member_view(&mut tail, START + Span::millis(10));
     let committed = tail.last().edition;
     assert!(tail.tail_is_active(START + Span::millis(20)), "what was counted on two disks is served");
     let mut tail = acting_tail();
@@ -93,7 +93,7 @@
     append(&mut tail, 7, expired);
     assert!(tail.last().edition > committed, "it has the change");
     assert!(!tail.tail_is_active(expired), "without a read lease it has not counted it");
-    lose_head(&mut tail, expired + Span::millis(10));
+    adopt_single_member_view(&mut tail, expired + Span::millis(10));
     let now = expired + Span::millis(20);
     assert!(!tail.tail_is_active(now), "it acts on a change that one disk holds");
     assert!(!asks(&mut tail, CoreQuery::Configuration, now));
@@ -105,7 +105,7 @@
     let mut tail = acting_tail();
     let expired = START + Span::seconds(1);
     append(&mut tail, 7, expired);
-    lose_head(&mut tail, expired + Span::millis(10));
+    adopt_single_member_view(&mut tail, expired + Span::millis(10));
     let grown = CoreMessage::View(ViewMessage::Decided(view_of(4, &[TAIL, THIRD])));
     let now = expired + Span::millis(20);
     let input = from_keeper(&tail, THIRD, grown);
@@ -119,12 +119,12 @@
     let mut tail = acting_tail();
     let expired = START + Span::seconds(1);
     append(&mut tail, 7, expired);
-    lose_head(&mut tail, expired + Span::millis(10));
+    adopt_single_member_view(&mut tail, expired + Span::millis(10));
     let mut now = expired;
     let mut proposes = false;
     for _ in 0..40 {
         now = now + Span::millis(50);
-        introduce(&mut tail, THIRD, now);
+        deliver_status(&mut tail, THIRD, now);
         let effects = tail.step(Input::Tick, now);
         let asked = sent_to(&effects, THIRD);
         proposes |= asked.iter().any(|message| matches!(message, CoreMessage::View(ViewMessage::Prepare { .. })));
--- a/crates/keeper/src/filing.rs
+++ b/crates/keeper/src/filing.rs
@@ -39,8 +39,8 @@
         Ok(PersistedState {
             view: self.folder.plain("view")?,
             vote: self.folder.plain("vote")?.unwrap_or_default(),
-            aligned: self.folder.plain("aligned")?.unwrap_or_default(),
-            whole: self.folder.plain("whole")?.unwrap_or_default(),
+            synced_view: self.folder.plain("aligned")?.unwrap_or_default(),
+            complete_view: self.folder.plain("whole")?.unwrap_or_default(),
             begun: self.folder.plain("begun")?.unwrap_or_default(),
             mark,
             state,
@@ -84,9 +84,9 @@
                 }
                 Stored::View(view) => rows.push(Row::plain("view", view)?),
                 Stored::Vote(vote) => rows.push(Row::plain("vote", vote)?),
-                Stored::Whole(view_number) => rows.push(Row::plain("whole", view_number)?),
-                Stored::Begun(view_number) => rows.push(Row::plain("begun", view_number)?),
-                Stored::Aligned(view_number) => rows.push(Row::plain("aligned", view_number)?),
+                Stored::CompleteView(view_number) => rows.push(Row::plain("whole", view_number)?),
+                Stored::TailStarted(view_number) => rows.push(Row::plain("begun", view_number)?),
+                Stored::SyncedView(view_number) => rows.push(Row::plain("aligned", view_number)?),
             }
         }
         let is_due = mark.edition.0 >= snapshot_edition.0 + SNAPSHOT_EVERY || record_bytes >= MOST_BYTES;
--- a/crates/keeper/src/patience.rs
+++ b/crates/keeper/src/patience.rs
@@ -7,7 +7,7 @@
 const SHORTEST_PAUSE: Span = Span::millis(100);
 const LONGEST_PAUSE: Span = Span::millis(500);
 /// What was said longer ago has been said again, or no longer matters: by then this keeper is taken for lost.
-pub const STALE_AFTER: Span = SUSPECT_AFTER;
+pub const STALE_AFTER: Span = SUSPECT_TIMEOUT;
 const MOST_HELD: usize = 4096;
 
 pub struct Patience {
--- a/crates/keeper/tests/filing.rs
+++ b/crates/keeper/tests/filing.rs
@@ -29,13 +29,13 @@
             let record = log.number(ViewNumber(1), Submission { request: RequestId(number), command });
             filing.store(&[Stored::Record(record)], log.last(), log.state()).unwrap();
         }
-        filing.store(&[Stored::Aligned(ViewNumber(4))], log.last(), log.state()).unwrap();
+        filing.store(&[Stored::SyncedView(ViewNumber(4))], log.last(), log.state()).unwrap();
         identity
     };
     let (mut filing, same_identity) = Filing::open(&path).unwrap();
     assert_eq!(same_identity, identity);
     let kept = filing.load().unwrap();
-    assert_eq!((kept.mark.edition, kept.aligned), (Edition(512), ViewNumber(4)));
+    assert_eq!((kept.mark.edition, kept.synced_view), (Edition(512), ViewNumber(4)));
     assert_eq!(kept.records.last().map(|record| record.mark.edition), Some(Edition(700)));
     let restored_log = Log::restore(kept.mark, kept.state, kept.records);
     assert_eq!(restored_log.state().edition, Edition(700));
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -202,7 +202,7 @@
     fn is_made_up_for(&self) -> bool {
         let views = self.keepers.iter().filter_map(|keeper| keeper.disk.view.as_ref());
         let Some(view) = views.max_by_key(|view| view.number) else { return false };
-        let holds_all = |keeper: &CoreKeeper| view.in_chain(keeper.id) && keeper.disk.whole == view.number;
+        let holds_all = |keeper: &CoreKeeper| view.in_chain(keeper.id) && keeper.disk.complete_view == view.number;
         let is_first = |keeper: &CoreKeeper| keeper.id.0 <= KEEPERS as u64;
         let nobody_is_missed = view.voters.iter().all(|voter| self.keepers.iter().any(|keeper| keeper.id == *voter));
         view.voters.len() == KEEPERS
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -355,7 +355,7 @@
         let others_aligned = self
             .keepers
             .iter()
-            .filter(|other| other.id != id && view.in_chain(other.id) && other.disk.whole == view.number)
+            .filter(|other| other.id != id && view.in_chain(other.id) && other.disk.complete_view == view.number)
             .count();
         let voters_left = self.keepers.iter().filter(|other| other.id != id && view.votes(other.id)).count();
         others_aligned >= 1 && voters_left >= view.majority() && view.voters.len() == KEEPERS
@@ -373,8 +373,8 @@
         }
         Stored::View(view) => disk.view = Some(view),
         Stored::Vote(vote) => disk.vote = vote,
-        Stored::Aligned(view_number) => disk.aligned = view_number,
-        Stored::Whole(view_number) => disk.whole = view_number,
-        Stored::Begun(view_number) => disk.begun = view_number,
+        Stored::SyncedView(view_number) => disk.synced_view = view_number,
+        Stored::CompleteView(view_number) => disk.complete_view = view_number,
+        Stored::TailStarted(view_number) => disk.begun = view_number,
     }
 }
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -2,16 +2,16 @@
 
 use crate::prelude::*;
 
-const USUAL_RENEWAL: Span = Span::millis(400);
-const SHORTEST_PAUSE: Span = Span::millis(20);
-const EAGER_SPAN: Span = Span::millis(100);
-const SILENCE_LIMIT: Span = Span::millis(1200);
+const DEFAULT_RENEWAL_INTERVAL: Span = Span::millis(400);
+const MIN_TICK_INTERVAL: Span = Span::millis(20);
+const EAGER_RENEWAL_INTERVAL: Span = Span::millis(100);
+const SILENCE_TIMEOUT: Span = Span::millis(1200);
 /// A keeper that grants nothing for so long may take itself for a tail that others have replaced.
-const GRANT_LIMIT: Span = Span::millis(1500);
-const BEHIND_LIMIT: Span = Span::millis(900);
-const DIAL_SPAN: Span = Span::millis(250);
+const GRANT_TIMEOUT: Span = Span::millis(1500);
+const BEHIND_TIMEOUT: Span = Span::millis(900);
+const DIAL_INTERVAL: Span = Span::millis(250);
 /// A keeper that names the tail is believed after so short a time.
-const REDIRECT_SPAN: Span = Span::millis(60);
+const REDIRECT_DELAY: Span = Span::millis(60);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CoreStream {
@@ -21,8 +21,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct RouterPlace {
-    life: u64,
+struct RouterState {
+    incarnation: u64,
     applied: Option<Edition>,
     address: Option<RouterAddress>,
     /// It has a state that changes can follow: its own, or a snapshot that is on its way to it. What was
@@ -45,15 +45,15 @@
     /// When the last lease was granted, or the stream came up.
     last_granted: Instant,
     last_renewed: Instant,
-    renew_span: Span,
+    renew_interval: Span,
     /// What comes on this stream now was not said before: when the renewal last granted left here. A
     /// machine that slept must not take what waited for it meanwhile for new.
-    said_since: Instant,
+    stream_baseline: Instant,
     behind_since: Option<Instant>,
-    router: Option<RouterPlace>,
-    lives: u64,
+    router: Option<RouterState>,
+    incarnations: u64,
     lease_until: Instant,
-    plan: Vec<SubscriptionEffect>,
+    effects: Vec<SubscriptionEffect>,
 }
 
 impl Subscription {
@@ -70,13 +70,13 @@
             last_heard: Instant(0),
             last_granted: Instant(0),
             last_renewed: Instant(0),
-            renew_span: USUAL_RENEWAL,
-            said_since: Instant(0),
+            renew_interval: DEFAULT_RENEWAL_INTERVAL,
+            stream_baseline: Instant(0),
             behind_since: None,
             router: None,
-            lives: 0,
+            incarnations: 0,
             lease_until: Instant(0),
-            plan: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
@@ -93,12 +93,12 @@
     /// Takes an input; what is to be done about it, in order.
     pub fn step(&mut self, input: SubscriptionInput, now: Instant) -> Vec<SubscriptionEffect> {
         match input {
-            SubscriptionInput::Tick => self.pulse(now),
+            SubscriptionInput::Tick => self.tick(now),
             SubscriptionInput::CoreConnected => {
                 self.core = CoreStream::Up;
                 self.last_heard = now;
                 self.last_granted = now;
-                self.said_since = now;
+                self.stream_baseline = now;
                 self.behind_since = None;
                 self.renew(now);
             }
@@ -106,12 +106,17 @@
             SubscriptionInput::Core(message) => {
                 if self.core == CoreStream::Up {
                     self.last_heard = now;
-                    self.hear_core(message, now);
+                    self.handle_core_message(message, now);
                 }
             }
             SubscriptionInput::RouterConnected => {
-                self.lives += 1;
-                self.router = Some(RouterPlace { life: self.lives, applied: None, address: None, has_state: false });
+                self.incarnations += 1;
+                self.router = Some(RouterState {
+                    incarnation: self.incarnations,
+                    applied: None,
+                    address: None,
+                    has_state: false,
+                });
                 self.renew(now);
             }
             SubscriptionInput::RouterDisconnected => self.router = None,
@@ -121,62 +126,69 @@
                 }
             }
             SubscriptionInput::Router(RouterToAgent::Submit { ticket, submission }) => {
-                self.say_core(AgentToKeeper::Submit { ticket, submission });
+                self.send_to_core(AgentToKeeper::Submit { ticket, submission });
+            }
+            SubscriptionInput::Router(RouterToAgent::Demand(report)) => {
+                self.send_to_core(AgentToKeeper::Demand(report))
             }
-            SubscriptionInput::Router(RouterToAgent::Demand(report)) => self.say_core(AgentToKeeper::Demand(report)),
             SubscriptionInput::Router(RouterToAgent::Applied { edition }) => {
                 let Some(router) = self.router.as_mut() else { return Vec::new() };
                 let is_first = router.applied.is_none();
                 router.applied = Some(edition);
                 router.has_state = true;
-                self.say_core(AgentToKeeper::Applied { edition });
+                self.send_to_core(AgentToKeeper::Applied { edition });
                 if is_first {
                     self.renew(now);
                 }
             }
             SubscriptionInput::Seeds(seeds) => self.seeds = seeds,
         }
-        std::mem::take(&mut self.plan)
+        std::mem::take(&mut self.effects)
     }
 
-    fn say_core(&mut self, message: AgentToKeeper) {
+    fn send_to_core(&mut self, message: AgentToKeeper) {
         if self.core == CoreStream::Up {
-            self.plan.push(SubscriptionEffect::SendToCore(message));
+            self.effects.push(SubscriptionEffect::SendToCore(message));
         }
     }
 
     fn renew(&mut self, now: Instant) {
         let Some(router) = &self.router else { return };
         let address = router.address.clone();
-        let renewal = AgentToKeeper::Renew { sent: now, applied: router.applied, life: router.life, router: address };
+        let renewal = AgentToKeeper::Renew {
+            sent: now,
+            applied: router.applied,
+            incarnation: router.incarnation,
+            router: address,
+        };
         self.last_renewed = now;
-        self.say_core(renewal);
+        self.send_to_core(renewal);
     }
 
-    fn pulse(&mut self, now: Instant) {
+    fn tick(&mut self, now: Instant) {
         match self.core {
             CoreStream::Up => {
-                if now >= self.redirected_from()
+                if now >= self.redirect_allowed_at()
                     && let Some(tail_address) = self.redirect.take()
                 {
                     self.dial(tail_address, now);
                     return;
                 }
-                let silent_too_long = self.router.is_some() && now.since(self.last_heard) >= SILENCE_LIMIT;
-                let behind_too_long = self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_LIMIT);
-                let granted_nothing = self.router.is_some() && now.since(self.last_granted) >= GRANT_LIMIT;
+                let silent_too_long = self.router.is_some() && now.since(self.last_heard) >= SILENCE_TIMEOUT;
+                let behind_too_long = self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_TIMEOUT);
+                let granted_nothing = self.router.is_some() && now.since(self.last_granted) >= GRANT_TIMEOUT;
                 if silent_too_long || behind_too_long || granted_nothing {
-                    self.leave(now);
+                    self.switch_keeper(now);
                     return;
                 }
-                if now.since(self.last_renewed) >= self.pause(now) {
+                if now.since(self.last_renewed) >= self.renewal_interval(now) {
                     self.renew(now);
                 }
             }
-            CoreStream::Down => self.dial_another(now),
+            CoreStream::Down => self.dial_next(now),
             CoreStream::Dialling { since } => {
-                if now.since(since) >= SILENCE_LIMIT {
-                    self.leave(now);
+                if now.since(since) >= SILENCE_TIMEOUT {
+                    self.switch_keeper(now);
                 }
             }
         }
@@ -184,39 +196,39 @@
 
     /// Gives up the present keeper for another. The same one again would cost its whole limit once more: a
     /// tail that the other keepers cannot reach still answers, and still takes itself for the tail.
-    fn leave(&mut self, now: Instant) {
+    fn switch_keeper(&mut self, now: Instant) {
         let left = self.target.clone();
-        self.dial_one(now, |address| address != left);
+        self.dial_next_matching(now, |address| address != left);
     }
 
     /// Between two renewals.
-    fn pause(&self, now: Instant) -> Span {
-        let is_leased = now + self.renew_span < self.lease_until;
-        if is_leased { self.renew_span } else { EAGER_SPAN }
+    fn renewal_interval(&self, now: Instant) -> Span {
+        let is_leased = now + self.renew_interval < self.lease_until;
+        if is_leased { self.renew_interval } else { EAGER_RENEWAL_INTERVAL }
     }
 
     /// When the next pulse is due, if nothing comes before.
     pub fn next_tick(&self, now: Instant) -> Instant {
         let due = match self.core {
-            CoreStream::Up if self.redirect.is_some() => self.redirected_from(),
-            CoreStream::Up if self.router.is_some() => (self.last_renewed + self.pause(now))
-                .min(self.last_heard + SILENCE_LIMIT)
-                .min(self.last_granted + GRANT_LIMIT)
-                .min(self.behind_since.map_or(now + SILENCE_LIMIT, |since| since + BEHIND_LIMIT)),
-            CoreStream::Up => now + SILENCE_LIMIT,
+            CoreStream::Up if self.redirect.is_some() => self.redirect_allowed_at(),
+            CoreStream::Up if self.router.is_some() => (self.last_renewed + self.renewal_interval(now))
+                .min(self.last_heard + SILENCE_TIMEOUT)
+                .min(self.last_granted + GRANT_TIMEOUT)
+                .min(self.behind_since.map_or(now + SILENCE_TIMEOUT, |since| since + BEHIND_TIMEOUT)),
+            CoreStream::Up => now + SILENCE_TIMEOUT,
             CoreStream::Down => self.next_dial,
-            CoreStream::Dialling { since } => since + SILENCE_LIMIT,
+            CoreStream::Dialling { since } => since + SILENCE_TIMEOUT,
         };
-        due.max(now + SHORTEST_PAUSE)
+        due.max(now + MIN_TICK_INTERVAL)
     }
 
     /// Everybody in turn.
-    fn dial_another(&mut self, now: Instant) {
-        self.dial_one(now, |_| true);
+    fn dial_next(&mut self, now: Instant) {
+        self.dial_next_matching(now, |_| true);
     }
 
     /// The next in turn of those wanted, or of all if none is.
-    fn dial_one(&mut self, now: Instant, is_wanted: impl Fn(&str) -> bool) {
+    fn dial_next_matching(&mut self, now: Instant, is_wanted: impl Fn(&str) -> bool) {
         if now < self.next_dial {
             return;
         }
@@ -238,37 +250,38 @@
     }
 
     fn dial(&mut self, address: String, now: Instant) {
-        self.next_dial = now + DIAL_SPAN;
+        self.next_dial = now + DIAL_INTERVAL;
         self.core = CoreStream::Dialling { since: now };
         self.behind_since = None;
         self.redirect = None;
         self.target = address.clone();
-        self.plan.push(SubscriptionEffect::Dial(address));
+        self.effects.push(SubscriptionEffect::Dial(address));
     }
 
-    fn hear_core(&mut self, message: KeeperToAgent, now: Instant) {
+    fn handle_core_message(&mut self, message: KeeperToAgent, now: Instant) {
         match message {
-            KeeperToAgent::Membership(view) => self.hear_membership(view, now),
-            KeeperToAgent::Granted { sent, span, life, undisturbed } => {
+            KeeperToAgent::Membership(view) => self.handle_membership(view, now),
+            KeeperToAgent::Granted { sent, span, incarnation, undisturbed } => {
                 self.last_granted = now;
-                self.renew_span = renewal_span(span);
-                self.said_since = self.said_since.max(sent);
+                self.renew_interval = renewal_span(span);
+                self.stream_baseline = self.stream_baseline.max(sent);
                 self.behind_since = None;
                 self.redirect = None;
-                let asked_for_this_life = self.router.as_ref().is_some_and(|router| router.life == life);
-                if asked_for_this_life {
+                let asked_for_this_incarnation =
+                    self.router.as_ref().is_some_and(|router| router.incarnation == incarnation);
+                if asked_for_this_incarnation {
                     self.lease_until = self.lease_until.max(sent + span);
-                    let disturbed = self.when(undisturbed);
+                    let disturbed = self.instant_at_age(undisturbed);
                     let lease = AgentToRouter::Lease { asked: sent, until: sent + span, disturbed };
-                    self.plan.push(SubscriptionEffect::SendToRouter(lease));
+                    self.effects.push(SubscriptionEffect::SendToRouter(lease));
                 }
             }
             KeeperToAgent::NotNow => {}
             KeeperToAgent::Settled { ticket, outcome } => {
-                self.plan.push(SubscriptionEffect::SendToRouter(AgentToRouter::Settled { ticket, outcome }));
+                self.effects.push(SubscriptionEffect::SendToRouter(AgentToRouter::Settled { ticket, outcome }));
             }
             KeeperToAgent::Routers(routers) => {
-                self.plan.push(SubscriptionEffect::SendToRouter(AgentToRouter::Routers(routers)))
+                self.effects.push(SubscriptionEffect::SendToRouter(AgentToRouter::Routers(routers)))
             }
             KeeperToAgent::Behind => {
                 let has_applied = self.router.as_ref().is_some_and(|router| router.applied.is_some());
@@ -280,16 +293,17 @@
                 if let Some(router) = self.router.as_mut() {
                     router.has_state = true;
                 }
-                let gave_way = gave_way.into_iter().map(|(model, weights, age)| (model, weights, self.when(age)));
+                let gave_way =
+                    gave_way.into_iter().map(|(model, weights, age)| (model, weights, self.instant_at_age(age)));
                 let message = AgentToRouter::Snapshot { state, gave_way: gave_way.collect() };
-                self.plan.push(SubscriptionEffect::SendToRouter(message));
+                self.effects.push(SubscriptionEffect::SendToRouter(message));
             }
             KeeperToAgent::Push { number, submission, age } => {
                 if !self.router.as_ref().is_some_and(|router| router.has_state) {
                     return;
                 }
-                let committed = age.map(|age| self.when(age));
-                self.plan.push(SubscriptionEffect::SendToRouter(AgentToRouter::Push {
+                let committed = age.map(|age| self.instant_at_age(age));
+                self.effects.push(SubscriptionEffect::SendToRouter(AgentToRouter::Push {
                     number,
                     submission,
                     committed,
@@ -299,16 +313,16 @@
     }
 
     /// The earliest instant of what was so long ago when it was said.
-    fn when(&self, age: Span) -> Instant {
-        Instant(self.said_since.0.saturating_sub(age.0))
+    fn instant_at_age(&self, age: Span) -> Instant {
+        Instant(self.stream_baseline.0.saturating_sub(age.0))
     }
 
-    fn hear_membership(&mut self, view: View, now: Instant) {
+    fn handle_membership(&mut self, view: View, now: Instant) {
         let other_fleet = self.view.fleet != FleetId(0) && view.fleet != FleetId(0) && view.fleet != self.view.fleet;
         if other_fleet {
             let detail = format!("theirs={} ours={}", view.fleet, self.view.fleet);
-            self.plan.push(SubscriptionEffect::LogEvent { event: "wrong_fleet", detail });
-            self.dial_another(now);
+            self.effects.push(SubscriptionEffect::LogEvent { event: "wrong_fleet", detail });
+            self.dial_next(now);
             return;
         }
         if view.number >= self.view.number {
@@ -322,7 +336,7 @@
             .unwrap_or_default();
         if tail_address.is_empty() || tail_address == self.target {
             self.redirect = None;
-        } else if now < self.redirected_from() {
+        } else if now < self.redirect_allowed_at() {
             self.redirect = Some(tail_address);
         } else {
             self.dial(tail_address, now);
@@ -331,8 +345,8 @@
 
     /// From when on the keeper dialled last is believed that another is the tail: two that name each other must
     /// not be dialled without a pause.
-    fn redirected_from(&self) -> Instant {
-        Instant(self.next_dial.0.saturating_sub(DIAL_SPAN.0)) + REDIRECT_SPAN
+    fn redirect_allowed_at(&self) -> Instant {
+        Instant(self.next_dial.0.saturating_sub(DIAL_INTERVAL.0)) + REDIRECT_DELAY
     }
 }
 
@@ -368,7 +382,7 @@
             SubscriptionInput::Core(KeeperToAgent::Granted {
                 sent,
                 span: Span::seconds(2),
-                life: 1,
+                incarnation: 1,
                 undisturbed: Span::seconds(60),
             })
         };
--- a/crates/subscription/tests/leaving.rs
+++ b/crates/subscription/tests/leaving.rs
@@ -50,7 +50,7 @@
 }
 
 /// An agent on the tail's stream, with a lease just granted; `spread` is where it begins its turn.
-fn on_tail(spread: usize) -> Subscription {
+fn connected_to_tail(spread: usize) -> Subscription {
     let mut subscription = Subscription::new(vec![address(0), address(1), address(TAIL)], spread);
     subscription.step(SubscriptionInput::Tick, at(0));
     subscription.step(SubscriptionInput::CoreConnected, at(0));
@@ -59,13 +59,13 @@
         subscription.step(SubscriptionInput::CoreConnected, at(310));
     }
     let (sent, span) = (at(400), Span::millis(6500));
-    let granted = KeeperToAgent::Granted { sent, span, life: 1, undisturbed: Span::seconds(60) };
+    let granted = KeeperToAgent::Granted { sent, span, incarnation: 1, undisturbed: Span::seconds(60) };
     subscription.step(SubscriptionInput::Core(granted), at(400));
     subscription
 }
 
 /// The keeper dialled once the present one grants nothing any more, though it answers.
-fn dialled_after_no_grant(subscription: &mut Subscription) -> String {
+fn dialled_without_grants(subscription: &mut Subscription) -> String {
     for now in (410..4000).step_by(10) {
         subscription.step(SubscriptionInput::Core(KeeperToAgent::NotNow), at(now));
         if let Some(address) = dialled(subscription.step(SubscriptionInput::Tick, at(now))) {
@@ -78,16 +78,16 @@
 #[test]
 fn a_tail_that_grants_nothing_is_not_dialled_again_at_once() {
     for spread in 0..12 {
-        let mut subscription = on_tail(spread);
-        assert_ne!(dialled_after_no_grant(&mut subscription), address(TAIL), "spread {spread}");
+        let mut subscription = connected_to_tail(spread);
+        assert_ne!(dialled_without_grants(&mut subscription), address(TAIL), "spread {spread}");
     }
 }
 
 #[test]
 fn a_keeper_that_takes_no_connection_is_not_dialled_again_at_once() {
     for spread in 0..12 {
-        let mut subscription = on_tail(spread);
-        let first = dialled_after_no_grant(&mut subscription);
+        let mut subscription = connected_to_tail(spread);
+        let first = dialled_without_grants(&mut subscription);
         let second =
             (4000..8000).step_by(10).find_map(|now| dialled(subscription.step(SubscriptionInput::Tick, at(now))));
         assert_ne!(second, Some(first), "spread {spread}");
@@ -100,13 +100,13 @@
     subscription.step(SubscriptionInput::Tick, at(0));
     subscription.step(SubscriptionInput::CoreConnected, at(0));
     subscription.step(SubscriptionInput::RouterConnected, at(0));
-    assert_eq!(dialled_after_no_grant(&mut subscription), address(0));
+    assert_eq!(dialled_without_grants(&mut subscription), address(0));
 }
 
 #[test]
 fn an_agent_that_outlives_every_keeper_it_knew_at_first_finds_the_later_ones() {
     for spread in 0..12 {
-        let mut subscription = on_tail(spread);
+        let mut subscription = connected_to_tail(spread);
         let replaced = view_after(&[0, 1, 2], &[4, 5, 6]);
         let heard = SubscriptionInput::Core(KeeperToAgent::Membership(replaced.clone()));
         assert_eq!(dialled(subscription.step(heard, at(500))), None, "its tail is the same");
@@ -127,8 +127,8 @@
 #[test]
 fn a_tail_named_in_the_first_answer_is_dialled_within_a_tenth_of_a_second() {
     for spread in 0..12 {
-        let mut subscription = on_tail(spread);
-        let other = dialled_after_no_grant(&mut subscription);
+        let mut subscription = connected_to_tail(spread);
+        let other = dialled_without_grants(&mut subscription);
         let up = at(5000);
         subscription.step(SubscriptionInput::CoreDisconnected, at(4500));
         let target = (4500..5000)
@@ -157,8 +157,12 @@
     subscription.step(SubscriptionInput::RouterConnected, at(1));
     let named = SubscriptionInput::Core(KeeperToAgent::Membership(view()));
     assert_eq!(dialled(subscription.step(named, at(3))), None, "it was dialled just now");
-    let granted =
-        KeeperToAgent::Granted { sent: at(3), span: Span::seconds(6), life: 1, undisturbed: Span::seconds(60) };
+    let granted = KeeperToAgent::Granted {
+        sent: at(3),
+        span: Span::seconds(6),
+        incarnation: 1,
+        undisturbed: Span::seconds(60),
+    };
     subscription.step(SubscriptionInput::Core(granted), at(4));
     for now in 5..500 {
         assert_eq!(dialled(subscription.step(SubscriptionInput::Tick, at(now))), None);
@@ -168,7 +172,7 @@
 #[test]
 fn a_seed_that_is_a_member_takes_one_place_in_the_turn() {
     for spread in 0..12 {
-        let mut subscription = on_tail(spread);
+        let mut subscription = connected_to_tail(spread);
         subscription.step(SubscriptionInput::CoreDisconnected, at(500));
         let mut turn = Vec::new();
         for now in (500..8000).step_by(10) {
--- a/crates/subscription/tests/pushes.rs
+++ b/crates/subscription/tests/pushes.rs
@@ -7,7 +7,7 @@
 const NOW: Instant = Instant(1_000_000_000);
 
 /// Whether a push that comes now is passed on to the router.
-fn passes_on(subscription: &mut Subscription) -> bool {
+fn forwards_push(subscription: &mut Subscription) -> bool {
     let submission = Submission { request: RequestId(1), command: Command::Merge { base: None, patch: "{}".into() } };
     let push = KeeperToAgent::Push { number: Edition(7), submission, age: Some(Span(0)) };
     let plan = subscription.step(SubscriptionInput::Core(push), NOW);
@@ -20,13 +20,13 @@
     subscription.step(SubscriptionInput::Tick, NOW);
     subscription.step(SubscriptionInput::CoreConnected, NOW);
     subscription.step(SubscriptionInput::RouterConnected, NOW);
-    assert!(!passes_on(&mut subscription), "it was pushed for another life of the router");
+    assert!(!forwards_push(&mut subscription), "it was pushed for another life of the router");
     let state = Box::new(FleetState::default());
     subscription.step(SubscriptionInput::Core(KeeperToAgent::Snapshot { state, gave_way: Vec::new() }), NOW);
-    assert!(passes_on(&mut subscription), "it follows the snapshot");
+    assert!(forwards_push(&mut subscription), "it follows the snapshot");
     subscription.step(SubscriptionInput::RouterDisconnected, NOW);
     subscription.step(SubscriptionInput::RouterConnected, NOW);
-    assert!(!passes_on(&mut subscription), "the router has begun again without a state");
+    assert!(!forwards_push(&mut subscription), "the router has begun again without a state");
     subscription.step(SubscriptionInput::Router(RouterToAgent::Applied { edition: Edition(6) }), NOW);
-    assert!(passes_on(&mut subscription), "it has kept its state");
+    assert!(forwards_push(&mut subscription), "it has kept its state");
 }
