--- a/crates/coordinator/src/addressing.rs
+++ b/crates/coordinator/src/addressing.rs
@@ -1,38 +1,39 @@
-//! Who a message between keepers is meant for. Streams lead to addresses; behind one there may stand, by the time
-//! something arrives, a later incarnation of the process or an empty keeper in a lost one's place. Each message names the
-//! receiver's disk and incarnation, and whoever else gets it drops it.
+//! Addressing of messages between keepers. A connection leads to an address, and by the time a message arrives
+//! another incarnation of the process, or an empty keeper that replaced a lost one, may listen there. Each message
+//! names its receiver's id and incarnation, and any other receiver drops it.
 
 use crate::prelude::*;
 
-/// Dropped messages are noted in the log at most so often.
+/// Minimum time between two log lines about dropped messages.
 const LOG_INTERVAL: Span = Span::seconds(1);
 
-/// Messages that came to this keeper and were meant for another.
+/// Messages that reached this keeper but were addressed to another.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Misdirected {
     pub(crate) count: u64,
     logged_at: Option<Instant>,
-    /// When a sender was last told who answers here: each answer is a step of the sender's, which may send again.
+    /// When a sender was last told who listens here. Replies are rate-limited because each may make the sender send
+    /// again.
     answered_at: Option<Instant>,
 }
 
 impl Coordinator {
-    /// This keeper, in this incarnation.
+    /// This keeper's id and incarnation.
     pub fn own_incarnation(&self) -> KeeperIncarnation {
         KeeperIncarnation { id: self.me.id, incarnation: self.incarnation }
     }
 
-    /// How many messages were dropped since they were meant for another keeper, incarnation or fleet.
+    /// How many messages were dropped because they were addressed to another keeper, incarnation or fleet.
     pub fn misdirected(&self) -> u64 {
         self.misdirected.count
     }
 
-    /// Sends to a keeper, in the incarnation of it that is known: the one that is being answered, or the one heard last.
+    /// Sends to the known incarnation of a keeper: the one being replied to, or else the one heard last.
     pub(crate) fn send(&mut self, to: NodeId, message: CoreMessage) {
         self.send_until(to, message, None);
     }
 
-    /// Sends what is true only until an instant; carried out later than that, it is dropped.
+    /// Sends a message that is valid only until an instant; it is dropped if it would be sent later.
     pub(crate) fn send_until(&mut self, to: NodeId, message: CoreMessage, until: Option<Instant>) {
         if to == self.me.id {
             self.inbox.push_back(message);
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Sends to one incarnation of a keeper and no other.
+    /// Sends to exactly one incarnation of a keeper.
     pub(crate) fn send_to_incarnation(
         &mut self,
         to: KeeperIncarnation,
@@ -71,7 +72,7 @@
         self.effects.push(Effect::Send { address, envelope, until });
     }
 
-    /// Tells whoever answers at an address what is for anyone.
+    /// Sends a broadcast message to whichever keeper listens at an address.
     pub(crate) fn send_to_address(&mut self, address: String, message: CoreMessage) {
         let envelope = self.envelope(None, message);
         self.effects.push(Effect::Send { address, envelope, until: None });
@@ -91,7 +92,7 @@
         Some(known_member.address.clone())
     }
 
-    /// Takes what another keeper sent, if it is meant for this incarnation of this one.
+    /// Handles another keeper's message if it is addressed to this incarnation of this keeper.
     pub(crate) fn receive(&mut self, envelope: Envelope, now: Instant) {
         if !self.is_addressed_to_us(&envelope) {
             self.drop_misdirected(&envelope, now);
@@ -112,7 +113,8 @@
         !is_other_fleet && is_addressed && envelope.from.id != self.me.id
     }
 
-    /// Whoever takes us for another learns who we are, unless it is of another fleet.
+    /// Counts a misdirected message and sends a sender of the same fleet this keeper's status, so that it learns the
+    /// current incarnation.
     fn drop_misdirected(&mut self, envelope: &Envelope, now: Instant) {
         self.misdirected.count += 1;
         let is_due = self.misdirected.logged_at.is_none_or(|noted| now.since(noted) >= LOG_INTERVAL);
--- a/crates/coordinator/src/dispatch.rs
+++ b/crates/coordinator/src/dispatch.rs
@@ -1,17 +1,17 @@
-//! What of a plan still leaves this machine. A message that is true only until an instant is dropped once
-//! that has passed, as after a slow sync; the machine that planned it counts it as sent, so it is told.
+//! Decides which effects of a step are still carried out. A message with an expired validity is dropped, for example
+//! after a slow sync. The state machine assumes that it was sent, so it is told of each drop.
 
 use crate::prelude::*;
 
-/// Passes the effects of one plan on, in order, and keeps what was to go to nodes and did not.
+/// Filters the effects of one step, in order, and collects messages to nodes that were dropped.
 #[derive(Debug, Default)]
 pub struct Dispatch {
     unsent: BTreeMap<NodeId, Vec<KeeperToAgent>>,
 }
 
 impl Dispatch {
-    /// The effect, if it may be carried out at `now`. Once something for a node was dropped, so is all that
-    /// follows it for the same node: a node takes changes without gaps only.
+    /// Returns the effect if it may be carried out at `now`. After one message to a node is dropped, all later ones
+    /// to that node are dropped too, because nodes accept changes without gaps only.
     pub fn admit(&mut self, effect: Effect, now: Instant) -> Option<Effect> {
         match effect {
             Effect::Send { until: Some(until), .. } if now >= until => None,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// What the machine must be told before its next step, once the whole plan was passed on.
+    /// The inputs that report dropped messages; the state machine must process them before its next step.
     pub fn into_inputs(self) -> impl Iterator<Item = Input> {
         self.unsent.into_iter().map(|(node, messages)| Input::NotSent { node, messages })
     }
--- a/crates/coordinator/src/duties.rs
+++ b/crates/coordinator/src/duties.rs
@@ -1,21 +1,22 @@
-//! Duties of single keepers (reading the listing, conducting engines): the chain appoints a holder, the tail
-//! keeps it under a lease, and the holder acts only while that lease lasts.
+//! Duties that one keeper performs at a time (reading the platform's listing, conducting engines). The replicated
+//! state names the holder, the tail grants it a lease, and the holder acts only while that lease is valid.
 
 use crate::prelude::*;
 
 const DUTY_KINDS: [DutyKind; 2] = [DutyKind::Census, DutyKind::Conductor];
-/// A holder that is back in the chain has so long after its lease ran out to ask for it again: a successor
-/// would have to wait until nothing of the holder before can be on its way any more.
+/// How long after its lease expired a holder that is back in the chain may still renew it. Reappointing it is faster
+/// than a successor, which has to wait until no order of the previous holder can be in flight.
 const RENEWAL_GRACE: Span = Span::millis(500);
 
-/// A duty as its holder knows it.
+/// A duty as known to its holder.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldDuty {
     pub(crate) term: Term,
     pub(crate) learned_at: Instant,
 }
 
-/// A request id that is the same for the same label and numbers, so that asking twice is asking once.
+/// Derives a request id from a label and numbers. Equal arguments give the same id, so a repeated submission takes
+/// effect once.
 pub(crate) fn derived_request_id(label: &[u8], numbers: &[u64]) -> RequestId {
     let numbers: Vec<[u8; 8]> = numbers.iter().map(|number| number.to_le_bytes()).collect();
     let mut parts = vec![label];
@@ -23,16 +24,16 @@
     RequestId(BlockHash::over(&parts).0)
 }
 
-// The holder's side.
+// Holder side.
 impl Coordinator {
-    /// A chain member asks the tail for the lease on its duties.
+    /// Requests the lease on this keeper's duties from the tail.
     pub(crate) fn request_duty_lease(&mut self, now: Instant) {
         if let Some(tail) = self.view.tail().filter(|_| self.view.in_chain(self.me.id)) {
             self.send(tail, CoreMessage::DutyLeaseRequest { sent: now });
         }
     }
 
-    /// The tail renewed the lease, and says which duties this keeper holds.
+    /// Handles a renewed duty lease, with the duties that this keeper holds.
     pub(crate) fn handle_duty_given(
         &mut self,
         from: NodeId,
@@ -50,19 +51,20 @@
         }
     }
 
-    /// Whether this keeper can have asked at that instant. What was granted to a keeper whose disk was lost can
-    /// arrive at the empty one in its place, which has its address and another id.
+    /// Whether this incarnation can have sent a request at that instant. A grant meant for a keeper whose disk was
+    /// lost can reach the empty keeper that replaced it, which has the same address and another id.
     fn was_requested_here(&self, sent: Instant) -> bool {
         sent >= self.started_at && self.view.in_chain(self.me.id)
     }
 
-    /// The term under which this keeper may have the state changed for a duty, and until when.
+    /// The term under which this keeper may submit state changes for a duty, and the end of its lease.
     pub fn leased_duty(&self, kind: DutyKind, now: Instant) -> Option<(Term, Instant)> {
         let held = self.duties.get(&kind)?;
         self.duty_lease.holds(now).then(|| (held.term, self.duty_lease.until()))
     }
 
-    /// The term under which this keeper may act outside, and until when; checked last before acting.
+    /// The term under which this keeper may perform a duty's external actions, and the end of its lease; must be
+    /// checked immediately before each action.
     pub fn actionable_duty(&self, kind: DutyKind, now: Instant) -> Option<(Term, Instant)> {
         let held = self.duties.get(&kind)?;
         let has_predecessor = held.term > Term(1);
@@ -72,8 +74,8 @@
         may_act.then(|| (held.term, self.duty_lease.until()))
     }
 
-    /// Stops acting at once and names a successor for each duty held, so that it need not wait for this
-    /// keeper's lease to run out.
+    /// Stops performing duties at once and appoints a successor for each, which then need not wait for this keeper's
+    /// lease to expire.
     pub(crate) fn hand_over_all(&mut self, now: Instant) {
         self.duties.clear();
         for kind in DUTY_KINDS {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Names a successor for a duty, if this keeper holds it.
+    /// Appoints a successor for a duty if this keeper holds it.
     pub(crate) fn hand_over(&mut self, kind: DutyKind, now: Instant) {
         self.duties.remove(&kind);
         let me = self.me.id;
@@ -95,7 +97,7 @@
         self.send(head, CoreMessage::Submit(Submission { request, command }));
     }
 
-    /// The next living member of the chain after this keeper, counted around.
+    /// The next live chain member after this keeper, wrapping around.
     fn next_live_member(&self, now: Instant) -> Option<NodeId> {
         let (me, chain) = (self.me.id, &self.view.chain);
         let own_place = chain.iter().position(|member| *member == me).unwrap_or(0);
@@ -105,9 +107,9 @@
     }
 }
 
-// The tail's side.
+// Tail side.
 impl Coordinator {
-    /// A keeper asks for the lease on its duties; granted if it would hear of it.
+    /// Grants the requested duty lease if the keeper can receive the answer.
     pub(crate) fn handle_duty_ask(&mut self, from: NodeId, sent: Instant, now: Instant) {
         if !self.tail_is_active(now) || !self.hears_us(from, now) {
             return;
@@ -121,13 +123,13 @@
         self.send_until(from, CoreMessage::DutyLeaseGranted { sent, duties }, Some(read_until));
     }
 
-    /// Whether a keeper hears us, and most others: one that does not would never get what it is granted.
+    /// Whether a keeper hears this one and a majority of the voters; otherwise it would not receive a grant.
     fn hears_us(&self, keeper: NodeId, now: Instant) -> bool {
         let is_told = self.peer_status(keeper).is_some_and(|status| status.hears.contains(&self.me.id));
         keeper == self.me.id || (is_told && !self.is_unhealthy(keeper, now))
     }
 
-    /// A duty nobody holds, or whose holder's lease has run out, goes to a living chain member.
+    /// Appoints a live chain member to each duty that has no holder or whose holder's lease has expired.
     pub(crate) fn appoint_duty_holders(&mut self, now: Instant) {
         if self.tail.as_ref().is_none_or(|tail| now < tail.appoint_after) {
             return;
@@ -150,20 +152,20 @@
         self.process_inbox();
     }
 
-    /// Whether the lease that this tail granted on a keeper's duties may still last.
+    /// Whether a duty lease that this tail granted may still be valid.
     fn may_hold_lease(&self, holder: NodeId, now: Instant) -> bool {
         let until = self.tail.as_ref().and_then(|tail| tail.duty_until.get(&holder));
         until.is_some_and(|until| now < *until)
     }
 
-    /// Whether a holder whose lease ran out a moment ago can ask for it again.
+    /// Whether a holder whose lease expired less than `RENEWAL_GRACE` ago can still renew it.
     fn may_still_renew(&self, holder: NodeId, now: Instant) -> bool {
         let until = self.tail.as_ref().and_then(|tail| tail.duty_until.get(&holder));
         let ran_out_lately = until.is_some_and(|until| now < *until + RENEWAL_GRACE);
         ran_out_lately && self.view.in_chain(holder) && self.is_alive(holder, now) && self.hears_us(holder, now)
     }
 
-    /// Members of the chain that may take a duty over, in the chain's order.
+    /// Chain members that can take over a duty, in chain order.
     fn duty_candidates(&self, duty: Option<Duty>, now: Instant) -> Vec<NodeId> {
         let members = self.view.chain.iter().copied();
         members
--- a/crates/coordinator/src/leaving.rs
+++ b/crates/coordinator/src/leaving.rs
@@ -1,15 +1,15 @@
-//! Leaving in good order. A keeper that is told to stop hands its duties over and says that it leaves; the next
-//! view does without it while it still answers, so that nobody has to wait until it is missed.
+//! Graceful shutdown. A keeper that is told to stop hands over its duties and announces that it leaves. The next view
+//! excludes it while it still responds, so the others need not wait for a failure timeout.
 
 use crate::prelude::*;
 
-/// How long a stopping keeper waits at the most until the others have agreed to do without it.
+/// Maximum time a stopping keeper waits for a view without it.
 pub const LEAVE_TIMEOUT: Span = Span::millis(2500);
-/// How long a stopping keeper that has left still passes things on, and its operators are answered.
+/// How long a stopping keeper that has left the chain keeps forwarding messages and answering operators.
 pub const DRAIN_PERIOD: Span = Span::millis(300);
 
 impl Coordinator {
-    /// Stops acting on duties at once, names a successor for each, and has the others agree on a view without
+    /// Stops performing duties at once, appoints a successor for each, and makes the others agree on a view without
     /// this keeper.
     pub(crate) fn retire(&mut self, now: Instant) {
         if !self.retired {
@@ -19,13 +19,13 @@
         self.hand_over_all(now);
     }
 
-    /// Whether the chain does without this keeper: nothing that is committed from now on needs it. Its vote may
-    /// still be asked for where its seat could not be spared.
+    /// Whether this keeper is outside the chain, so that no further commit depends on it. Its vote may still be
+    /// needed if its seat could not be removed or replaced.
     pub fn has_left(&self) -> bool {
         !self.has_view() || !self.view.in_chain(self.me.id)
     }
 
-    /// Why a keeper that is to stop still stands in the chain.
+    /// Why a stopping keeper is still in the chain.
     pub fn leave_blocker(&self, now: Instant) -> &'static str {
         if self.alive_voters(now) < self.view.majority() {
             return "no majority of the voters is heard";
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether a keeper said that it leaves, and is still there.
+    /// Whether a live keeper has announced that it leaves.
     pub(crate) fn is_leaving(&self, member: NodeId, now: Instant) -> bool {
         match member == self.me.id {
             true => self.retired,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The living chain without those that leave, if it is long enough and begins with all that was committed.
+    /// The live chain without leaving members, if it is long enough and enough of them hold everything committed.
     pub(crate) fn chain_without_leavers(&self, now: Instant) -> Option<Vec<NodeId>> {
         let stays = |member: &NodeId| self.is_alive(*member, now) && !self.is_leaving(*member, now);
         let staying: Vec<NodeId> = self.view.chain.iter().copied().filter(stays).collect();
@@ -53,14 +53,14 @@
         (is_long_enough && holders >= self.view.least_holders()).then_some(staying)
     }
 
-    /// Whether a chain member leaves that the chain can do without.
+    /// Whether the chain can do without a leaving member.
     pub(crate) fn can_release_leaver(&self, now: Instant) -> bool {
         let somebody_leaves = self.view.chain.iter().any(|member| self.is_leaving(*member, now));
         somebody_leaves && self.chain_without_leavers(now).is_some()
     }
 
-    /// What becomes of a leaver's seat: of an even number of voters it is given up, since one fewer bear as many
-    /// losses; else a spare takes it.
+    /// The membership change for a leaving voter. With an even number of voters its seat is removed, since one voter
+    /// fewer tolerates as many failures; otherwise a spare takes the seat.
     pub(crate) fn change_for_leaver(&self, spare: Option<NodeId>, now: Instant) -> Option<MembershipChange> {
         let stays = self.chain_without_leavers(now)?;
         let leaver =
@@ -68,7 +68,7 @@
         if self.can_remove_voter() {
             return Some(MembershipChange::RemoveVoter(leaver));
         }
-        // The seat of one that is lost comes first: it will not come back by itself.
+        // A failed voter is replaced first, because it does not return by itself.
         let all_live = self.alive_voters(now) == self.view.voters.len();
         spare.filter(|_| all_live).map(|spare| MembershipChange::Replace { dead: leaver, spare })
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,7 +1,7 @@
-//! One keeper's whole state, as a pure machine: (state, input, instant) -> effects. It joins the chain,
-//! the agreed view, the leases and the duties; it owns no clock, socket, disk or thread. The keeper
-//! program and the simulator both drive it. Effects are carried out in order, and whatever is to be
-//! stored is synced before any later effect leaves the machine.
+//! One keeper's state as a pure state machine: (state, input, instant) -> effects. It combines chain replication, the
+//! agreed view, leases and duties, and owns no clock, socket, disk or thread. The keeper program and the simulator
+//! both drive it. Effects are carried out in order, and everything to be stored is synced before any later effect
+//! takes place.
 
 pub mod prelude;
 
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -1,24 +1,24 @@
-//! The machine itself: its state, and the way of an input through it.
+//! The state machine: its state, input dispatch, and heartbeats between keepers.
 
 use crate::prelude::*;
 
 pub const HEARTBEAT_INTERVAL: Span = Span::millis(200);
 const MAX_COMMIT_TIMES: usize = 1024;
-/// Longer than any router goes on with weights that gave way.
+/// Longer than any router keeps using superseded weights.
 const SUPERSEDED_WEIGHTS_RETENTION: Span = Span::seconds(60);
 pub const SUSPECT_TIMEOUT: Span = Span::millis(800);
-/// How often a keeper looks around while something is under way.
+/// Tick interval while an operation is in progress.
 const BUSY_TICK_INTERVAL: Span = Span::millis(50);
 const FORGET_TIMEOUT: Span = Span::seconds(30);
 
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorSettings {
-    /// Whether leases are granted only on a listing that this keeper has read itself of late.
+    /// Whether node leases are granted only if this keeper itself has read a matching listing recently.
     pub requires_fresh_listing: bool,
-    /// How many voters the core grows to.
+    /// The number of voters up to which the core grows.
     pub core_size: usize,
-    /// Whether nobody says how many voters there will be: a newcomer then adds a seat only while every voter
-    /// lives, and takes a dead one's seat otherwise; and a seat that stays empty is given up.
+    /// Whether the number of voters is not configured. A new keeper then adds a seat only while all voters are live,
+    /// and takes a failed voter's seat otherwise; a seat that stays vacant is removed.
     pub automatic_size: bool,
     pub seeds: Vec<String>,
     pub timing: Timing,
@@ -26,22 +26,22 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// Which incarnation of its process was heard last.
+    /// The incarnation heard last.
     pub(crate) incarnation: u64,
     pub(crate) status: Option<KeeperStatus>,
     pub(crate) last_heard: Instant,
-    /// Since when it has been heard without a break.
+    /// Start of the current uninterrupted period in which it was heard.
     pub(crate) heard_since: Instant,
-    /// Since when it stands still behind us as our successor, or idle as the tail.
+    /// Since when it lags behind this keeper as its successor, or is inactive as the tail.
     pub(crate) stalled_since: Option<Instant>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     pub(crate) me: Member,
-    /// Differs for each incarnation of the process.
+    /// Different for each start of the process.
     pub(crate) incarnation: u64,
-    /// The keeper whose message is being answered.
+    /// The keeper whose message is being handled; replies go to this incarnation.
     pub(crate) replying_to: Option<KeeperIncarnation>,
     pub(crate) misdirected: Misdirected,
     pub(crate) settings: CoordinatorSettings,
@@ -49,22 +49,22 @@
     pub(crate) vote: Vote,
     pub(crate) sealed_since: Instant,
     pub(crate) synced_view: ViewNumber,
-    /// The view before whose beginning everything committed is surely in this log: it was aligned in
-    /// an earlier one and has stood in every chain since, so nothing was committed without it.
+    /// The latest view for which this log surely holds everything committed before the view began: the log was synced
+    /// in an earlier view and this keeper has been in every chain since, so nothing was committed without it.
     pub(crate) complete_view: ViewNumber,
     pub(crate) log: Log,
     pub(crate) committed: Edition,
-    /// When this incarnation first saw recent records; those of an earlier incarnation are not in it.
+    /// When this incarnation first saw recent records. Records seen by an earlier incarnation are missing.
     pub(crate) committed_at: BTreeMap<Edition, Instant>,
-    /// The weights wanted when last looked, and when the ones before them gave way in this incarnation.
+    /// The wanted weights at the last check, and when this incarnation saw earlier ones being superseded.
     pub(crate) wanted_weights: BTreeMap<ModelName, WeightsEdition>,
     pub(crate) superseded_at: BTreeMap<(ModelName, WeightsEdition), Instant>,
     pub(crate) peers: BTreeMap<NodeId, Peer>,
     pub(crate) known_members: BTreeMap<NodeId, Member>,
-    /// Where the log ended when this incarnation began, or was replaced by a snapshot.
+    /// Where the log ended when this incarnation started or when a snapshot replaced it.
     pub(crate) restored_at: Edition,
     pub(crate) nonce: u64,
-    /// When it was first asked, under which nonce, to be brought level.
+    /// The nonce of the current catch-up request and when it was first sent.
     pub(crate) catch_up_request: Option<(u64, Instant)>,
     pub(crate) started_at: Instant,
     pub(crate) adopted_at: Instant,
@@ -75,7 +75,7 @@
     pub(crate) listing_check: ListingCheck,
     pub(crate) duty_lease: HeldLease,
     pub(crate) duties: BTreeMap<DutyKind, HeldDuty>,
-    /// About to stop: takes no duty any more.
+    /// Whether this keeper is stopping and accepts no duties.
     pub(crate) retired: bool,
     pub(crate) pending_queries: BTreeMap<u64, PendingQuery>,
     pub(crate) last_heartbeat: Instant,
@@ -84,7 +84,7 @@
 }
 
 impl Coordinator {
-    /// A keeper with what its folder holds; `incarnation` differs for each incarnation of the process.
+    /// Restores a keeper from persisted state; `incarnation` differs for each start of the process.
     pub fn restore(
         me: Member,
         kept: PersistedState,
@@ -139,12 +139,12 @@
         restored
     }
 
-    /// What a founder's folder holds at first: a view of one, and the founding document.
+    /// The initial persisted state of a fleet's first keeper: a view with one member, and the initial fleet state.
     pub fn bootstrap(me: &Member, fleet: FleetId, founding_state: FleetState) -> Vec<Stored> {
         Coordinator::bootstrap_with_tolerance(me, fleet, founding_state, View::default().tolerance)
     }
 
-    /// The same, for a fleet that bears the loss of so many machines with their disks.
+    /// Like `bootstrap`, for a fleet that must survive the loss of `tolerance` machines with their disks.
     pub fn bootstrap_with_tolerance(
         me: &Member,
         fleet: FleetId,
@@ -251,7 +251,7 @@
         self.effects.push(Effect::LogEvent { event, detail });
     }
 
-    /// Tells a node's agent; carried out later than `until`, it is dropped.
+    /// Sends to a node's agent; dropped if it would be sent after `until`.
     pub(crate) fn send_to_node(&mut self, node: NodeId, message: KeeperToAgent, until: Option<Instant>) {
         self.effects.push(Effect::SendToNode { node, message, until });
     }
@@ -331,7 +331,7 @@
         let is_new_incarnation = self.peers.get(&from).is_none_or(|peer| peer.incarnation != sender.incarnation);
         let last_status = self.record_heard(sender, &status, now);
         if is_new_incarnation {
-            // It must know this incarnation before it can ask or answer anything.
+            // The peer must know this incarnation before it can send requests or replies to it.
             let own_status = CoreMessage::Heartbeat(self.own_status(now));
             self.send(from, own_status);
             self.ask_read_lease(now);
@@ -351,7 +351,7 @@
         }
     }
 
-    /// Notes that a peer was heard, and what it said before.
+    /// Records that a peer was heard and returns its previous status.
     fn record_heard(
         &mut self,
         sender: KeeperIncarnation,
@@ -376,13 +376,13 @@
         peer.status.replace(status.clone())
     }
 
-    /// Whoever was known at an address is not there any more: its machine came back without its disk.
+    /// Removes other members known at an address: that machine came back with an empty disk.
     fn forget_address(&mut self, address: &str) {
         let me = self.me.id;
         self.known_members.retain(|id, member| *id == me || member.address != address);
     }
 
-    /// Drops keepers that have long left both the view and our hearing; one that is back knocks.
+    /// Removes keepers that are not in the view and have long been silent. One that returns sends a heartbeat again.
     fn forget_absent_members(&mut self, now: Instant) {
         let me = self.me.id;
         let gone: Vec<NodeId> = self
@@ -397,7 +397,7 @@
         }
     }
 
-    /// How soon after a pulse the next is due: sooner while something is under way or somebody is silent.
+    /// The time until the next tick: shorter while an operation is in progress or a voter is silent.
     pub fn tick_interval(&self, now: Instant) -> Span {
         let is_silent = |node: &NodeId| self.silence(*node, now) >= HEARTBEAT_INTERVAL.times(2);
         let tail_waits = self
@@ -418,7 +418,7 @@
         node == self.me.id || self.peers.get(&node).is_some_and(|peer| now.since(peer.last_heard) < SUSPECT_TIMEOUT)
     }
 
-    /// Everybody heard of lately, this keeper included.
+    /// All keepers heard recently, including this one.
     pub fn live_keepers(&self, now: Instant) -> Vec<NodeId> {
         let heard_peers = self.peers.keys().copied().filter(|peer| self.is_alive(*peer, now));
         heard_peers.chain([self.me.id]).collect()
@@ -428,7 +428,7 @@
         self.view.voters.iter().filter(|voter| self.is_alive(**voter, now)).count()
     }
 
-    /// How long a peer has been silent; counted from our own start if it was never heard.
+    /// How long a peer has been silent, counted from this keeper's start if it was never heard.
     pub(crate) fn silence(&self, node: NodeId, now: Instant) -> Span {
         if node == self.me.id {
             return Span(0);
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -1,9 +1,9 @@
-//! Inputs, effects, and what keepers and nodes say.
+//! Inputs and effects of the state machine, and the messages of keepers and agents.
 
 use crate::prelude::*;
 
-/// One incarnation of a keeper's process on one disk. A keeper that starts again has another incarnation, and one whose disk
-/// was lost another id, though it answers at the same address.
+/// One run of a keeper's process on one disk. A restarted keeper has a new incarnation; one that lost its disk also
+/// has a new id, although its address is the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeeperIncarnation {
     pub id: NodeId,
@@ -11,19 +11,19 @@
     pub incarnation: u64,
 }
 
-/// A message between keepers, with its sender and its receiver. Streams lead to addresses, and another keeper
-/// may stand at one by the time a message arrives: it drops what was meant for the one before.
+/// A message between keepers with its sender and receiver. Another keeper may listen at the address when the message
+/// arrives; it drops messages that are not addressed to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Zero while the sender belongs to no fleet.
+    /// Zero if the sender belongs to no fleet.
     pub fleet: FleetId,
     pub from: KeeperIncarnation,
-    /// Nobody in particular for what is true whoever hears it (`CoreMessage::is_broadcast`).
+    /// Empty for broadcast messages (`CoreMessage::is_broadcast`).
     pub to: Option<KeeperIncarnation>,
     pub message: CoreMessage,
 }
 
-/// What a keeper tells every other it knows, at each pulse.
+/// The status that a keeper sends to all known keepers in each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperStatus {
     pub member: Member,
@@ -36,9 +36,9 @@
     pub last: Mark,
     pub committed: Edition,
     pub tail_active: bool,
-    /// The speaker is about to stop: the next view is to do without it.
+    /// The sender is stopping, and the next view should exclude it.
     pub leaving: bool,
-    /// Whom the speaker has heard lately, itself included.
+    /// The keepers that the sender has heard recently, including itself.
     pub hears: Vec<NodeId>,
 }
 
@@ -58,7 +58,7 @@
         view: ViewNumber,
         sent: Instant,
     },
-    /// The tail of `view` has stopped acting and hands over.
+    /// The previous tail has stopped acting and hands over to the tail of `view`.
     Retired {
         view: ViewNumber,
     },
@@ -84,7 +84,7 @@
 }
 
 impl CoreMessage {
-    /// KeeperStatus are about their sender alone, and a decided view is the same for everyone: both are told before the
+    /// A status concerns its sender alone and a decided view is the same for everyone, so both may be sent before the
     /// receiver's incarnation is known.
     pub fn is_broadcast(&self) -> bool {
         matches!(self, CoreMessage::Heartbeat(_) | CoreMessage::View(ViewMessage::Decided(_)))
@@ -93,18 +93,18 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoreQuery {
-    /// Take this command, and answer once it is in force.
+    /// Submits a command; answered once it is in force.
     Submit(Submission),
-    /// How was this request settled? Under a fingerprint: if it was this that was submitted.
+    /// The outcome of a request. If a fingerprint is given, only of a request with that content.
     Settled {
         request: RequestId,
         fingerprint: Option<BlockHash>,
     },
     State,
     Nodes,
-    /// Where requests on adapters arrive, as far as nodes told the tail.
+    /// Adapter demand as reported to the tail by the nodes.
     Demand,
-    /// The operators' configuration alone.
+    /// Only the operators' configuration.
     Configuration,
 }
 
@@ -118,7 +118,7 @@
         revision: Revision,
         source: String,
     },
-    /// The limit passed; whether it was or will be done is not known.
+    /// The deadline passed; the command may or may not take effect.
     Unknown,
 }
 
@@ -129,21 +129,21 @@
     pub lease_left: Span,
 }
 
-/// A router, and where it is reached.
+/// A router and its addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterAddress {
     pub router: NodeId,
-    /// Where callers reach it.
+    /// The address for callers.
     pub address: String,
     pub zone: Zone,
-    /// Where other routers ask it for news of the sources that it reads for them.
+    /// The address at which other routers fetch the source events that this router reads for them.
     pub relay: Option<String>,
 }
 
-/// From a node's agent to a keeper.
+/// A message from a node's agent to a keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentToKeeper {
-    /// `router` is the router behind the agent, and where callers reach it.
+    /// Requests a lease; `router` is the agent's router, if it has announced itself.
     Renew {
         sent: Instant,
         applied: Option<Edition>,
@@ -152,7 +152,7 @@
         #[serde(rename = "door")]
         router: Option<RouterAddress>,
     },
-    /// A claim, or the giving back of one; answered once it is committed.
+    /// Submits or releases an idempotency-key claim; answered once committed.
     Submit {
         ticket: u64,
         submission: Submission,
@@ -160,14 +160,14 @@
     Applied {
         edition: Edition,
     },
-    /// Which adapters' requests arrive at the router behind it; said again and again, and not answered.
+    /// Adapter demand at the agent's router; sent periodically and not answered.
     Demand(DemandReport),
 }
 
-/// From a keeper to a node's agent.
+/// A message from a keeper to a node's agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeeperToAgent {
-    /// "I am not the tail"; the view says who is.
+    /// The current view, which names the tail.
     #[serde(rename = "Whereabouts")]
     Membership(View),
     Granted {
@@ -175,14 +175,14 @@
         span: Span,
         #[serde(rename = "life")]
         incarnation: u64,
-        /// How long ago a core machine was last seen to come or go.
+        /// Time since a core machine last failed or returned.
         undisturbed: Span,
     },
-    /// Not renewed: the listing that the core has is not known to be fresh.
+    /// Lease not renewed: the core's listing is not known to be fresh.
     NotNow,
-    /// Not renewed: the node lags behind.
+    /// Lease not renewed: the node has not applied the required edition.
     Behind,
-    /// The whole state, and how long ago each edition of weights lately given up gave way.
+    /// The whole state, and how long ago recently replaced weights editions were superseded.
     Snapshot {
         state: Box<FleetState>,
         gave_way: Vec<(ModelName, WeightsEdition, Span)>,
@@ -191,10 +191,10 @@
         ticket: u64,
         outcome: Settled,
     },
-    /// The routers that hold leases now.
+    /// The routers that hold leases.
     #[serde(rename = "Doors")]
     Routers(Vec<RouterAddress>),
-    /// The next change, and how long ago it was committed, if that is known.
+    /// The next change, and the time since its commit if known.
     Push {
         number: Edition,
         submission: Submission,
@@ -205,7 +205,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     Tick,
-    /// Another keeper's message, as it arrived at this keeper's address.
+    /// A message received at this keeper's address.
     Peer(Envelope),
     Node {
         node: NodeId,
@@ -214,7 +214,7 @@
     NodeDisconnected {
         node: NodeId,
     },
-    /// What was planned for a node, and was dropped since it had come too late; in the order of the plan.
+    /// Messages to a node that were dropped because they had expired, in their original order.
     NotSent {
         node: NodeId,
         messages: Vec<KeeperToAgent>,
@@ -224,17 +224,16 @@
         question: CoreQuery,
         limit: Instant,
     },
-    /// The platform's listing as this keeper read it, or nothing if it could not; `asked` is when the
-    /// reading began.
+    /// The platform's listing as read by this keeper, or nothing if the read failed; `asked` is when the read began.
     ListingRead {
         read: Option<(String, ListingNumber)>,
         asked: Instant,
     },
-    /// This keeper is about to stop: it names a successor for each duty it holds.
+    /// This keeper is stopping and appoints a successor for each of its duties.
     Retire,
-    /// This keeper cannot do a duty it holds, and names a successor for it.
+    /// This keeper cannot perform one of its duties and appoints a successor.
     HandOver(DutyKind),
-    /// Seeds as the settings now name them.
+    /// The seed addresses from changed settings.
     Seeds(Vec<String>),
 }
 
@@ -249,7 +248,7 @@
     Vote(Vote),
     SyncedView(ViewNumber),
     CompleteView(ViewNumber),
-    /// This keeper has begun to act as the tail of a view: no tail before it acts any more.
+    /// This keeper has started acting as the tail of a view, so no earlier tail acts any more.
     TailStarted(ViewNumber),
 }
 
@@ -262,7 +261,7 @@
     LogEvent { event: &'static str, detail: String },
 }
 
-/// What a keeper finds in its data folder.
+/// The state that a keeper loads from its data folder.
 #[derive(Clone, Debug, Default)]
 pub struct PersistedState {
     pub view: Option<View>,
--- a/crates/coordinator/src/queries.rs
+++ b/crates/coordinator/src/queries.rs
@@ -1,5 +1,5 @@
-//! Questions of operators who ask this keeper: sent to head and tail, asked again until answered or the
-//! limit passes. Asking again is safe, because a submission is known by its request id.
+//! Queries of operators: sent to the head and tail, and retried until answered or past the deadline. Retrying is safe
+//! because submissions are deduplicated by request id.
 
 use crate::prelude::*;
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The tail's side.
+    /// Answers a keeper's query, as the tail.
     pub(crate) fn handle_query(&mut self, from: KeeperIncarnation, ticket: u64, question: CoreQuery, now: Instant) {
         if !self.tail_is_active(now) {
             return;
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -1,9 +1,9 @@
-//! The chain part: numbering at the head, passing on, being brought level.
+//! Chain replication: numbering at the head, forwarding to the successor, and catch-up.
 
 use crate::prelude::*;
 
 const UNCOMMITTED_LIMIT: u64 = 256;
-/// The ages of so many records are told to a member that is brought level.
+/// How many record ages are sent to a member that catches up.
 const MAX_AGES_SENT: usize = 64;
 
 impl Coordinator {
@@ -52,7 +52,7 @@
                 }
             }
             ChainMessage::Snapshot { view, nonce, mark, state, ages } => {
-                // What a sealed keeper has told of its log must stay in it.
+                // A sealed keeper has reported where its log ends, so the log must not become shorter.
                 let is_shorter = mark.edition < self.log.last().edition;
                 if self.accepts_catch_up(from, view, nonce) && !(self.sealed() && is_shorter) {
                     self.log = Log::restore(mark, (*state).clone(), Vec::new());
@@ -92,8 +92,8 @@
         }
     }
 
-    /// A chain member is levelled by the one before it alone, and not once sealed; a keeper outside
-    /// the chain by any aligned member, also while it is sealed: nothing is committed through it.
+    /// A chain member catches up from its predecessor only, and not while sealed. A keeper outside the chain may
+    /// catch up from any synced member, even while sealed, because nothing is committed through it.
     fn accepts_catch_up(&self, from: NodeId, view: ViewNumber, nonce: u64) -> bool {
         if view != self.view.number || nonce != self.nonce {
             return false;
@@ -102,7 +102,7 @@
         !self.view.in_chain(self.me.id) || is_next
     }
 
-    /// How long ago what is dated here was committed at the most.
+    /// Upper bounds of the ages of recent commits and superseded weights known here.
     fn ages(&self, now: Instant) -> Ages {
         let records = self.committed_at.iter().rev().take(MAX_AGES_SENT);
         let gave_way = self.superseded_at.iter();
@@ -114,9 +114,9 @@
         }
     }
 
-    /// Dates what the levelling member has dated. It said so after it was asked, so nothing is dated later
-    /// than it was committed: the head numbered each record before anybody could commit it, or was in every
-    /// chain since, and each member has its dates from the one before it.
+    /// Adopts the commit times of the member that served the catch-up. Ages count from when the request was sent, so
+    /// no time is later than the actual commit: the head numbered each record before it could be committed, or was in
+    /// every chain since, and each member takes its times from its predecessor.
     fn take_ages(&mut self, ages: &Ages, nonce: u64) {
         self.clear_commit_times();
         let Some(asked) = self.catch_up_request.filter(|(catch_up_nonce, _)| *catch_up_nonce == nonce) else {
@@ -131,8 +131,8 @@
             gave_way.map(|(model, weights, age)| ((model.clone(), *weights), instant_at_age(*age))).collect();
     }
 
-    /// What was committed before we stood aligned may be older than our seeing it: its age is not
-    /// known. An aligned member's own append comes before the commit, so its dates are right.
+    /// Discards commit times. Records committed before this keeper was synced may be older than when it saw them, so
+    /// their age is unknown. A synced member appends before the commit, so its times are valid.
     pub(crate) fn clear_commit_times(&mut self) {
         self.restored_at = self.log.last().edition;
         self.committed_at.clear();
@@ -179,8 +179,9 @@
         }
     }
 
-    /// Who levels a keeper outside the chain: the tail, or whoever else is there and level. Where the members
-    /// before it are lost, one that is not aligned in this view but holds all that was committed does it, too.
+    /// The keeper from which one outside the chain catches up: the last live synced member, or else the tail. If the
+    /// members before it are lost, a member that is not synced in this view but holds everything committed serves as
+    /// well.
     fn catch_up_source(&self, now: Instant) -> Option<NodeId> {
         let can_serve = |member: &NodeId| {
             let status = self.peer_status(*member).filter(|_| self.is_alive(*member, now));
@@ -192,7 +193,8 @@
         sources.chain(self.view.tail()).next()
     }
 
-    /// A successor whose log stood still behind ours between two pulses missed something.
+    /// Resends records to a successor whose log lagged and did not advance between two heartbeats, so it has missed a
+    /// message.
     pub(crate) fn resend_to_successor(
         &mut self,
         from: NodeId,
--- a/crates/coordinator/src/tail/claims.rs
+++ b/crates/coordinator/src/tail/claims.rs
@@ -1,9 +1,10 @@
-//! Claims of idempotency keys: they come from nodes, and the tail has the book of claims turned.
+//! Claims of idempotency keys: submitted by nodes, and expired by rotation of the claim book, which the tail
+//! triggers.
 
 use crate::prelude::*;
 
 impl Coordinator {
-    /// Claims and their giving back go from nodes to the head; the node is told once that is committed.
+    /// Forwards a node's claim or release to the head; the node is answered once it is committed.
     pub(crate) fn handle_claim(&mut self, node: NodeId, ticket: u64, submission: Submission, now: Instant) {
         if !matches!(submission.command, Command::Claim { .. } | Command::Release { .. }) {
             return;
@@ -17,7 +18,7 @@
         }
     }
 
-    /// Has the book of claims turned once this tail has seen its page for the whole span.
+    /// Submits a rotation of the claim book once this tail has seen the current turn for `CLAIM_SPAN`.
     pub(crate) fn rotate_claims(&mut self, now: Instant) {
         let turn = self.log.state().claim_book.turn;
         let (Some(head), Some(tail)) = (self.view.head(), self.tail.as_mut()) else { return };
--- a/crates/coordinator/src/tail/listing_check.rs
+++ b/crates/coordinator/src/tail/listing_check.rs
@@ -1,32 +1,32 @@
-//! Whether the listing in the state is still what the platform says: each keeper reads the platform itself
-//! and compares. A node's lease is granted only on a listing known to have agreed lately.
+//! Freshness of the listing in the replicated state. Each keeper reads the platform itself and compares; a node's
+//! lease is granted only if the listing is known to have matched recently.
 
 use crate::prelude::*;
 
-/// How old the agreement of state and platform may be for a node's lease to be granted on it: with the
-/// lease itself this stays below the three seconds an engine that was listed away may get requests.
+/// Maximum time since state and platform last matched for a node lease to be granted. Together with the lease this
+/// stays below the three seconds for which an engine removed from the listing may still get requests.
 const MAX_LISTING_AGE: Span = Span::millis(800);
-/// How long a failed reading counts: the platform is away, and the last list holds.
+/// How long a failed read counts as evidence that the platform is unavailable; meanwhile the last listing remains
+/// valid.
 const MAX_FAILURE_AGE: Span = Span::millis(1300);
-/// How many listings of the state are remembered: the latest, and the one that nodes have which have yet to
-/// apply it.
+/// Listings of the state that are remembered: the latest one, and its predecessor for nodes that have not applied the
+/// latest yet.
 const REMEMBERED_LISTINGS: usize = 2;
 
-/// The platform's listing as this keeper itself read it, against the one in the state.
+/// The platform's listing as read by this keeper, compared with the one in the state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ListingCheck {
-    /// When the latest good reading began.
+    /// When the latest successful read began.
     asked: Instant,
     newest: Option<(String, ListingNumber)>,
-    /// When the latest reading that failed began.
+    /// When the latest failed read began.
     failed_at: Instant,
-    /// The listings in the state, latest first: the edition each came in, and when the latest reading
-    /// began that agreed with it.
+    /// Listings in the state, latest first: each one's edition, and when the latest read that matched it began.
     agreed: VecDeque<(Edition, Instant)>,
 }
 
 impl ListingCheck {
-    /// Notes a reading that began at `asked`; nothing was read if the platform could not be reached.
+    /// Records a read that began at `asked`; `read` is empty if the platform was unreachable.
     pub(crate) fn record_reading(&mut self, read: Option<(String, ListingNumber)>, asked: Instant) {
         match read {
             None => self.failed_at = self.failed_at.max(asked),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Notes whether the platform and the listing of the state, taken in an edition, agree now.
+    /// Records whether the platform currently matches the state's listing, which was taken in `listing_edition`.
     fn compare(&mut self, in_state: &Listing, listing_edition: Edition) {
         if self.agreed.front().is_none_or(|(edition, _)| *edition != listing_edition) {
             self.agreed.push_front((listing_edition, Instant(0)));
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether a node that has applied so much may be let start on the listing it has.
+    /// Whether the listing known to a node that has applied this edition is fresh enough to grant it a lease.
     fn is_fresh(&self, applied: Edition, now: Instant) -> bool {
         let own_agreed = self.agreed.iter().find(|(edition, _)| applied >= *edition);
         let has_latest = self.agreed.front().is_some_and(|(edition, _)| applied >= *edition);
@@ -67,7 +67,7 @@
         self.listing_check.compare(&state.listing, state.listing_edition);
     }
 
-    /// Whether leases may be granted to a node that has applied so much.
+    /// Whether the listing allows granting leases to a node that has applied this edition.
     pub(crate) fn listing_is_fresh(&self, applied: Edition, now: Instant) -> bool {
         !self.settings.requires_fresh_listing || self.listing_check.is_fresh(applied, now)
     }
--- a/crates/coordinator/src/tail/mod.rs
+++ b/crates/coordinator/src/tail/mod.rs
@@ -1,5 +1,5 @@
-//! The tail of the chain: the one keeper that commits, pushes, grants leases and acknowledges. It acts
-//! only while it holds the read lease, and begins only when no earlier tail can still be acting.
+//! The tail of the chain, the one keeper that commits, pushes changes, grants leases and acknowledges. It acts only
+//! while it holds the read lease, and starts only when no earlier tail can still be acting.
 
 mod claims;
 mod listing_check;
@@ -17,40 +17,40 @@
 pub(crate) use router_list::*;
 pub(crate) use settlements::*;
 
-/// The view of one with which a fleet begins: there is nothing in it yet that could be lost.
+/// The single-member view with which a fleet begins, when there is no data to lose yet.
 pub(crate) const FOUNDING_VIEW: ViewNumber = ViewNumber(1);
 
-/// What a keeper keeps while it is the tail of its view.
+/// The state that a keeper has while it is the tail of its view.
 #[derive(Clone, Debug)]
 pub(crate) struct TailRole {
-    /// Until when the tail before may still be acting.
+    /// Until when the previous tail may still be acting.
     pub(crate) wait_until: Instant,
     /// Whether it acts: it has waited, and its start is stored.
     pub(crate) started: bool,
     pub(crate) read_lease: ReadLease,
     pub(crate) leases: NodeLeases,
-    /// Nodes that were counted without when last looked.
+    /// Nodes with valid leases that in-force editions did not wait for, at the last check.
     left_behind: Vec<NodeId>,
-    /// How far each linked node has been pushed.
+    /// The push progress of each connected node.
     pub(crate) pushed: BTreeMap<NodeId, PushState>,
-    /// Until when each keeper's lease on its duties may last.
+    /// When each keeper's duty lease expires at the latest.
     pub(crate) duty_until: BTreeMap<NodeId, Instant>,
-    /// From when on no duty is held by a lease of an earlier tail.
+    /// The time from which no duty lease granted by an earlier tail can be valid.
     pub(crate) appoint_after: Instant,
-    /// Editions and when they were committed, for those not yet due everywhere.
+    /// Recent editions with their commit times, until the lag limit makes them required.
     pub(crate) recent_commits: VecDeque<(Edition, Instant)>,
     /// The edition that a node must have applied for its lease to be renewed.
     pub(crate) required_edition: Edition,
     pub(crate) pending: Vec<PendingRequest>,
     pub(crate) routers: RouterList,
-    /// The turn of the book of claims, and since when this tail has seen it.
+    /// The current turn of the claim book, and when this tail first saw it.
     pub(crate) claim_rotation: (u64, Instant),
-    /// The latest report of each node on requests for adapters, and when it came.
+    /// The latest adapter demand report of each node, and when it arrived.
     pub(crate) demand: BTreeMap<NodeId, (DemandReport, Instant)>,
 }
 
 impl TailRole {
-    /// A tail that begins to act once `wait_until` has passed.
+    /// A tail that may start once `wait_until` has passed.
     pub(crate) fn new(wait_until: Instant) -> TailRole {
         TailRole {
             wait_until,
@@ -75,8 +75,8 @@
         self.leases.nodes().map(|(node, _)| *node).collect()
     }
 
-    /// Raises what is in force. Tells the nodes that are counted without although their leases run on, when others
-    /// are than before.
+    /// Raises the edition in force. Returns it with the nodes that it did not wait for although their leases are
+    /// valid, if there is a new one among them.
     fn raise_in_force(&mut self, last_edition: Edition, now: Instant) -> Option<(Edition, Vec<NodeId>)> {
         let in_force = self.leases.raise(last_edition, now);
         let left_behind = self.leases.left_behind();
@@ -85,7 +85,7 @@
         is_new.then(|| (in_force, self.left_behind.clone()))
     }
 
-    /// Every edition committed for longer than the lag limit becomes due.
+    /// Requires every edition committed for longer than the lag limit.
     fn advance_due(&mut self, last_edition: Edition, lag_limit: Span, now: Instant) {
         if self.recent_commits.back().map_or(self.required_edition, |(edition, _)| *edition) < last_edition {
             self.recent_commits.push_back((last_edition, now));
@@ -101,25 +101,25 @@
 }
 
 impl Coordinator {
-    /// Whether this keeper acts as the tail now.
+    /// Whether this keeper currently acts as the tail.
     pub fn tail_is_active(&self, now: Instant) -> bool {
         self.tail.as_ref().is_some_and(|tail| tail.started) && self.may_act_as_tail(now)
     }
 
-    /// Whether a tail with this keeper's view, vote and read lease may act.
+    /// Whether this keeper's view, vote, log and read lease allow it to act as the tail.
     fn may_act_as_tail(&self, now: Instant) -> bool {
         self.is_synced() && !self.sealed() && self.log_is_durable() && now < self.read_until()
     }
 
-    /// Whether all of this tail's log stands on as many disks as must be able to be lost, and one more. The chain
-    /// holds all of it; one that has become too short holds only what was committed before that: a record that
-    /// came later would be gone with the next disk, so it is neither told nor counted until the chain has grown.
+    /// Whether this tail's whole log is on at least tolerance + 1 disks. A full chain guarantees that. A chain that
+    /// has become too short guarantees it only for records committed earlier: a later one would be lost with the next
+    /// disk, so it is neither reported nor committed until the chain has grown.
     fn log_is_durable(&self) -> bool {
         let is_founding = self.view.number == FOUNDING_VIEW;
         is_founding || self.view.takes_writes() || self.log.last().edition <= self.committed
     }
 
-    /// After a view was adopted: go on as its tail, begin as its tail, or hand over.
+    /// After a view change: continues as tail, becomes tail, or hands over.
     pub(crate) fn update_tail_role(&mut self, previous_view: &View, now: Instant) {
         let is_tail = self.view.tail() == Some(self.me.id);
         let follows_directly = self.view.number == previous_view.number.next();
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Goes on as the tail of the next view, under a read lease of that view.
+    /// Continues as the tail of the next view, which needs a read lease of that view.
     fn continue_as_tail(&mut self, mut tail: TailRole) {
         tail.read_lease = ReadLease::default();
         if tail.started {
@@ -144,7 +144,8 @@
         self.tail = Some(tail);
     }
 
-    /// Tells the next tail, if nothing else can act, that this one has stopped; and the nodes where to go.
+    /// Tells the next tail that this one has stopped, if no other tail can be acting, and sends the new view to the
+    /// nodes.
     fn resign_as_tail(&mut self, tail: &TailRole, follows_directly: bool, now: Instant) {
         let may_hand_over = follows_directly && (tail.started || now >= tail.wait_until);
         if let Some(next_tail) = self.view.tail().filter(|_| may_hand_over) {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// The tail before has stopped: there is nothing to wait for.
+    /// The previous tail has stopped, so there is no need to wait for it.
     pub(crate) fn handle_retired(&mut self, _from: NodeId, view: ViewNumber, now: Instant) {
         if view != self.view.number {
             return;
@@ -167,7 +168,8 @@
         }
     }
 
-    /// At the end of every step: begin acting when allowed, push, settle what is pending, appoint.
+    /// Runs at the end of every step: starts acting when allowed, commits, pushes, answers requests and appoints duty
+    /// holders.
     pub(crate) fn run_tail(&mut self, now: Instant) {
         if !self.may_act_as_tail(now) {
             return;
@@ -186,7 +188,7 @@
         self.rotate_claims(now);
     }
 
-    /// The first step as an acting tail: leases granted by earlier tails are counted from here.
+    /// Starts acting. Leases granted by earlier tails are accounted for as if granted now.
     fn start_as_tail(&mut self, now: Instant) {
         let last_edition = self.log.last().edition;
         let Some(tail) = self.tail.as_mut() else { return };
@@ -198,7 +200,7 @@
         self.log_event("tail_begins", format!("view={} edition={last_edition}", self.view.number));
     }
 
-    /// Whatever an acting tail has in its log is committed.
+    /// Commits everything in the log of the acting tail.
     fn commit_log(&mut self, now: Instant) {
         let last_edition = self.log.last().edition;
         let Some(tail) = self.tail.as_mut() else { return };
--- a/crates/coordinator/src/tail/node_views.rs
+++ b/crates/coordinator/src/tail/node_views.rs
@@ -1,13 +1,13 @@
-//! The view as linked nodes know it. A node that loses its tail looks for the next one among the members of
-//! the view it was told last, so it is told each view, also while its tail stays the same.
+//! The view as known to connected nodes. A node that loses its tail looks for the next one among the members of the
+//! last view it received, so it gets every view, even if the tail is unchanged.
 
 use crate::prelude::*;
 
-/// The number of no view that was ever told.
+/// Stands for no view sent yet.
 pub(crate) const NO_VIEW: ViewNumber = ViewNumber(0);
 
 impl Coordinator {
-    /// Tells every linked node the present view, if it was not told yet.
+    /// Sends the current view to every connected node that does not have it.
     pub(crate) fn send_view(&mut self) {
         let view_number = self.view.number;
         let Some(tail) = self.tail.as_mut() else { return };
--- a/crates/coordinator/src/tail/nodes.rs
+++ b/crates/coordinator/src/tail/nodes.rs
@@ -1,8 +1,8 @@
-//! What nodes' agents say to the tail: renewals of leases, counted acknowledgements, claims and demand.
+//! Messages of nodes' agents to the tail: lease renewals, acknowledgements, claims and demand reports.
 
 use crate::prelude::*;
 
-/// A node asks for its lease: what it has applied, and the router behind it.
+/// A lease request: the edition applied, and the node's router.
 struct Renewal {
     sent: Instant,
     applied: Option<Edition>,
@@ -11,14 +11,14 @@
 }
 
 impl TailRole {
-    /// Renews a node's lease, unless it lags behind what is due.
+    /// Renews a node's lease if it has applied the required edition.
     fn renew_lease(&mut self, node: NodeId, known_edition: Option<Edition>, now: Instant) -> bool {
         known_edition.is_some_and(|edition| self.leases.renew(node, edition, self.required_edition, now))
     }
 }
 
 impl Coordinator {
-    /// A node's message; one that comes to a keeper which is not the acting tail is told who that is.
+    /// Handles a node's message. A keeper that is not the acting tail answers with the view, which names the tail.
     pub(crate) fn handle_node(&mut self, node: NodeId, message: AgentToKeeper, now: Instant) {
         if !self.tail_is_active(now) {
             self.send_to_node(node, KeeperToAgent::Membership(self.view.clone()), None);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Grants a lease on a fresh listing alone, to a node that has applied what is due.
+    /// Grants a lease if the listing is fresh and the node has applied the required edition.
     fn handle_renewal(&mut self, node: NodeId, renewal: Renewal, now: Instant) {
         let Renewal { sent, applied, incarnation, router } = renewal;
         let last_edition = self.log.last().edition;
@@ -73,7 +73,7 @@
         self.send_to_node(node, message, Some(read_until));
     }
 
-    /// What nodes with a lease told of the requests on adapters.
+    /// The demand reports of nodes that hold a lease.
     pub(crate) fn heard_demand(&mut self, now: Instant) -> Vec<HeardDemand> {
         let Some(tail) = self.tail.as_mut() else { return Vec::new() };
         let leased = tail.leased_nodes();
@@ -82,8 +82,8 @@
         told.map(|(report, at)| HeardDemand { report: report.clone(), age: now.since(*at) }).collect()
     }
 
-    /// When a core machine was last seen to come or go: this one's own start, a peer's return, or the last
-    /// word of one that is silent.
+    /// When a core machine was last seen to fail or return: this keeper's own start, the return of a peer, or the
+    /// last message of a silent peer.
     pub fn last_liveness_change(&self, now: Instant) -> Instant {
         let of_peers = self.peers.iter().map(|(node, peer)| {
             let is_silent = !self.is_alive(*node, now);
--- a/crates/coordinator/src/tail/pushes.rs
+++ b/crates/coordinator/src/tail/pushes.rs
@@ -1,21 +1,21 @@
-//! Numbered pushes to linked nodes: each node gets every change after the edition it has, or a snapshot.
+//! Numbered pushes to connected nodes: each gets every change after its edition, or a snapshot.
 
 use crate::prelude::*;
 
-/// A linked node: the incarnation of the router behind it, and how far it was told.
+/// What a connected node has been sent, and its router's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PushState {
     pub(crate) incarnation: u64,
-    /// The edition it was pushed last; none if it needs a snapshot.
+    /// The last edition pushed; none if the node needs a snapshot.
     pub(crate) pushed: Option<Edition>,
-    /// The number of the list of routers it was told last.
+    /// The number of the router list sent last.
     pub(crate) routers: u64,
-    /// The number of the view it was told last.
+    /// The number of the view sent last.
     pub(crate) view: ViewNumber,
 }
 
 impl PushState {
-    /// A message for this node was planned and never sent.
+    /// Undoes the progress recorded for a message that was never sent.
     fn roll_back(&mut self, message: &KeeperToAgent) {
         match message {
             KeeperToAgent::Push { number, .. } => {
@@ -25,7 +25,7 @@
             KeeperToAgent::Snapshot { .. } => self.pushed = None,
             KeeperToAgent::Routers(_) => self.routers = NO_ROUTER_LIST,
             KeeperToAgent::Membership(_) => self.view = NO_VIEW,
-            // The rest is asked for again, or said again anyway.
+            // The rest is requested again or sent periodically.
             KeeperToAgent::Granted { .. }
             | KeeperToAgent::NotNow
             | KeeperToAgent::Behind
@@ -34,7 +34,7 @@
     }
 }
 
-/// A change as routers get it: they need no operators' own words.
+/// A change as sent to routers, which do not need the source text of the configuration.
 fn without_source(mut submission: Submission) -> Submission {
     if let Command::Configure(change) = &mut submission.command {
         change.source.clear();
@@ -43,8 +43,8 @@
 }
 
 impl TailRole {
-    /// A renewal tells what a node has: it is pushed from there on if its router began anew, has nothing, or
-    /// has more than it was pushed.
+    /// Updates a node's progress from its renewal: pushes restart there if its router restarted, has no state, or has
+    /// more than was pushed.
     pub(crate) fn record_push_state(&mut self, node: NodeId, incarnation: u64, known_edition: Option<Edition>) {
         let fresh_state = PushState { incarnation, pushed: known_edition, routers: NO_ROUTER_LIST, view: NO_VIEW };
         let place = self.pushed.entry(node).or_insert(fresh_state);
@@ -55,7 +55,7 @@
 }
 
 impl Coordinator {
-    /// Pushes to every linked node what it lacks.
+    /// Pushes the missing changes to every connected node.
     pub(crate) fn push_changes(&mut self, now: Instant, read_until: Instant) {
         let last_edition = self.log.last().edition;
         let Some(tail) = self.tail.as_mut() else { return };
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The changes after an edition, or a snapshot if the log does not reach back to it.
+    /// The changes after an edition, or a snapshot if the log does not reach back that far.
     fn changes_after(&self, pushed: Option<Edition>, now: Instant) -> Vec<KeeperToAgent> {
         match pushed.and_then(|edition| self.log.after(edition)) {
             Some(records) => records.into_iter().map(|record| self.push_of(record, now)).collect(),
@@ -92,7 +92,7 @@
         KeeperToAgent::Snapshot { state: Box::new(self.log.state().without_claims()), gave_way }
     }
 
-    /// What was dropped is pushed again from there on, as soon as this tail acts.
+    /// Rolls a node's progress back to before the dropped messages, so that the acting tail sends them again.
     pub(crate) fn roll_back(&mut self, node: NodeId, messages: &[KeeperToAgent]) {
         let Some(place) = self.tail.as_mut().and_then(|tail| tail.pushed.get_mut(&node)) else { return };
         for message in messages {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A node's link ended.
+    /// Forgets the progress of a node whose connection ended.
     pub(crate) fn forget_node(&mut self, node: NodeId) {
         if let Some(tail) = &mut self.tail {
             tail.pushed.remove(&node);
--- a/crates/coordinator/src/tail/read_lease.rs
+++ b/crates/coordinator/src/tail/read_lease.rs
@@ -1,15 +1,15 @@
-//! The read lease: a tail acts only while a majority of its view's voters has agreed within the lease.
+//! The read lease: a tail acts only while a majority of its view's voters has granted it within the lease duration.
 
 use crate::prelude::*;
 
 impl Coordinator {
-    /// Until when the read lease lasts; an instant long past without one.
+    /// When the read lease expires; an instant in the past if there is none.
     pub(crate) fn read_until(&self) -> Instant {
         let Some(tail) = &self.tail else { return Instant(0) };
         tail.read_lease.until(&self.view.voters, self.view.majority())
     }
 
-    /// Asks every voter for the read lease.
+    /// Requests the read lease from every voter.
     pub(crate) fn ask_read_lease(&mut self, now: Instant) {
         if self.tail.is_none() || self.sealed() {
             return;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The voter's side: agrees unless it has promised its vote to a next view.
+    /// Grants a read lease, as a voter, unless the vote is promised to a next view.
     pub(crate) fn handle_read_lease_ask(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
         let agrees = view == self.view.number
             && self.view.tail() == Some(from)
@@ -30,7 +30,7 @@
         }
     }
 
-    /// One voter agreed; the lease counts from when it was asked.
+    /// Records a voter's grant; the lease counts from when the request was sent.
     pub(crate) fn handle_read_lease_given(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
         if view == self.view.number
             && let Some(tail) = &mut self.tail
--- a/crates/coordinator/src/tail/router_list.rs
+++ b/crates/coordinator/src/tail/router_list.rs
@@ -1,27 +1,27 @@
-//! The list of routers that hold leases, told to every linked node.
+//! The list of routers that hold leases, sent to every connected node.
 
 use crate::prelude::*;
 
-/// The number of no list of routers that was ever told.
+/// Stands for no list sent yet.
 pub(crate) const NO_ROUTER_LIST: u64 = 0;
-/// A list that changed goes out once nothing more came for so long: a tail that begins hears of its routers one
-/// by one, and those of a list that is not whole yet would take over what the others read.
+/// A changed list is sent once it has been stable for this long. Routers connect to a new tail one by one, and those
+/// on a partial list would take over what the others read.
 const SETTLE_PERIOD: Span = Span::millis(1000);
-/// A list that goes on changing goes out after so long all the same.
+/// A list that keeps changing is sent after this time at the latest.
 const MAX_DELAY: Span = Span::millis(3000);
 
-/// The routers behind linked nodes, and the list of them as it was told last.
+/// The routers of connected nodes, and the list sent last.
 #[derive(Clone, Debug)]
 pub(crate) struct RouterList {
     by_node: BTreeMap<NodeId, RouterAddress>,
     told: Vec<RouterAddress>,
-    /// The number of the list told last; it grows with each change.
+    /// The number of the last list sent; it grows with each change.
     number: u64,
-    /// The change that was not told yet, if there is one.
+    /// The change not sent yet, if any.
     unsent: Option<UnsentChange>,
 }
 
-/// Since when the routers differ from the list told last, and when they last changed.
+/// When the routers first and last changed since the last list was sent.
 #[derive(Clone, Copy, Debug)]
 struct UnsentChange {
     since: Instant,
@@ -35,7 +35,7 @@
 }
 
 impl RouterList {
-    /// Notes the router behind a node, or that there is none.
+    /// Sets or removes the router of a node.
     pub(crate) fn set_router(&mut self, node: NodeId, router: Option<RouterAddress>, now: Instant) {
         if self.by_node.get(&node) == router.as_ref() {
             return;
@@ -52,7 +52,8 @@
         self.unsent = Some(UnsentChange { since, latest: now });
     }
 
-    /// Other nodes with the same callers' address: what they were has ended, or is the same router.
+    /// Other nodes whose router has the same address for callers: an earlier instance, which has ended, or the same
+    /// router.
     pub(crate) fn same_address(&self, node: NodeId, router: Option<&RouterAddress>) -> Vec<NodeId> {
         let Some(router) = router.filter(|router| !router.address.is_empty()) else { return Vec::new() };
         let others = self.by_node.iter().filter(|(other, _)| **other != node);
@@ -60,7 +61,7 @@
         same.map(|(other, _)| *other).collect()
     }
 
-    /// Drops the routers without a lease, and makes of the others the next list once they have settled.
+    /// Removes routers without a lease, and updates the list once the changes have settled.
     fn refresh(&mut self, leased: &BTreeSet<NodeId>, now: Instant) {
         let count = self.by_node.len();
         self.by_node.retain(|node, _| leased.contains(node));
@@ -81,7 +82,7 @@
 }
 
 impl Coordinator {
-    /// Tells every linked node which routers serve, if it was not told this list.
+    /// Sends the list of routers to every connected node that does not have it.
     pub(crate) fn send_router_list(&mut self, now: Instant, read_until: Instant) {
         let Some(tail) = self.tail.as_mut() else { return };
         let leased = tail.leased_nodes();
--- a/crates/coordinator/src/tail/settlements.rs
+++ b/crates/coordinator/src/tail/settlements.rs
@@ -1,35 +1,35 @@
-//! Requests that wait for their settlement: a keeper is answered once the change is in force on every node
-//! that may serve, a node once it is committed.
+//! Requests that wait for their outcome. A keeper is answered once the change is in force on every node that may
+//! serve, a node once it is committed.
 
 use crate::prelude::*;
 
-/// How long a request is kept after it was last asked about.
+/// How long a request is kept after it was last queried.
 const PENDING_TIMEOUT: Span = Span::seconds(2);
 
-/// Who waits for a settlement.
+/// Who waits for an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Requester {
-    /// A keeper, for an operator; until the change is in force.
+    /// A keeper on behalf of an operator; waits until the change is in force.
     Keeper(KeeperIncarnation),
-    /// A node; until the change is committed.
+    /// A node; waits until the change is committed.
     Node(NodeId),
 }
 
-/// A request whose settlement somebody waits for.
+/// A request whose requester waits for the outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) from: Requester,
-    /// The requester's own number of it.
+    /// The requester's own identifier for it.
     pub(crate) ticket: u64,
     pub(crate) request: RequestId,
-    /// What was submitted under the request's id.
+    /// The fingerprint of the command submitted under the request id.
     pub(crate) fingerprint: Option<BlockHash>,
-    /// When it was asked about last.
+    /// When it was last queried.
     pub(crate) since: Instant,
 }
 
 impl TailRole {
-    /// A keeper asks about a request, for the first time or again.
+    /// Registers a keeper's query about a request, or refreshes the one registered.
     pub(crate) fn await_settlement(&mut self, asked: PendingRequest) {
         let is_same = |pending: &&mut PendingRequest| pending.from == asked.from && pending.ticket == asked.ticket;
         match self.pending.iter_mut().find(is_same) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether an outcome may be told: a change that was taken, to a keeper, only once it is in force.
+    /// Whether an outcome may be sent: an accepted change is reported to a keeper only once it is in force.
     fn may_answer_with(&self, from: Requester, outcome: &Settled, now: Instant) -> bool {
         match (from, outcome) {
             (Requester::Keeper(_), Settled::Taken(edition)) => {
@@ -50,7 +50,7 @@
 }
 
 impl Coordinator {
-    /// Answers what is settled and may be told; what nobody asked about for long is forgotten.
+    /// Answers all requests with a final outcome, and drops those not queried for a long time.
     pub(crate) fn settle_pending(&mut self, now: Instant, read_until: Instant) {
         let Some(tail) = self.tail.as_mut() else { return };
         let mut answered = Vec::new();
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Takes what this keeper, as the tail, has said to itself in this step.
+    /// Handles the messages that this keeper, as the tail, sent to itself in this step.
     pub(crate) fn process_inbox(&mut self) {
         while let Some(message) = self.inbox.pop_front() {
             match message {
--- a/crates/coordinator/src/view_changes.rs
+++ b/crates/coordinator/src/view_changes.rs
@@ -1,11 +1,11 @@
-//! The view part: suspecting, campaigning, voting, adopting.
+//! View changes: failure suspicion, campaigns, voting and adoption.
 
 use crate::prelude::*;
 
 const RANK_DELAY: Span = Span::millis(200);
 const SEAL_TIMEOUT: Span = Span::millis(600);
 const CAMPAIGN_TIMEOUT: Span = Span::millis(500);
-/// How long a member may be heard and yet not do its part.
+/// How long a reachable member may make no progress.
 const STALL_TIMEOUT: Span = Span::millis(4000);
 
 impl Coordinator {
@@ -105,14 +105,14 @@
         self.campaign = Some(campaign);
     }
 
-    /// How many living voters stand before this one.
+    /// The number of live voters listed before this one.
     fn rank(&self, now: Instant) -> u64 {
         let voters_before = self.view.voters.iter().take_while(|voter| **voter != self.me.id);
         voters_before.filter(|voter| self.is_alive(**voter, now)).count() as u64
     }
 
-    /// Notes since when a member that is heard does not do its part: our successor that stays behind us,
-    /// or a tail that does not act.
+    /// Tracks since when a reachable member makes no progress: a successor that lags behind, or a tail that does not
+    /// act.
     pub(crate) fn track_stalls(&mut self, from: NodeId, status: &KeeperStatus, now: Instant) {
         let is_successor = self.view.after(self.me.id) == Some(from);
         let is_behind = status.synced_view != self.view.number || status.last.edition < self.log.last().edition;
@@ -127,14 +127,14 @@
         };
     }
 
-    /// A chain member that is heard, but cannot hear most voters, or has long not done its part.
+    /// Whether a member is this keeper's predecessor or successor in the chain.
     pub(crate) fn is_neighbour(&self, member: NodeId) -> bool {
         let me = self.me.id;
         self.view.before(me) == Some(member) || self.view.after(me) == Some(member)
     }
 
-    /// Whether most voters hear a keeper, by their own word: then our not hearing it is a matter of one
-    /// way between us, which only neighbours in the chain need.
+    /// Whether a majority of voters report hearing a keeper. If so, only the link to this keeper is broken, which
+    /// matters only between neighbours in the chain.
     pub(crate) fn is_heard_by_majority(&self, member: NodeId, now: Instant) -> bool {
         let hears_it = |voter: &NodeId| match *voter == self.me.id {
             true => self.is_alive(member, now),
@@ -146,7 +146,8 @@
         self.view.voters.iter().filter(|voter| hears_it(voter)).count() >= self.view.majority()
     }
 
-    /// A newcomer must hear every living chain member and be heard by every one: any may become its neighbour.
+    /// Whether a keeper and all live chain members hear each other, as required of a new member: any of them may
+    /// become its neighbour.
     pub(crate) fn has_mutual_links(&self, node: NodeId, status: &KeeperStatus, now: Instant) -> bool {
         self.view.chain.iter().filter(|member| self.is_alive(**member, now)).all(|member| {
             let is_heard = match *member == self.me.id {
@@ -157,6 +158,7 @@
         })
     }
 
+    /// Whether a reachable chain member cannot hear most voters, or has made no progress for a long time.
     pub(crate) fn is_unhealthy(&self, member: NodeId, now: Instant) -> bool {
         if member == self.me.id {
             return false;
@@ -169,7 +171,7 @@
         hears_too_few || is_stalled
     }
 
-    /// Whether the present view should give way, as this voter sees it.
+    /// Whether this voter should campaign to replace the current view.
     fn should_change_view(&self, now: Instant) -> bool {
         if !self.has_view() || !self.view.votes(self.me.id) || self.alive_voters(now) < self.view.majority() {
             return false;
--- a/crates/coordinator/src/view_composition.rs
+++ b/crates/coordinator/src/view_composition.rs
@@ -1,30 +1,29 @@
-//! What the next view is made of: who of the chain stays, who joins, whose seat is given up; and that as many
-//! disks as must be able to be lost, and one more, keep what was committed.
+//! Composition of the next view: which chain members stay, which keeper joins and which seat is removed, such that at
+//! least tolerance + 1 disks keep everything committed.
 
 use crate::prelude::*;
 
 const STABLE_PERIOD: Span = Span::millis(1000);
-/// A seat that stays empty is given up after so many times the span after which a spare may take it.
+/// A vacant seat is removed after this many times the period after which a spare may take it.
 const REMOVE_VOTER_FACTOR: u64 = 4;
-/// A core that has fewer voters takes newcomers quickly, whatever size it may grow to.
+/// A core with fewer voters admits new keepers quickly, whatever its configured size.
 const SMALL_CORE_VOTERS: usize = 4;
 const MAX_JOIN_LAG: u64 = 64;
 
-/// A change of the view that nothing forces.
+/// A membership change that no failure requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MembershipChange {
-    /// A voter that is back, or a spare, into the chain.
+    /// Adds a returning voter, or a spare, to the chain.
     Join(NodeId),
-    /// A spare in the seat of a voter that stays dead.
+    /// Gives the seat of a failed voter to a spare.
     Replace { dead: NodeId, spare: NodeId },
-    /// The seat of a voter that stays dead is given up.
+    /// Removes the seat of a failed or leaving voter.
     RemoveVoter(NodeId),
 }
 
 impl Coordinator {
-    /// The next view: the living members of the chain in their old order, begun by one that surely
-    /// holds all that was committed, and at most one newcomer. `promised` are the voters that take no more part in
-    /// the present view, and where their logs end.
+    /// The next view: live chain members in their current order, headed by one that holds everything committed, and
+    /// at most one new member. `promised` has the log ends of voters that no longer take part in the current view.
     pub(crate) fn compose(&self, next: ViewNumber, promised: &BTreeMap<NodeId, Mark>, now: Instant) -> Option<View> {
         let (mut chain, membership_change) = self.next_chain(promised, now)?;
         let mut voters = self.view.voters.clone();
@@ -62,9 +61,9 @@
         })
     }
 
-    /// The chain of the next view before its newcomer, and what else changes. The first of these that keeps
-    /// enough copies of what was committed: without members that leave or do not do their part, without those
-    /// that do not do their part, without the dead alone.
+    /// The next chain without its new member, and the membership change. Takes the first candidate that keeps enough
+    /// copies of the committed records: without leaving and unhealthy members, without unhealthy ones, without failed
+    /// ones only.
     fn next_chain(
         &self,
         promised: &BTreeMap<NodeId, Mark>,
@@ -97,8 +96,8 @@
         Some((chain, membership_change))
     }
 
-    /// A chain that begins with a member that holds all that was committed, if enough of its members do. Besides its
-    /// own, a voter counts that is to join it and has the same log.
+    /// Moves a member that holds everything committed to the head, if enough members hold a complete log. A voter
+    /// that is about to join with the same log counts as well.
     fn with_enough_copies(
         &self,
         chain: Vec<NodeId>,
@@ -118,8 +117,8 @@
         Some(std::iter::once(first_complete).chain(others).collect())
     }
 
-    /// Whether the chain could be mended now, as far as keepers' news tell: a vote that comes to nothing would
-    /// only hold everybody up.
+    /// Whether a next view can be composed, judging by the keepers' heartbeats. A campaign that cannot succeed would
+    /// only block the chain.
     pub(crate) fn can_compose(&self, now: Instant) -> bool {
         let voters = self.view.voters.iter().copied().filter(|voter| self.is_alive(*voter, now));
         let expected = voters.filter_map(|voter| Some((voter, self.log_end(voter)?))).collect();
@@ -134,8 +133,8 @@
         }
     }
 
-    /// Whether a chain member holds all that was committed, by its own word: it stood in the chain of every view
-    /// since it was level. Of a keeper outside the chain that word tells nothing of the present view.
+    /// Whether a chain member reports that it holds everything committed, having been in the chain of every view
+    /// since it was synced. The report of a keeper outside the chain says nothing about the current view.
     pub(crate) fn holds_all_committed(&self, member: NodeId) -> bool {
         let complete_view = match member == self.me.id {
             true => Some(self.complete_view),
@@ -144,8 +143,8 @@
         self.view.in_chain(member) && complete_view == Some(self.view.number)
     }
 
-    /// Whether a member holds all that was committed: it stood in the chain all the time, or it has promised and its
-    /// log ends where that of such a member does, which takes no more part in the present view.
+    /// Whether a member's log is complete: it was in the chain all the time, or it has promised its vote and its log
+    /// ends where that of such a member does, which has promised as well and so no longer takes part in this view.
     fn has_complete_log(&self, member: NodeId, promised: &BTreeMap<NodeId, Mark>) -> bool {
         let Some(own_end) = promised.get(&member) else { return self.holds_all_committed(member) };
         let same_log_end = |(other, end): (&NodeId, &Mark)| {
@@ -154,13 +153,14 @@
         self.holds_all_committed(member) || promised.iter().any(same_log_end)
     }
 
-    /// A core still below its size takes newcomers quickly, and so does a chain that is too short to serve.
+    /// How long the core must be stable before it admits a member; short for a core below its size and for a chain
+    /// that is too short to accept writes.
     pub(crate) fn stability_period(&self) -> Span {
         let is_small = self.view.voters.len() < self.settings.core_size.min(SMALL_CORE_VOTERS);
         if is_small || !self.view.takes_writes() { HEARTBEAT_INTERVAL } else { STABLE_PERIOD }
     }
 
-    /// What the steady core would gladly change, one seat at a time.
+    /// The next membership change of a stable core, one seat at a time.
     pub(crate) fn membership_change(&self, now: Instant) -> Option<MembershipChange> {
         let may_join = |node: NodeId| {
             let Some(peer) = self.peers.get(&node) else { return false };
@@ -198,19 +198,19 @@
         Some(MembershipChange::Replace { dead, spare })
     }
 
-    /// Whether a keeper answers at the address that a voter had: it is that voter's machine, without its disk.
+    /// Whether a keeper has the address of a voter: it is that voter's machine with an empty disk.
     fn has_address_of(&self, node: NodeId, voter: NodeId) -> bool {
         let address = self.known_members.get(&node).map(|member| &member.address);
         address.is_some() && address == self.view.member(voter).map(|member| &member.address)
     }
 
-    /// Whether one voter fewer would bear as many losses: an even number of them bears no more than that.
+    /// Whether one voter fewer would tolerate as many failures, which is so for an even number of voters.
     pub(crate) fn can_remove_voter(&self) -> bool {
         let least_voters = 2 * self.view.tolerance as usize + 1;
         self.view.voters.len().is_multiple_of(2) && self.view.voters.len() > least_voters
     }
 
-    /// An empty seat that can be spared is given up.
+    /// Removes a vacant seat that is not needed for the tolerance.
     fn vacant_seat_removal(&self, now: Instant) -> Option<MembershipChange> {
         if !self.settings.automatic_size || !self.can_remove_voter() {
             return None;
@@ -221,8 +221,8 @@
     }
 }
 
-/// A newcomer sits before the tail, so that the tail, with all its leases, stays; only a chain of one,
-/// whose member must stay the head, gets a new tail.
+/// Inserts a new member before the tail, which thereby keeps its leases. In a chain of one, whose member must stay
+/// the head, the new member becomes the tail.
 fn insert_before_tail(chain: &mut Vec<NodeId>, newcomer: NodeId) {
     let place = if chain.len() < 2 { chain.len() } else { chain.len() - 1 };
     chain.insert(place, newcomer);
--- a/crates/coordinator/tests/addressing.rs
+++ b/crates/coordinator/tests/addressing.rs
@@ -1,4 +1,4 @@
-//! A message between keepers counts for the incarnation of the keeper it was meant for, and for no other that gets it.
+//! A message between keepers is handled only by the incarnation to which it is addressed.
 
 mod common;
 
@@ -17,7 +17,7 @@
     Member { id, address: format!("{id}:1"), door: format!("{id}:2"), zone: "a".into() }
 }
 
-/// The tail of a chain of three, in some incarnation of its process.
+/// The tail of a chain of three.
 fn tail_with_incarnation(incarnation: u64) -> Coordinator {
     let view = View {
         fleet: FleetId(1),
@@ -42,7 +42,7 @@
     Input::Peer(Envelope { fleet, from: peer_incarnation(OTHER), to, message })
 }
 
-/// A voter's word, given to an asking of long after `START`, as one of a incarnation before a reboot can be.
+/// A read lease grant for a request sent long after `START`, as an incarnation before a reboot can have sent it.
 fn read_lease_from_the_future() -> CoreMessage {
     CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START + Span::seconds(3600) }
 }
@@ -102,7 +102,7 @@
     assert_eq!(keeper.misdirected(), 3);
 }
 
-/// Whoever sends to an earlier incarnation is told of this one, and then sends to it.
+/// A keeper that sends to an earlier incarnation receives the current one's status and then sends to that.
 #[test]
 fn a_keeper_that_began_again_is_known_after_one_exchange() {
     let (mut first, mut second) = (tail_with_incarnation(INCARNATION), tail_with_incarnation(INCARNATION + 1));
@@ -119,7 +119,7 @@
     assert!(matches!(told.message, CoreMessage::Heartbeat(_)));
 }
 
-/// The answer goes to the incarnation that asked, not to one that was heard since.
+/// The answer goes to the incarnation that asked, not to the one heard last.
 #[test]
 fn an_answer_names_the_life_that_asked() {
     let mut tail = tail_with_incarnation(INCARNATION);
@@ -145,7 +145,8 @@
     assert_eq!(answered, [Some(asked_in)]);
 }
 
-/// A sender that goes on under a wrong name is answered at the pace of pulses: an answer makes it send again.
+/// Replies to misdirected messages are limited to one per heartbeat interval, since each reply makes the sender send
+/// again.
 #[test]
 fn misdirected_messages_are_not_each_answered() {
     let mut keeper = tail_with_incarnation(INCARNATION);
--- a/crates/coordinator/tests/ages.rs
+++ b/crates/coordinator/tests/ages.rs
@@ -1,5 +1,5 @@
-//! A member that is brought level learns how long ago things were committed, and passes it on: a new tail
-//! that knew no ages would have every router give up the old weights at once.
+//! A member that catches up learns how long ago records were committed and passes that on. A new tail without these
+//! ages would make every router drop the old weights at once.
 
 mod common;
 
@@ -30,14 +30,14 @@
     };
     let kept = PersistedState { view: Some(view), ..PersistedState::default() };
     let mut coordinator = Coordinator::restore(member(MIDDLE), kept, CoordinatorSettings::default(), 1, START);
-    // The head is heard, though it could level nobody yet.
+    // The head is known, but cannot serve catch-up requests yet.
     let status = KeeperStatus { synced_view: ViewNumber(1), tail_active: false, ..status_of(&coordinator, HEAD) };
     let input = from_keeper(&coordinator, HEAD, CoreMessage::Heartbeat(status));
     coordinator.step(input, START);
     coordinator
 }
 
-/// What the effects say to a member about its level.
+/// The chain messages that the effects send to a member.
 fn chain_messages(effects: &[Effect], to: NodeId) -> Vec<ChainMessage> {
     let sent = sent_to(effects, to).into_iter().filter_map(|message| match message {
         CoreMessage::Chain(message) => Some(message),
@@ -46,7 +46,7 @@
     sent.collect()
 }
 
-/// The nonce under which the member asks the head to be brought level.
+/// The nonce of the catch-up request sent to the head.
 fn catch_up_nonce(effects: &[Effect]) -> Option<u64> {
     chain_messages(effects, HEAD).into_iter().find_map(|message| match message {
         ChainMessage::Have { nonce, .. } => Some(nonce),
@@ -68,7 +68,7 @@
     from_keeper(coordinator, HEAD, CoreMessage::Chain(message))
 }
 
-/// The ages with which the member levels its successor.
+/// The ages that the member sends to its successor for catch-up.
 fn ages_sent_to_successor(coordinator: &mut Coordinator, now: Instant) -> Option<Ages> {
     let have = ChainMessage::Have { view: VIEW, last: Mark::default(), nonce: 5 };
     let input = from_keeper(coordinator, TAIL, CoreMessage::Chain(have));
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -1,24 +1,24 @@
-//! What tests of the coordinator share: keepers' messages as they arrive from the network.
+//! Shared test helpers: messages of other keepers as they arrive from the network.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 use coordinator::prelude::*;
 use units::prelude::*;
 
-/// The incarnation of every keeper that a test plays itself.
+/// The incarnation of every keeper that a test simulates.
 pub const PEER_INCARNATION: u64 = 1;
 
 pub fn peer_incarnation(id: NodeId) -> KeeperIncarnation {
     KeeperIncarnation { id, incarnation: PEER_INCARNATION }
 }
 
-/// A message of a keeper, addressed to the incarnation that the coordinator has now.
+/// A keeper's message addressed to the coordinator's current incarnation.
 pub fn from_keeper(coordinator: &Coordinator, from: NodeId, message: CoreMessage) -> Input {
     let to = Some(coordinator.own_incarnation()).filter(|_| !message.is_broadcast());
     Input::Peer(Envelope { fleet: coordinator.view().fleet, from: peer_incarnation(from), to, message })
 }
 
-/// What a keeper says that stands where the coordinator does, and hears everybody of its view.
+/// The status of a keeper in the same view and at the same log position as the coordinator, which hears all voters.
 pub fn status_of(coordinator: &Coordinator, from: NodeId) -> KeeperStatus {
     let view = coordinator.view();
     let address = format!("{from}:1");
@@ -37,14 +37,14 @@
     }
 }
 
-/// Has the coordinator hear a keeper, so that it knows which incarnation of it to answer.
+/// Delivers a keeper's status, so that the coordinator knows which incarnation to reply to.
 pub fn deliver_status(coordinator: &mut Coordinator, from: NodeId, now: Instant) -> Vec<Effect> {
     let status = CoreMessage::Heartbeat(status_of(coordinator, from));
     let input = from_keeper(coordinator, from, status);
     coordinator.step(input, now)
 }
 
-/// What the effects send to a keeper, whichever incarnation of it.
+/// The messages that the effects send to any incarnation of a keeper.
 pub fn sent_to(effects: &[Effect], to: NodeId) -> Vec<CoreMessage> {
     let sent = effects.iter().filter_map(|effect| match effect {
         Effect::Send { envelope, .. } if envelope.to.is_some_and(|told| told.id == to) => Some(&envelope.message),
@@ -53,10 +53,10 @@
     sent.cloned().collect()
 }
 
-/// When the tests of this package begin.
+/// The start time of the tests.
 pub const START: Instant = Instant(1_000_000_000);
 
-/// A keeper that is alone and acts as the tail; it has heard the read lease it gave itself.
+/// A single keeper that acts as the tail, with a read lease granted by its own vote.
 pub fn acting_tail() -> (Coordinator, Instant) {
     let address = "k".to_owned();
     let me = Member { id: NodeId(1), door: address.clone(), address, zone: Zone("z".into()) };
--- a/crates/coordinator/tests/dispatch.rs
+++ b/crates/coordinator/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! What a plan held for a node and came too late to be sent is known to the tail, and planned anew.
+//! A message to a node that expired before it was sent is reported to the tail and sent again.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 const NODE: NodeId = NodeId(100);
 const OTHER: NodeId = NodeId(101);
-/// By then a list of routers that has not changed meanwhile was told.
+/// An unchanged list of routers has been sent within this time.
 const ROUTER_LIST_SENT_WITHIN: Span = Span::millis(1400);
 
 fn tell(node: NodeId, number: u64, until: Option<Instant>) -> Effect {
@@ -42,7 +42,7 @@
     number.0
 }
 
-/// What a plan tells the node that a router can only do with whole.
+/// The messages to the node that it must not miss.
 fn told(plan: &[Effect]) -> Vec<&'static str> {
     let messages = plan.iter().filter_map(|effect| match effect {
         Effect::SendToNode { node: NODE, message, .. } => Some(message),
@@ -107,8 +107,8 @@
     assert_eq!(told(&coordinator.step(not_sent(plan), now)), [""; 0]);
 }
 
-/// The members of the views that a plan tells the node.
-fn receivers(plan: &[Effect]) -> Vec<Vec<NodeId>> {
+/// The members of each view that the effects send to the node.
+fn told_members(plan: &[Effect]) -> Vec<Vec<NodeId>> {
     let views = plan.iter().filter_map(|effect| match effect {
         Effect::SendToNode { node: NODE, message: KeeperToAgent::Membership(view), .. } => Some(view),
         _ => None,
@@ -121,7 +121,7 @@
     let (mut coordinator, now) = acting_tail();
     let renewal = AgentToKeeper::Renew { sent: now, applied: None, incarnation: 1, router: None };
     let plan = coordinator.step(Input::Node { node: NODE, message: renewal }, now);
-    assert_eq!(receivers(&plan), [[NodeId(1)]], "on its first renewal, though this is the tail");
+    assert_eq!(told_members(&plan), [[NodeId(1)]], "on its first renewal, though this is the tail");
     let newcomer = Member { id: NodeId(2), door: "n".into(), address: "n".into(), zone: Zone("z".into()) };
     let mut next_view = coordinator.view().clone();
     next_view.number = next_view.number.next();
@@ -130,11 +130,11 @@
     let input = from_keeper(&coordinator, NodeId(2), decided);
     let mut plan = coordinator.step(input, now);
     let mut later = now;
-    while receivers(&plan).is_empty() {
+    while told_members(&plan).is_empty() {
         later = later + HEARTBEAT_INTERVAL;
         assert!(later < now + Span::seconds(5), "it is never told");
         plan = coordinator.step(Input::Tick, later);
     }
-    assert_eq!(receivers(&plan), [[NodeId(1), NodeId(2)]]);
+    assert_eq!(told_members(&plan), [[NodeId(1), NodeId(2)]]);
     assert_eq!(told(&coordinator.step(Input::Tick, later)), [""; 0], "once");
 }
--- a/crates/coordinator/tests/duties.rs
+++ b/crates/coordinator/tests/duties.rs
@@ -1,4 +1,4 @@
-//! A lease on duties counts for the keeper alone that asked for it, not for an empty one in its place.
+//! A duty lease is valid only for the keeper that requested it, not for an empty keeper at its address.
 
 mod common;
 
@@ -17,7 +17,7 @@
     Member { id, address: format!("{id}:1"), door: format!("{id}:2"), zone: "a".into() }
 }
 
-/// A keeper that starts in a view whose chain is the holder and the tail.
+/// A keeper started in a view whose chain is the holder and the tail.
 fn keeper(id: NodeId) -> Coordinator {
     let view = View {
         fleet: FleetId(1),
@@ -31,7 +31,7 @@
     Coordinator::restore(member(id), kept, CoordinatorSettings::default(), 1, START)
 }
 
-/// Whether a keeper takes itself for the conductor after a lease for it came that was asked for at an instant.
+/// Whether a keeper holds the conductor duty after receiving a lease grant for a request sent at `sent`.
 fn holds_conductor_lease_after(keeper: &mut Coordinator, sent: Instant) -> bool {
     let message = CoreMessage::DutyLeaseGranted { sent, duties: vec![(DutyKind::Conductor, Term(1))] };
     let now = START + Span::millis(100);
--- a/crates/coordinator/tests/exhaustive.rs
+++ b/crates/coordinator/tests/exhaustive.rs
@@ -1,10 +1,10 @@
-//! All that can happen to a core of three within stated bounds: every order of the messages that vote, number and
-//! bring level, with ends and starts of keepers, a lost disk, lost streams and the passing of time between any two
-//! of them. The machines are the product's own; states met before are not gone through again.
+//! Exhaustive exploration of a core of three within bounds: every order of the messages for voting, numbering and
+//! catch-up, interleaved with stops and starts of keepers, a lost disk, dropped connections and the passing of time.
+//! It runs the production state machines and visits each state once.
 //!
-//! Bounds: news, read leases and questions arrive at once where both ends run (they are told again at every pulse
-//! anyway); messages between two keepers keep their order; time passes in steps of `TICK`, at which every keeper
-//! that runs pulses. `EXHAUSTIVE_STATES` sets how many states are gone through at the most.
+//! Bounds: heartbeats, read leases and queries are delivered at once if both ends run (they are repeated with every
+//! heartbeat anyway); messages between two keepers keep their order; time passes in steps of `TICK`, at which every
+//! running keeper ticks. `EXHAUSTIVE_STATES` limits the number of states visited.
 
 use coordinator::prelude::*;
 use std::collections::hash_map::DefaultHasher;
@@ -15,12 +15,12 @@
 const KEEPERS: usize = 3;
 const START: Instant = Instant(1_000_000_000_000);
 const TICK: Span = Span::millis(250);
-/// Enough in a run of the tests; the search says when it was not enough for its bounds.
+/// Used unless `EXHAUSTIVE_STATES` is set; the output says whether the search was complete.
 const DEFAULT_MAX_STATES: usize = 100_000;
-/// The ids of keepers that come in the place of lost ones.
+/// The first id for keepers that replace ones with lost disks.
 const FIRST_NEW_ID: u64 = 100;
 
-/// What may still happen.
+/// How many events of each kind may still happen.
 #[derive(Clone, Copy, Debug, Hash)]
 struct EventBudget {
     ticks: u32,
@@ -38,7 +38,7 @@
     running: Option<Coordinator>,
 }
 
-/// One thing that happens.
+/// One step of the explored schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
     Delivered { from: usize, to: usize },
@@ -57,7 +57,7 @@
     streams: BTreeMap<(usize, usize), VecDeque<Envelope>>,
     budget: EventBudget,
     next_id: u64,
-    /// What acting tails had in their logs, by record.
+    /// The records seen in the logs of acting tails.
     committed: BTreeMap<Edition, RequestId>,
     views: BTreeMap<ViewNumber, (Vec<NodeId>, Vec<NodeId>)>,
 }
@@ -86,13 +86,14 @@
     }
 }
 
-/// Whether a message waits in its stream, to arrive before or after anything else.
+/// Whether a message is queued, so that it may be delivered before or after any other event; others are delivered at
+/// once.
 fn has_variable_delivery(message: &CoreMessage) -> bool {
     matches!(message, CoreMessage::View(_) | CoreMessage::Chain(_) | CoreMessage::Submit(_))
 }
 
 impl Core {
-    /// A core of three whose chain is whole and whose tail acts.
+    /// A core of three with a full chain and an acting tail.
     fn formed(budget: EventBudget) -> Core {
         let machines = (0..KEEPERS).map(|place| Machine {
             id: NodeId(place as u64 + 1),
@@ -154,7 +155,7 @@
         self.streams.retain(|(from, to), _| *from != place && *to != place);
     }
 
-    /// All that may happen next.
+    /// All events that may happen next.
     fn possible_events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for (from, to) in self.open_streams() {
@@ -228,7 +229,7 @@
         Ok(())
     }
 
-    /// Steps a keeper and all that hears of it at once.
+    /// Steps a keeper, and every keeper that receives one of its immediately delivered messages.
     fn feed(&mut self, place: usize, input: Input) -> Result<(), String> {
         let mut inputs = VecDeque::from([(place, input)]);
         while let Some((place, input)) = inputs.pop_front() {
@@ -274,7 +275,7 @@
         check_single_active_tail(&self.acting_tails())
     }
 
-    /// Equal for states from which the same can happen.
+    /// A hash that is equal for states with the same possible continuations.
     fn key(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.now.hash(&mut hasher);
@@ -305,7 +306,7 @@
     if tails.len() > 1 { Err(format!("tails {tails:?} act at once")) } else { Ok(()) }
 }
 
-/// An acting tail has every record that one before it had, and counts what it has besides.
+/// An acting tail must have every record that an earlier acting tail had; its further records become committed.
 fn check_committed_records_kept(
     mut committed: BTreeMap<Edition, RequestId>,
     state: &FleetState,
@@ -327,7 +328,7 @@
     Ok(committed)
 }
 
-/// What a search came to.
+/// The result of a search.
 #[derive(Debug)]
 struct Found {
     states: usize,
@@ -335,7 +336,7 @@
     broken: Option<(String, Vec<Event>)>,
 }
 
-/// Goes through all states that the budget allows, deepest first, up to a number of them.
+/// Depth-first search of all states within the budget, up to `max_states`.
 fn explore(budget: EventBudget, max_states: usize) -> Found {
     let mut met = HashSet::new();
     let mut open = vec![(Core::formed(budget), Vec::new())];
@@ -391,7 +392,7 @@
     assert_holds("an end, a lost disk, a change", EventBudget { ticks: 5, ends: 1, lost_disks: 1, ..NOTHING });
 }
 
-/// Each invariant complains of what it is there for.
+/// Each invariant check detects its violation.
 #[test]
 fn broken_machines_are_found() {
     let view = |chain: &[u64]| View {
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -1,11 +1,12 @@
-//! A keeper that is told to stop is out of the view before it ends, and its seat does not weigh on the others.
+//! A keeper that is told to stop is out of the view before its process ends, and its vacant seat does not reduce the
+//! failures that the others tolerate.
 
 use coordinator::prelude::*;
 use units::prelude::*;
 use view::prelude::{Member, View};
 
 const START: Instant = Instant(1_000_000_000_000);
-/// No message is lost, and each takes less than this.
+/// The tick interval; messages arrive without loss or delay.
 const STEP: Span = Span::millis(10);
 
 fn member(number: u64) -> Member {
@@ -13,7 +14,7 @@
     Member { id: NodeId(number), door: address.clone(), address, zone: "a".into() }
 }
 
-/// Keepers on a perfect network.
+/// Keepers on a lossless network without delay.
 struct Core {
     now: Instant,
     keepers: Vec<Coordinator>,
@@ -72,7 +73,7 @@
         self.keepers.iter().position(|keeper| keeper.me().id == NodeId(id))
     }
 
-    /// Tells a keeper to stop; how long until it may end.
+    /// Tells a keeper to stop, removes it once it has left, and returns how long that took.
     fn stop(&mut self, id: u64) -> Span {
         let told = self.now;
         let place = self.place(id).expect("it runs");
@@ -98,7 +99,7 @@
     }
 }
 
-/// Whichever member of the chain stops, it is let go long before it would have been missed.
+/// Whichever chain member stops, it leaves the view well before the failure timeout.
 #[test]
 fn whoever_stops_is_out_of_the_view_before_it_ends() {
     for size in [4, 5, 7] {
@@ -118,7 +119,8 @@
     }
 }
 
-/// Four bear one loss and three bear one, too: the seat that stays empty would leave no majority after the next.
+/// Four voters tolerate one failure, as do three. If the leaver's seat stayed vacant, the next failure would leave no
+/// majority.
 #[test]
 fn a_loss_right_after_one_of_four_has_left_leaves_a_majority() {
     for leaver in 1..=4 {
@@ -137,7 +139,7 @@
     }
 }
 
-/// Where the chain would become too short without it, a keeper stays until it must end, and can say why.
+/// A keeper stays in the chain if that would become too short without it, and reports the reason.
 #[test]
 fn one_that_cannot_be_spared_says_why() {
     let mut core = Core::of(2);
@@ -151,7 +153,7 @@
     assert_eq!(core.keepers[0].leave_blocker(core.now), "no majority of the voters is heard");
 }
 
-/// A whole fleet that is told to stop does not tear its view apart meanwhile.
+/// Keepers that are all told to stop at once do not keep changing the view.
 #[test]
 fn all_that_are_told_to_stop_at_once_keep_their_view() {
     let mut core = Core::of(4);
--- a/crates/coordinator/tests/levelling.rs
+++ b/crates/coordinator/tests/levelling.rs
@@ -1,5 +1,5 @@
-//! A keeper that has promised its vote has told where its log ends, and may be counted upon for it: it takes on
-//! more, but nothing shorter, until the next view.
+//! A keeper that has promised its vote has reported where its log ends, and the next view may rely on that. Until
+//! then its log may grow but not shrink.
 
 mod common;
 
@@ -26,7 +26,7 @@
     FleetState { edition: Edition(edition), ..FleetState::default() }
 }
 
-/// A voter outside the chain, whose log ends at record 5.
+/// A voter outside the chain whose log ends at edition 5.
 fn outsider() -> Coordinator {
     let view = View {
         fleet: FleetId(1),
@@ -40,7 +40,7 @@
     Coordinator::restore(member(OUTSIDE), kept, CoordinatorSettings::default(), 1, START)
 }
 
-/// Has it asked to be brought level; the nonce of its asking.
+/// Makes the keeper request catch-up and returns the request's nonce.
 fn catch_up_nonce(keeper: &mut Coordinator) -> u64 {
     deliver_status(keeper, TAIL, START);
     let effects = keeper.step(Input::Tick, START);
--- a/crates/coordinator/tests/router_list.rs
+++ b/crates/coordinator/tests/router_list.rs
@@ -1,5 +1,5 @@
-//! The list of routers that a tail tells is whole, also that of a tail which has just begun and hears of its
-//! routers one after the other. Routers share their work by that list: those of a short one would take over all.
+//! A tail sends only complete lists of routers, even just after it started, while routers connect one by one. Routers
+//! divide work by that list, so those on a partial list would take over all of it.
 
 mod common;
 
@@ -11,11 +11,11 @@
 const SEEDS: u64 = 200;
 const STEP: Span = Span::millis(20);
 const RENEW_EVERY: Span = Span::millis(400);
-/// Agents that were left by their tail arrive at the next within this.
+/// Agents reconnect to a new tail within this many milliseconds.
 const ARRIVAL_WINDOW_MS: u64 = 900;
 const RUN_PERIOD: Span = Span::seconds(4);
 
-/// A small generator of numbers; the same for the same seed.
+/// A deterministic pseudorandom number generator.
 struct SeededRng(u64);
 
 impl SeededRng {
@@ -25,14 +25,14 @@
     }
 }
 
-/// A tail and the agents that arrive at it, each at its time.
+/// A tail and agents that connect to it at given times.
 struct Arrivals {
     tail: Coordinator,
     started_at: Instant,
     now: Instant,
     arrival_times: BTreeMap<NodeId, Instant>,
     renewed_at: BTreeMap<NodeId, Instant>,
-    /// The lists that were told, each with when.
+    /// The lists sent, each with its time.
     told: Vec<(Instant, BTreeSet<NodeId>)>,
 }
 
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -1,5 +1,5 @@
-//! A chain that has become too short for the losses that the fleet must bear tells and counts nothing that it
-//! does not hold on enough disks already.
+//! A chain that is too short for the configured tolerance neither reports nor commits records that are not yet on
+//! enough disks.
 
 mod common;
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Has the head pass a change on; the same step may not yet count it.
+/// Appends a change received from the head; without a read lease the tail does not commit it.
 fn append(tail: &mut Coordinator, number: u64, now: Instant) -> Vec<Effect> {
     let previous = tail.last();
     let mark = Mark { edition: previous.edition.next(), view: tail.view().number };
@@ -66,7 +66,7 @@
     tail.step(input, now)
 }
 
-/// The head's disk is lost: the next view has this member alone in its chain.
+/// The head's disk is lost: the next view's chain is this member alone.
 fn adopt_single_member_view(tail: &mut Coordinator, now: Instant) {
     let decided = CoreMessage::View(ViewMessage::Decided(view_of(3, &[TAIL])));
     let input = from_keeper(tail, THIRD, decided);
@@ -84,7 +84,7 @@
 #[test]
 fn a_change_that_came_to_a_single_disk_is_neither_told_nor_counted() {
     let mut tail = acting_tail();
-    // The view changes before this tail has counted the change: it stands on its own disk, and on one just lost.
+    // The view changes before this tail has committed the change, which is on its own disk and on the one just lost.
     adopt_single_member_view(&mut tail, START + Span::millis(10));
     let committed = tail.last().edition;
     assert!(tail.tail_is_active(START + Span::millis(20)), "what was counted on two disks is served");
@@ -113,7 +113,7 @@
     assert!(tail.view().takes_writes());
 }
 
-/// The other voters are still there, so one of them is taken into the chain, though its tail does not act.
+/// The other voters are live, so one joins the chain even though the tail is inactive.
 #[test]
 fn a_chain_that_is_too_short_grows_though_its_tail_rests() {
     let mut tail = acting_tail();
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -1,6 +1,6 @@
-//! The agent's mind, as a pure machine. It keeps one stream to the core, finds the tail by the views
-//! it is told, renews the node's lease while its router lives, and passes pushes and the lease on. A
-//! lease is passed only to the router incarnation it was asked for.
+//! The node agent as a pure state machine. It keeps one connection to the core, finds the tail by the views it
+//! receives, renews the node's lease while its router is connected, and forwards changes and leases. A lease is
+//! forwarded only to the router incarnation for which it was requested.
 
 #![warn(missing_docs)]
 
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -1,4 +1,4 @@
-//! The machine: inputs from the core, from the router and from the pulse.
+//! The state machine: inputs from the core, from the router and from the timer.
 
 use crate::prelude::*;
 
@@ -6,11 +6,11 @@
 const MIN_TICK_INTERVAL: Span = Span::millis(20);
 const EAGER_RENEWAL_INTERVAL: Span = Span::millis(100);
 const SILENCE_TIMEOUT: Span = Span::millis(1200);
-/// A keeper that grants nothing for so long may take itself for a tail that others have replaced.
+/// A keeper that grants nothing for this long may wrongly consider itself the tail after others have replaced it.
 const GRANT_TIMEOUT: Span = Span::millis(1500);
 const BEHIND_TIMEOUT: Span = Span::millis(900);
 const DIAL_INTERVAL: Span = Span::millis(250);
-/// A keeper that names the tail is believed after so short a time.
+/// Minimum time after a dial before a redirect to the tail is followed.
 const REDIRECT_DELAY: Span = Span::millis(60);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,12 +25,12 @@
     incarnation: u64,
     applied: Option<Edition>,
     address: Option<RouterAddress>,
-    /// It has a state that changes can follow: its own, or a snapshot that is on its way to it. What was
-    /// pushed for the router before it can follow nothing.
+    /// Whether it has a state to which changes can be applied: its own, or a snapshot on its way to it. Changes
+    /// pushed for an earlier router incarnation cannot be applied.
     has_state: bool,
 }
 
-/// An agent's hold on the core, for its router.
+/// An agent's connection to the core on behalf of its router.
 #[derive(Clone, Debug)]
 pub struct Subscription {
     seeds: Vec<String>,
@@ -39,15 +39,15 @@
     target: String,
     next_dial: Instant,
     dial_count: usize,
-    /// The tail as the keeper dialled last names it, to be dialled at the next moment that allows it.
+    /// The tail's address as named by the connected keeper; dialled as soon as the redirect delay allows.
     redirect: Option<String>,
     last_heard: Instant,
-    /// When the last lease was granted, or the stream came up.
+    /// When the last lease was granted, or the connection was established.
     last_granted: Instant,
     last_renewed: Instant,
     renew_interval: Span,
-    /// What comes on this stream now was not said before: when the renewal last granted left here. A
-    /// machine that slept must not take what waited for it meanwhile for new.
+    /// The earliest time at which messages arriving now can have been sent: when the last granted renewal was sent.
+    /// After the machine slept, messages queued meanwhile must not count as new.
     stream_baseline: Instant,
     behind_since: Option<Instant>,
     router: Option<RouterState>,
@@ -57,7 +57,7 @@
 }
 
 impl Subscription {
-    /// An agent that has reached nobody yet; `spread` says with which seed it begins.
+    /// An agent without a connection; `spread` selects the seed to dial first.
     pub fn new(seeds: Vec<String>, spread: usize) -> Subscription {
         Subscription {
             seeds,
@@ -80,17 +80,17 @@
         }
     }
 
-    /// The fleet it belongs to, once it knows.
+    /// The agent's fleet, once known.
     pub fn fleet(&self) -> FleetId {
         self.view.fleet
     }
 
-    /// Until when its router is leased.
+    /// The end of the router's lease.
     pub fn lease_until(&self) -> Instant {
         self.lease_until
     }
 
-    /// Takes an input; what is to be done about it, in order.
+    /// Handles an input and returns the effects to carry out, in order.
     pub fn step(&mut self, input: SubscriptionInput, now: Instant) -> Vec<SubscriptionEffect> {
         match input {
             SubscriptionInput::Tick => self.tick(now),
@@ -194,20 +194,20 @@
         }
     }
 
-    /// Gives up the present keeper for another. The same one again would cost its whole limit once more: a
-    /// tail that the other keepers cannot reach still answers, and still takes itself for the tail.
+    /// Dials another keeper than the current one. Redialling the same one could cost the whole timeout again: a tail
+    /// that other keepers cannot reach still answers and still considers itself the tail.
     fn switch_keeper(&mut self, now: Instant) {
         let left = self.target.clone();
         self.dial_next_matching(now, |address| address != left);
     }
 
-    /// Between two renewals.
+    /// The time until the next renewal: shorter while the lease is not valid beyond a full interval.
     fn renewal_interval(&self, now: Instant) -> Span {
         let is_leased = now + self.renew_interval < self.lease_until;
         if is_leased { self.renew_interval } else { EAGER_RENEWAL_INTERVAL }
     }
 
-    /// When the next pulse is due, if nothing comes before.
+    /// When the next tick is due if no other input arrives before.
     pub fn next_tick(&self, now: Instant) -> Instant {
         let due = match self.core {
             CoreStream::Up if self.redirect.is_some() => self.redirect_allowed_at(),
@@ -222,12 +222,12 @@
         due.max(now + MIN_TICK_INTERVAL)
     }
 
-    /// Everybody in turn.
+    /// Dials the next known address, round-robin.
     fn dial_next(&mut self, now: Instant) {
         self.dial_next_matching(now, |_| true);
     }
 
-    /// The next in turn of those wanted, or of all if none is.
+    /// Dials the next address that matches, or the next of all if none matches.
     fn dial_next_matching(&mut self, now: Instant, is_wanted: impl Fn(&str) -> bool) {
         if now < self.next_dial {
             return;
@@ -312,7 +312,7 @@
         }
     }
 
-    /// The earliest instant of what was so long ago when it was said.
+    /// The earliest instant that a reported age can refer to.
     fn instant_at_age(&self, age: Span) -> Instant {
         Instant(self.stream_baseline.0.saturating_sub(age.0))
     }
@@ -343,8 +343,8 @@
         }
     }
 
-    /// From when on the keeper dialled last is believed that another is the tail: two that name each other must
-    /// not be dialled without a pause.
+    /// The earliest time to follow a redirect from the current keeper. Two keepers that each name the other as tail
+    /// must not cause a tight dial loop.
     fn redirect_allowed_at(&self) -> Instant {
         Instant(self.next_dial.0.saturating_sub(DIAL_INTERVAL.0)) + REDIRECT_DELAY
     }
@@ -359,7 +359,7 @@
         Instant(0) + Span::seconds(seconds)
     }
 
-    /// What the router is told of a push that says "just now", heard at an instant.
+    /// The commit time forwarded to the router for a push with age zero that arrives at `now`.
     fn committed(subscription: &mut Subscription, now: Instant) -> Option<Instant> {
         let submission =
             Submission { request: RequestId(1), command: Command::Merge { base: None, patch: "{}".into() } };
--- a/crates/subscription/src/messages.rs
+++ b/crates/subscription/src/messages.rs
@@ -1,94 +1,94 @@
-//! What router and agent say to each other, and what the state machine is told and orders.
+//! Messages between router and agent, and the state machine's inputs and effects.
 
 use crate::prelude::*;
 
-/// The router to its agent, over loopback.
+/// A message from the router to its agent, over loopback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RouterToAgent {
-    /// Who the router is and where callers reach it; said first.
+    /// The router's identity and addresses; sent first.
     #[serde(rename = "Here")]
     Announce(RouterAddress),
-    /// A state is in force at the router.
+    /// The router has applied a state.
     Applied {
-        /// Its number.
+        /// Its edition.
         edition: Edition,
     },
-    /// A command for the core.
+    /// Submits a command to the core.
     Submit {
-        /// By which the router knows its outcome again.
+        /// Identifies the outcome to the router.
         ticket: u64,
-        /// The command, named so that it counts once.
+        /// The command with the request id that deduplicates it.
         submission: Submission,
     },
-    /// Where requests on adapters arrive.
+    /// Adapter demand at this router.
     Demand(DemandReport),
 }
 
-/// The agent to its router, over loopback.
+/// A message from the agent to its router, over loopback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentToRouter {
-    /// The whole state, and when each edition of weights lately given up gave way.
+    /// The whole state, and when recently replaced weights editions were superseded.
     Snapshot {
         /// The state.
         state: Box<FleetState>,
-        /// Weights lately given up, and when.
+        /// Recently superseded weights editions, with the time.
         gave_way: Vec<(ModelName, WeightsEdition, Instant)>,
     },
-    /// The next change, and when it was committed, if that is known: never later than it was.
+    /// The next change and its commit time if known, which is never later than the actual one.
     Push {
-        /// The number of the change.
+        /// The edition of the change.
         number: Edition,
         /// The change.
         submission: Submission,
-        /// When it was committed, if that is known.
+        /// The commit time, if known.
         committed: Option<Instant>,
     },
-    /// The lease, and when the core was last disturbed: never later than it was.
+    /// A lease, and the time of the core's last disturbance, which is never later than the actual one.
     Lease {
-        /// When the renewal that was granted left here.
+        /// When the granted renewal was sent.
         asked: Instant,
-        /// Until when the router may start anything.
+        /// The end of the period in which the router may start work.
         until: Instant,
-        /// When the core was last disturbed.
+        /// When a core machine last failed or returned.
         disturbed: Instant,
     },
-    /// What became of a command.
+    /// The outcome of a command.
     Settled {
-        /// The router's own ticket.
+        /// The ticket from the router's request.
         ticket: u64,
-        /// What became of it.
+        /// The outcome.
         outcome: Settled,
     },
-    /// Where the other routers are reached.
+    /// The routers that hold leases.
     #[serde(rename = "Doors")]
     Routers(Vec<RouterAddress>),
 }
 
-/// What the state machine is told.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum SubscriptionInput {
     /// Time has passed.
     Tick,
-    /// The stream to the core is up.
+    /// The connection to the core is established.
     CoreConnected,
-    /// The stream to the core is gone.
+    /// The connection to the core is lost.
     CoreDisconnected,
     /// A message from the core.
     Core(KeeperToAgent),
     /// A router has connected.
     RouterConnected,
-    /// The router's stream is gone.
+    /// The router has disconnected.
     RouterDisconnected,
     /// A message from the router.
     Router(RouterToAgent),
-    /// Other addresses at which the core may be found.
+    /// New seed addresses of the core.
     Seeds(Vec<String>),
 }
 
-/// What the state machine orders.
+/// An effect of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubscriptionEffect {
-    /// Drop the stream to the core, if there is one, and dial this address.
+    /// Close the connection to the core, if any, and dial this address.
     Dial(String),
     /// Send a message to the core.
     SendToCore(AgentToKeeper),
@@ -98,7 +98,7 @@
     LogEvent {
         /// The event's name.
         event: &'static str,
-        /// What is to be known of it, as key=value.
+        /// Its details, as key=value pairs.
         detail: String,
     },
 }
--- a/crates/subscription/tests/leaving.rs
+++ b/crates/subscription/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! An agent that gives up its keeper turns to another one.
+//! An agent that gives up its keeper dials another one.
 
 use coordinator::prelude::{KeeperToAgent, Member, View};
 use std::collections::BTreeSet;
@@ -29,7 +29,7 @@
     }
 }
 
-/// A later view with the same tail, in which some keepers are replaced by others.
+/// A later view with the same tail, in which some keepers have been replaced.
 fn view_after(gone: &[u64], come: &[u64]) -> View {
     let mut later = view();
     later.number = later.number.next();
@@ -49,7 +49,7 @@
     })
 }
 
-/// An agent on the tail's stream, with a lease just granted; `spread` is where it begins its turn.
+/// An agent connected to the tail, with a lease just granted; `spread` is its position in the dial order.
 fn connected_to_tail(spread: usize) -> Subscription {
     let mut subscription = Subscription::new(vec![address(0), address(1), address(TAIL)], spread);
     subscription.step(SubscriptionInput::Tick, at(0));
@@ -64,7 +64,7 @@
     subscription
 }
 
-/// The keeper dialled once the present one grants nothing any more, though it answers.
+/// The keeper dialled after the current one answers but grants nothing.
 fn dialled_without_grants(subscription: &mut Subscription) -> String {
     for now in (410..4000).step_by(10) {
         subscription.step(SubscriptionInput::Core(KeeperToAgent::NotNow), at(now));
--- a/crates/subscription/tests/pushes.rs
+++ b/crates/subscription/tests/pushes.rs
@@ -1,4 +1,4 @@
-//! A router takes changes without gaps only: none is passed on to one that has no state they could follow.
+//! A router applies changes without gaps only: no change is forwarded to a router without a state to apply it to.
 
 use coordinator::prelude::{Command, FleetState, KeeperToAgent, Submission};
 use subscription::prelude::*;
@@ -6,7 +6,7 @@
 
 const NOW: Instant = Instant(1_000_000_000);
 
-/// Whether a push that comes now is passed on to the router.
+/// Whether a push that arrives now is forwarded to the router.
 fn forwards_push(subscription: &mut Subscription) -> bool {
     let submission = Submission { request: RequestId(1), command: Command::Merge { base: None, patch: "{}".into() } };
     let push = KeeperToAgent::Push { number: Edition(7), submission, age: Some(Span(0)) };
