--- a/crates/coordinator/src/duties.rs
+++ b/crates/coordinator/src/duties.rs
@@ -34,7 +34,7 @@
     }
 
     /// Handles a renewed duty lease, with the duties that this keeper holds.
-    pub(crate) fn handle_duty_given(
+    pub(crate) fn handle_duty_lease_granted(
         &mut self,
         from: NodeId,
         sent: Instant,
@@ -110,7 +110,7 @@
 // Tail side.
 impl Coordinator {
     /// Grants the requested duty lease if the keeper can receive the answer.
-    pub(crate) fn handle_duty_ask(&mut self, from: NodeId, sent: Instant, now: Instant) {
+    pub(crate) fn handle_duty_lease_request(&mut self, from: NodeId, sent: Instant, now: Instant) {
         if !self.tail_is_active(now) || !self.hears_us(from, now) {
             return;
         }
@@ -125,8 +125,8 @@
 
     /// Whether a keeper hears this one and a majority of the voters; otherwise it would not receive a grant.
     fn hears_us(&self, keeper: NodeId, now: Instant) -> bool {
-        let is_told = self.peer_status(keeper).is_some_and(|status| status.hears.contains(&self.me.id));
-        keeper == self.me.id || (is_told && !self.is_unhealthy(keeper, now))
+        let hears_this_keeper = self.peer_status(keeper).is_some_and(|status| status.hears.contains(&self.me.id));
+        keeper == self.me.id || (hears_this_keeper && !self.is_unhealthy(keeper, now))
     }
 
     /// Appoints a live chain member to each duty that has no holder or whose holder's lease has expired.
@@ -161,8 +161,8 @@
     /// Whether a holder whose lease expired less than `RENEWAL_GRACE` ago can still renew it.
     fn may_still_renew(&self, holder: NodeId, now: Instant) -> bool {
         let until = self.tail.as_ref().and_then(|tail| tail.duty_until.get(&holder));
-        let ran_out_lately = until.is_some_and(|until| now < *until + RENEWAL_GRACE);
-        ran_out_lately && self.view.in_chain(holder) && self.is_alive(holder, now) && self.hears_us(holder, now)
+        let expired_recently = until.is_some_and(|until| now < *until + RENEWAL_GRACE);
+        expired_recently && self.view.in_chain(holder) && self.is_alive(holder, now) && self.hears_us(holder, now)
     }
 
     /// Chain members that can take over a duty, in chain order.
--- a/crates/coordinator/src/leaving.rs
+++ b/crates/coordinator/src/leaving.rs
@@ -55,8 +55,8 @@
 
     /// Whether the chain can do without a leaving member.
     pub(crate) fn can_release_leaver(&self, now: Instant) -> bool {
-        let somebody_leaves = self.view.chain.iter().any(|member| self.is_leaving(*member, now));
-        somebody_leaves && self.chain_without_leavers(now).is_some()
+        let any_leaving = self.view.chain.iter().any(|member| self.is_leaving(*member, now));
+        any_leaving && self.chain_without_leavers(now).is_some()
     }
 
     /// The membership change for a leaving voter. With an even number of voters its seat is removed, since one voter
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -178,7 +178,7 @@
             Input::Node { node, message } => self.handle_node(node, message, now),
             Input::NodeDisconnected { node } => self.forget_node(node),
             Input::NotSent { node, messages } => self.roll_back(node, &messages),
-            Input::Query { ticket, question, limit } => self.begin_query(ticket, question, limit, now),
+            Input::Query { ticket, question, limit } => self.start_query(ticket, question, limit, now),
             Input::ListingRead { read, asked } => self.listing_check.record_reading(read, asked),
             Input::Retire => self.retire(now),
             Input::HandOver(kind) => self.hand_over(kind, now),
@@ -262,11 +262,11 @@
             CoreMessage::Heartbeat(status) => self.handle_status(sender, status, now),
             CoreMessage::View(view_message) => self.handle_view(from, view_message, now),
             CoreMessage::Chain(chain_message) => self.handle_chain(from, chain_message, now),
-            CoreMessage::ReadLeaseRequest { view, sent } => self.handle_read_lease_ask(from, view, sent),
-            CoreMessage::ReadLeaseGranted { view, sent } => self.handle_read_lease_given(from, view, sent),
+            CoreMessage::ReadLeaseRequest { view, sent } => self.handle_read_lease_request(from, view, sent),
+            CoreMessage::ReadLeaseGranted { view, sent } => self.handle_read_lease_granted(from, view, sent),
             CoreMessage::Retired { view } => self.handle_retired(from, view, now),
-            CoreMessage::DutyLeaseRequest { sent } => self.handle_duty_ask(from, sent, now),
-            CoreMessage::DutyLeaseGranted { sent, duties } => self.handle_duty_given(from, sent, duties, now),
+            CoreMessage::DutyLeaseRequest { sent } => self.handle_duty_lease_request(from, sent, now),
+            CoreMessage::DutyLeaseGranted { sent, duties } => self.handle_duty_lease_granted(from, sent, duties, now),
             CoreMessage::Submit(submission) => self.handle_submit(submission),
             CoreMessage::Query { ticket, question } => self.handle_query(sender, ticket, question, now),
             CoreMessage::Outcome { ticket, outcome } => self.handle_outcome(ticket, outcome),
@@ -278,7 +278,7 @@
             self.last_heartbeat = now;
             self.broadcast_status(now);
             self.request_catch_up(now);
-            self.ask_read_lease(now);
+            self.request_read_lease(now);
             self.request_duty_lease(now);
             self.forget_absent_members(now);
         }
@@ -334,7 +334,7 @@
             // The peer must know this incarnation before it can send requests or replies to it.
             let own_status = CoreMessage::Heartbeat(self.own_status(now));
             self.send(from, own_status);
-            self.ask_read_lease(now);
+            self.request_read_lease(now);
         }
         if self.view.tail() == Some(from) && status.view == self.view.number {
             self.committed = self.committed.max(status.committed);
@@ -389,7 +389,9 @@
             .known_members
             .keys()
             .copied()
-            .filter(|id| *id != me && self.view.member(*id).is_none() && self.silence(*id, now) >= FORGET_TIMEOUT)
+            .filter(|id| {
+                *id != me && self.view.member(*id).is_none() && self.time_since_heard(*id, now) >= FORGET_TIMEOUT
+            })
             .collect();
         for id in gone {
             self.known_members.remove(&id);
@@ -399,7 +401,7 @@
 
     /// The time until the next tick: shorter while an operation is in progress or a voter is silent.
     pub fn tick_interval(&self, now: Instant) -> Span {
-        let is_silent = |node: &NodeId| self.silence(*node, now) >= HEARTBEAT_INTERVAL.times(2);
+        let is_silent = |node: &NodeId| self.time_since_heard(*node, now) >= HEARTBEAT_INTERVAL.times(2);
         let tail_waits = self
             .tail
             .as_ref()
@@ -429,7 +431,7 @@
     }
 
     /// How long a peer has been silent, counted from this keeper's start if it was never heard.
-    pub(crate) fn silence(&self, node: NodeId, now: Instant) -> Span {
+    pub(crate) fn time_since_heard(&self, node: NodeId, now: Instant) -> Span {
         if node == self.me.id {
             return Span(0);
         }
--- a/crates/coordinator/src/queries.rs
+++ b/crates/coordinator/src/queries.rs
@@ -13,15 +13,15 @@
 }
 
 impl Coordinator {
-    pub(crate) fn begin_query(&mut self, ticket: u64, question: CoreQuery, limit: Instant, now: Instant) {
-        let waiting = PendingQuery { question, limit, asked: now };
-        self.send_query(ticket, &waiting);
-        self.pending_queries.insert(ticket, waiting);
+    pub(crate) fn start_query(&mut self, ticket: u64, question: CoreQuery, limit: Instant, now: Instant) {
+        let pending = PendingQuery { question, limit, asked: now };
+        self.send_query(ticket, &pending);
+        self.pending_queries.insert(ticket, pending);
     }
 
-    fn send_query(&mut self, ticket: u64, waiting: &PendingQuery) {
+    fn send_query(&mut self, ticket: u64, pending: &PendingQuery) {
         let (Some(head), Some(tail)) = (self.view.head(), self.view.tail()) else { return };
-        let tail_question = match &waiting.question {
+        let tail_question = match &pending.question {
             CoreQuery::Submit(submission) => {
                 self.send(head, CoreMessage::Submit(submission.clone()));
                 CoreQuery::Settled {
@@ -35,21 +35,21 @@
     }
 
     pub(crate) fn retry_queries(&mut self, now: Instant) {
-        let mut asked_again = Vec::new();
-        let mut run_out = Vec::new();
-        for (ticket, waiting) in self.pending_queries.iter_mut() {
-            if now >= waiting.limit {
-                run_out.push(*ticket);
-            } else if now.since(waiting.asked) >= QUERY_RETRY_INTERVAL {
-                waiting.asked = now;
-                asked_again.push((*ticket, waiting.clone()));
+        let mut to_retry = Vec::new();
+        let mut timed_out = Vec::new();
+        for (ticket, pending) in self.pending_queries.iter_mut() {
+            if now >= pending.limit {
+                timed_out.push(*ticket);
+            } else if now.since(pending.asked) >= QUERY_RETRY_INTERVAL {
+                pending.asked = now;
+                to_retry.push((*ticket, pending.clone()));
             }
         }
-        for ticket in run_out {
+        for ticket in timed_out {
             self.handle_outcome(ticket, QueryOutcome::Unknown);
         }
-        for (ticket, waiting) in asked_again {
-            self.send_query(ticket, &waiting);
+        for (ticket, pending) in to_retry {
+            self.send_query(ticket, &pending);
         }
     }
 
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -158,8 +158,8 @@
     }
 
     fn request_catch_up_from(&mut self, other: NodeId, now: Instant) {
-        let is_first_asking = self.catch_up_request.is_none_or(|(nonce, _)| nonce != self.nonce);
-        if is_first_asking {
+        let is_first_request = self.catch_up_request.is_none_or(|(nonce, _)| nonce != self.nonce);
+        if is_first_request {
             self.catch_up_request = Some((self.nonce, now));
         }
         let have = ChainMessage::Have { view: self.view.number, last: self.log.last(), nonce: self.nonce };
@@ -170,12 +170,12 @@
         if !self.has_view() || self.is_synced() {
             return;
         }
-        let asked_member = match self.view.in_chain(self.me.id) {
+        let source = match self.view.in_chain(self.me.id) {
             true => self.view.before(self.me.id),
             false => self.catch_up_source(now),
         };
-        if let Some(asked_member) = asked_member {
-            self.request_catch_up_from(asked_member, now);
+        if let Some(source) = source {
+            self.request_catch_up_from(source, now);
         }
     }
 
--- a/crates/coordinator/src/tail/nodes.rs
+++ b/crates/coordinator/src/tail/nodes.rs
@@ -78,8 +78,8 @@
         let Some(tail) = self.tail.as_mut() else { return Vec::new() };
         let leased = tail.leased_nodes();
         tail.demand.retain(|node, _| leased.contains(node));
-        let told = tail.demand.values();
-        told.map(|(report, at)| HeardDemand { report: report.clone(), age: now.since(*at) }).collect()
+        let reports = tail.demand.values();
+        reports.map(|(report, at)| HeardDemand { report: report.clone(), age: now.since(*at) }).collect()
     }
 
     /// When a core machine was last seen to fail or return: this keeper's own start, the return of a peer, or the
--- a/crates/coordinator/src/tail/pushes.rs
+++ b/crates/coordinator/src/tail/pushes.rs
@@ -59,12 +59,12 @@
     pub(crate) fn push_changes(&mut self, now: Instant, read_until: Instant) {
         let last_edition = self.log.last().edition;
         let Some(tail) = self.tail.as_mut() else { return };
-        let mut lacking = Vec::new();
+        let mut behind_nodes = Vec::new();
         for (node, place) in tail.pushed.iter_mut().filter(|(_, place)| place.pushed != Some(last_edition)) {
-            lacking.push((*node, place.pushed));
+            behind_nodes.push((*node, place.pushed));
             place.pushed = Some(last_edition);
         }
-        for (node, pushed) in lacking {
+        for (node, pushed) in behind_nodes {
             for message in self.changes_after(pushed, now) {
                 self.send_to_node(node, message, Some(read_until));
             }
--- a/crates/coordinator/src/tail/read_lease.rs
+++ b/crates/coordinator/src/tail/read_lease.rs
@@ -10,7 +10,7 @@
     }
 
     /// Requests the read lease from every voter.
-    pub(crate) fn ask_read_lease(&mut self, now: Instant) {
+    pub(crate) fn request_read_lease(&mut self, now: Instant) {
         if self.tail.is_none() || self.sealed() {
             return;
         }
@@ -20,7 +20,7 @@
     }
 
     /// Grants a read lease, as a voter, unless the vote is promised to a next view.
-    pub(crate) fn handle_read_lease_ask(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
+    pub(crate) fn handle_read_lease_request(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
         let agrees = view == self.view.number
             && self.view.tail() == Some(from)
             && !self.sealed()
@@ -31,7 +31,7 @@
     }
 
     /// Records a voter's grant; the lease counts from when the request was sent.
-    pub(crate) fn handle_read_lease_given(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
+    pub(crate) fn handle_read_lease_granted(&mut self, from: NodeId, view: ViewNumber, sent: Instant) {
         if view == self.view.number
             && let Some(tail) = &mut self.tail
         {
--- a/crates/coordinator/src/tail/router_list.rs
+++ b/crates/coordinator/src/tail/router_list.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RouterList {
     by_node: BTreeMap<NodeId, RouterAddress>,
-    told: Vec<RouterAddress>,
+    sent: Vec<RouterAddress>,
     /// The number of the last list sent; it grows with each change.
     number: u64,
     /// The change not sent yet, if any.
@@ -30,7 +30,7 @@
 
 impl Default for RouterList {
     fn default() -> RouterList {
-        RouterList { by_node: BTreeMap::new(), told: Vec::new(), number: NO_ROUTER_LIST, unsent: None }
+        RouterList { by_node: BTreeMap::new(), sent: Vec::new(), number: NO_ROUTER_LIST, unsent: None }
     }
 }
 
@@ -74,8 +74,8 @@
             return;
         }
         self.unsent = None;
-        if !self.by_node.values().eq(self.told.iter()) {
-            self.told = self.by_node.values().cloned().collect();
+        if !self.by_node.values().eq(self.sent.iter()) {
+            self.sent = self.by_node.values().cloned().collect();
             self.number += 1;
         }
     }
@@ -90,7 +90,7 @@
         let number = tail.routers.number;
         for (node, place) in tail.pushed.iter_mut().filter(|(_, place)| place.routers != number) {
             place.routers = number;
-            let message = KeeperToAgent::Routers(tail.routers.told.clone());
+            let message = KeeperToAgent::Routers(tail.routers.sent.clone());
             self.effects.push(Effect::SendToNode { node: *node, message, until: Some(read_until) });
         }
     }
--- a/crates/coordinator/src/view_changes.rs
+++ b/crates/coordinator/src/view_changes.rs
@@ -179,7 +179,7 @@
         let rank = self.rank(now);
         let patience = RANK_DELAY.times(rank);
         let member_lost = self.view.chain.iter().any(|member| {
-            let is_silent = self.silence(*member, now) >= SUSPECT_TIMEOUT + patience
+            let is_silent = self.time_since_heard(*member, now) >= SUSPECT_TIMEOUT + patience
                 && (self.is_neighbour(*member) || !self.is_heard_by_majority(*member, now));
             is_silent || (self.is_unhealthy(*member, now) && now.since(self.adopted_at) >= SUSPECT_TIMEOUT + patience)
         });
@@ -267,7 +267,7 @@
         );
         self.update_tail_role(&previous_view, now);
         self.request_catch_up(now);
-        self.ask_read_lease(now);
+        self.request_read_lease(now);
     }
 }
 
--- a/crates/coordinator/src/view_composition.rs
+++ b/crates/coordinator/src/view_composition.rs
@@ -84,11 +84,11 @@
         let without = |chain: &[NodeId], gone: &dyn Fn(NodeId) -> bool| -> Vec<NodeId> {
             chain.iter().copied().filter(|member| !gone(*member)).collect()
         };
-        let well = Some(without(&living, &|member| self.is_unhealthy(member, now))).filter(is_long_enough);
-        let remaining = well.as_deref().unwrap_or(&living);
+        let healthy = Some(without(&living, &|member| self.is_unhealthy(member, now))).filter(is_long_enough);
+        let remaining = healthy.as_deref().unwrap_or(&living);
         let staying = Some(without(remaining, &|member| self.is_leaving(member, now)))
             .filter(|chain| self.can_release_leaver(now) && is_long_enough(chain));
-        let candidates = [staying, well.clone(), Some(living.clone())];
+        let candidates = [staying, healthy.clone(), Some(living.clone())];
         let chain = candidates
             .into_iter()
             .flatten()
@@ -189,12 +189,12 @@
             return Some(MembershipChange::Join(spare));
         }
         let replace_after = self.settings.timing.replace_after;
-        let is_lost = |voter: &NodeId| {
-            let silence = self.silence(*voter, now);
-            let came_back_empty = self.has_address_of(spare, *voter) && silence >= SUSPECT_TIMEOUT;
-            silence >= replace_after || came_back_empty
+        let has_failed = |voter: &NodeId| {
+            let time_since_heard = self.time_since_heard(*voter, now);
+            let came_back_empty = self.has_address_of(spare, *voter) && time_since_heard >= SUSPECT_TIMEOUT;
+            time_since_heard >= replace_after || came_back_empty
         };
-        let dead = self.view.voters.iter().copied().find(is_lost)?;
+        let dead = self.view.voters.iter().copied().find(has_failed)?;
         Some(MembershipChange::Replace { dead, spare })
     }
 
@@ -216,7 +216,8 @@
             return None;
         }
         let remove_after = self.settings.timing.replace_after.times(REMOVE_VOTER_FACTOR);
-        let gone = self.view.voters.iter().copied().find(|voter| self.silence(*voter, now) >= remove_after)?;
+        let gone =
+            self.view.voters.iter().copied().find(|voter| self.time_since_heard(*voter, now) >= remove_after)?;
         Some(MembershipChange::RemoveVoter(gone))
     }
 }
--- a/crates/coordinator/tests/addressing.rs
+++ b/crates/coordinator/tests/addressing.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_read_lease_given_to_an_earlier_life_lets_no_later_one_act() {
+fn a_read_lease_granted_to_an_earlier_incarnation_is_ignored() {
     let mut tail = tail_with_incarnation(INCARNATION);
     let earlier = KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 };
     tail.step(Input::Tick, START);
@@ -57,12 +57,15 @@
         let from = peer_incarnation(voter);
         tail.step(Input::Peer(Envelope { fleet: FleetId(1), from, to: Some(earlier), message }), START);
     }
-    assert!(!tail.tail_is_active(START + Span::seconds(20)), "cut off for twenty seconds, it acts");
+    assert!(
+        !tail.tail_is_active(START + Span::seconds(20)),
+        "it acts after twenty seconds without a valid read lease"
+    );
     assert_eq!(tail.misdirected(), 2);
 }
 
 #[test]
-fn what_is_meant_for_this_life_counts() {
+fn messages_to_the_current_incarnation_are_handled() {
     let mut tail = tail_with_incarnation(INCARNATION);
     for voter in [OTHER, THIRD] {
         let message = CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START };
@@ -74,7 +77,7 @@
 }
 
 #[test]
-fn an_answer_to_a_question_of_an_earlier_life_reaches_nobody() {
+fn an_answer_to_an_earlier_incarnation_is_dropped() {
     let mut keeper = tail_with_incarnation(INCARNATION);
     let question = CoreQuery::Configuration;
     let (ticket, limit) = (5, START + Span::seconds(3));
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn what_is_of_another_fleet_or_for_nobody_is_dropped() {
+fn messages_of_another_fleet_or_without_a_receiver_are_dropped() {
     let mut keeper = tail_with_incarnation(INCARNATION);
     let own = Some(keeper.own_incarnation());
     for (to, fleet) in [(own, FleetId(9)), (None, FleetId(1)), (Some(peer_incarnation(THIRD)), FleetId(1))] {
@@ -104,24 +107,24 @@
 
 /// A keeper that sends to an earlier incarnation receives the current one's status and then sends to that.
 #[test]
-fn a_keeper_that_began_again_is_known_after_one_exchange() {
+fn a_restarted_keeper_is_known_after_one_exchange() {
     let (mut first, mut second) = (tail_with_incarnation(INCARNATION), tail_with_incarnation(INCARNATION + 1));
     deliver_status(&mut first, OTHER, START);
     let earlier = Some(first.own_incarnation());
     let ask = CoreMessage::DutyLeaseRequest { sent: START };
     let effects = second.step(envelope(earlier, FleetId(1), ask), START);
-    let told = effects.iter().find_map(|effect| match effect {
+    let sent = effects.iter().find_map(|effect| match effect {
         Effect::Send { envelope, .. } => Some(envelope.clone()),
         _ => None,
     });
-    let told = told.expect("it says who it is");
-    assert_eq!(told.from, second.own_incarnation());
-    assert!(matches!(told.message, CoreMessage::Heartbeat(_)));
+    let sent = sent.expect("it sends its status");
+    assert_eq!(sent.from, second.own_incarnation());
+    assert!(matches!(sent.message, CoreMessage::Heartbeat(_)));
 }
 
 /// The answer goes to the incarnation that asked, not to the one heard last.
 #[test]
-fn an_answer_names_the_life_that_asked() {
+fn an_answer_is_addressed_to_the_incarnation_that_asked() {
     let mut tail = tail_with_incarnation(INCARNATION);
     deliver_status(&mut tail, OTHER, START);
     deliver_status(&mut tail, THIRD, START);
@@ -129,10 +132,10 @@
         let input = from_keeper(&tail, voter, CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START });
         tail.step(input, START);
     }
-    let asked_in = KeeperIncarnation { id: OTHER, incarnation: PEER_INCARNATION + 8 };
+    let requester = KeeperIncarnation { id: OTHER, incarnation: PEER_INCARNATION + 8 };
     let message = CoreMessage::Query { ticket: 4, question: CoreQuery::Configuration };
     let to = Some(tail.own_incarnation());
-    let effects = tail.step(Input::Peer(Envelope { fleet: FleetId(1), from: asked_in, to, message }), START);
+    let effects = tail.step(Input::Peer(Envelope { fleet: FleetId(1), from: requester, to, message }), START);
     let answered: Vec<Option<KeeperIncarnation>> = effects
         .iter()
         .filter_map(|effect| match effect {
@@ -142,13 +145,13 @@
             _ => None,
         })
         .collect();
-    assert_eq!(answered, [Some(asked_in)]);
+    assert_eq!(answered, [Some(requester)]);
 }
 
 /// Replies to misdirected messages are limited to one per heartbeat interval, since each reply makes the sender send
 /// again.
 #[test]
-fn misdirected_messages_are_not_each_answered() {
+fn replies_to_misdirected_messages_are_rate_limited() {
     let mut keeper = tail_with_incarnation(INCARNATION);
     deliver_status(&mut keeper, OTHER, START);
     let earlier = Some(KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 });
--- a/crates/coordinator/tests/ages.rs
+++ b/crates/coordinator/tests/ages.rs
@@ -80,21 +80,21 @@
 }
 
 #[test]
-fn ages_are_counted_from_the_first_asking_and_passed_on() {
+fn ages_count_from_the_first_request_and_are_passed_on() {
     let mut coordinator = middle_keeper();
-    let nonce = catch_up_nonce(&coordinator.step(Input::Tick, START)).expect("it asks to be brought level");
-    let asked_again = coordinator.step(Input::Tick, START + Span::millis(400));
-    assert_eq!(catch_up_nonce(&asked_again), Some(nonce), "the same asking, repeated");
-    assert_eq!(ages_sent_to_successor(&mut coordinator, START), None, "not level yet");
+    let nonce = catch_up_nonce(&coordinator.step(Input::Tick, START)).expect("it requests catch-up");
+    let retry = coordinator.step(Input::Tick, START + Span::millis(400));
+    assert_eq!(catch_up_nonce(&retry), Some(nonce), "a retry of the same request");
+    assert_eq!(ages_sent_to_successor(&mut coordinator, START), None, "not synced yet");
     let input = snapshot(&coordinator, nonce);
     coordinator.step(input, START + Span::millis(500));
-    let ages = ages_sent_to_successor(&mut coordinator, START + Span::millis(700)).expect("it levels its successor");
-    assert_eq!(ages.records, [(Edition(7), Span::millis(1000))], "700 ms since the first asking and 300 before");
+    let ages = ages_sent_to_successor(&mut coordinator, START + Span::millis(700)).expect("it serves its successor");
+    assert_eq!(ages.records, [(Edition(7), Span::millis(1000))], "700 ms since the first request and 300 before");
     assert_eq!(ages.gave_way, [("model".into(), WeightsEdition(1), Span::millis(1000))]);
 }
 
 #[test]
-fn a_restarted_member_knows_no_ages_of_its_own() {
+fn a_restarted_member_knows_no_ages() {
     let view = View {
         fleet: FleetId(1),
         number: VIEW,
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_member_asks_as_soon_as_the_one_before_it_is_level() {
+fn a_member_requests_catch_up_once_its_predecessor_is_synced() {
     let mut coordinator = middle_keeper();
     coordinator.step(Input::Tick, START);
     let hear = |coordinator: &mut Coordinator, synced_view| {
@@ -127,6 +127,6 @@
         let input = from_keeper(coordinator, HEAD, CoreMessage::Heartbeat(status));
         coordinator.step(input, START + Span::millis(1))
     };
-    assert_eq!(catch_up_nonce(&hear(&mut coordinator, ViewNumber(1))), None, "it could not answer yet");
+    assert_eq!(catch_up_nonce(&hear(&mut coordinator, ViewNumber(1))), None, "it could not serve yet");
     assert!(catch_up_nonce(&hear(&mut coordinator, VIEW)).is_some());
 }
--- a/crates/coordinator/tests/duties.rs
+++ b/crates/coordinator/tests/duties.rs
@@ -41,17 +41,17 @@
 }
 
 #[test]
-fn a_keeper_that_asked_holds_its_duty() {
+fn a_keeper_that_requested_the_lease_holds_its_duty() {
     assert!(holds_conductor_lease_after(&mut keeper(HOLDER), START));
 }
 
 #[test]
-fn what_an_earlier_process_asked_for_is_no_lease() {
+fn a_grant_requested_by_an_earlier_process_is_ignored() {
     let before = Instant(START.0 - Span::millis(1).0);
     assert!(!holds_conductor_lease_after(&mut keeper(HOLDER), before));
 }
 
 #[test]
-fn a_keeper_that_is_not_in_the_chain_takes_no_lease_that_was_meant_for_another() {
+fn a_keeper_outside_the_chain_ignores_grants() {
     assert!(!holds_conductor_lease_after(&mut keeper(REPLACEMENT), START));
 }
--- a/crates/coordinator/tests/exhaustive.rs
+++ b/crates/coordinator/tests/exhaustive.rs
@@ -117,12 +117,12 @@
             core.start(place);
         }
         for _ in 0..60 {
-            core.apply_event(Event::Tick).expect("nothing goes wrong in order");
-            core.deliver_all().expect("nothing goes wrong in order");
+            core.apply_event(Event::Tick).expect("no invariant is violated");
+            core.deliver_all().expect("no invariant is violated");
         }
         let tail = core.acting_tails();
         assert_eq!(tail.len(), 1, "a tail acts");
-        let view = core.machines[tail[0]].running.as_ref().expect("it runs").view();
+        let view = core.machines[tail[0]].running.as_ref().expect("it is running").view();
         assert_eq!(view.chain.len(), KEEPERS);
         core.budget = budget;
         core
@@ -136,7 +136,7 @@
     }
 
     fn open_streams(&self) -> Vec<(usize, usize)> {
-        self.streams.iter().filter(|(_, waiting)| !waiting.is_empty()).map(|(way, _)| *way).collect()
+        self.streams.iter().filter(|(_, waiting)| !waiting.is_empty()).map(|(path, _)| *path).collect()
     }
 
     fn start(&mut self, place: usize) {
@@ -298,7 +298,7 @@
     let known = views.entry(view.number).or_insert_with(|| seen.clone());
     match *known == seen {
         true => Ok(views),
-        false => Err(format!("two views have number {}: {known:?} and {seen:?}", view.number)),
+        false => Err(format!("two views have the number {}: {known:?} and {seen:?}", view.number)),
     }
 }
 
@@ -321,7 +321,7 @@
         .collect();
     for (edition, request) in &committed {
         if taken.get(edition) != Some(request) {
-            return Err(format!("{request} was committed as {edition}, there stands {:?}", taken.get(edition)));
+            return Err(format!("{request} was committed as {edition}, but the log has {:?}", taken.get(edition)));
         }
     }
     committed.extend(taken);
@@ -333,30 +333,30 @@
 struct Found {
     states: usize,
     is_complete: bool,
-    broken: Option<(String, Vec<Event>)>,
+    violation: Option<(String, Vec<Event>)>,
 }
 
 /// Depth-first search of all states within the budget, up to `max_states`.
 fn explore(budget: EventBudget, max_states: usize) -> Found {
-    let mut met = HashSet::new();
-    let mut open = vec![(Core::formed(budget), Vec::new())];
-    while let Some((core, way)) = open.pop() {
-        if met.len() >= max_states {
-            return Found { states: met.len(), is_complete: false, broken: None };
+    let mut visited = HashSet::new();
+    let mut frontier = vec![(Core::formed(budget), Vec::new())];
+    while let Some((core, path)) = frontier.pop() {
+        if visited.len() >= max_states {
+            return Found { states: visited.len(), is_complete: false, violation: None };
         }
         for event in core.possible_events() {
             let mut next = core.clone();
-            let mut next_way: Vec<Event> = way.clone();
-            next_way.push(event);
+            let mut next_path: Vec<Event> = path.clone();
+            next_path.push(event);
             if let Err(reason) = next.apply_event(event) {
-                return Found { states: met.len(), is_complete: false, broken: Some((reason, next_way)) };
+                return Found { states: visited.len(), is_complete: false, violation: Some((reason, next_path)) };
             }
-            if met.insert(next.key()) {
-                open.push((next, next_way));
+            if visited.insert(next.key()) {
+                frontier.push((next, next_path));
             }
         }
     }
-    Found { states: met.len(), is_complete: true, broken: None }
+    Found { states: visited.len(), is_complete: true, violation: None }
 }
 
 fn max_states() -> usize {
@@ -366,35 +366,38 @@
 #[track_caller]
 fn assert_holds(named: &str, budget: EventBudget) {
     let found = explore(budget, max_states());
-    println!("{named}: {} states, {}", found.states, if found.is_complete { "all of them" } else { "broken off" });
-    assert!(found.broken.is_none(), "{named}: {:?}", found.broken);
+    println!("{named}: {} states, {}", found.states, if found.is_complete { "all of them" } else { "not complete" });
+    assert!(found.violation.is_none(), "{named}: {:?}", found.violation);
 }
 
-const NOTHING: EventBudget = EventBudget { ticks: 0, ends: 0, lost_disks: 0, lost_streams: 0, changes: 0 };
+const NO_EVENTS: EventBudget = EventBudget { ticks: 0, ends: 0, lost_disks: 0, lost_streams: 0, changes: 0 };
 
 #[test]
-fn two_changes_and_a_lost_stream() {
-    assert_holds("two changes, a lost stream", EventBudget { ticks: 2, lost_streams: 1, changes: 2, ..NOTHING });
+fn two_changes_and_a_dropped_connection() {
+    assert_holds(
+        "two changes, a dropped connection",
+        EventBudget { ticks: 2, lost_streams: 1, changes: 2, ..NO_EVENTS },
+    );
 }
 
 #[test]
-fn a_keeper_ends_in_the_midst_of_a_change() {
-    assert_holds("a change, an end", EventBudget { ticks: 4, ends: 1, changes: 1, ..NOTHING });
+fn a_keeper_stops_during_a_change() {
+    assert_holds("a change, a stop", EventBudget { ticks: 4, ends: 1, changes: 1, ..NO_EVENTS });
 }
 
 #[test]
-fn a_disk_is_lost_in_the_midst_of_a_change() {
-    assert_holds("a change, a lost disk", EventBudget { ticks: 3, lost_disks: 1, changes: 1, ..NOTHING });
+fn a_disk_is_lost_during_a_change() {
+    assert_holds("a change, a lost disk", EventBudget { ticks: 3, lost_disks: 1, changes: 1, ..NO_EVENTS });
 }
 
 #[test]
-fn an_end_and_a_lost_disk_overlap() {
-    assert_holds("an end, a lost disk, a change", EventBudget { ticks: 5, ends: 1, lost_disks: 1, ..NOTHING });
+fn a_stop_and_a_lost_disk_overlap() {
+    assert_holds("a stop, a lost disk", EventBudget { ticks: 5, ends: 1, lost_disks: 1, ..NO_EVENTS });
 }
 
 /// Each invariant check detects its violation.
 #[test]
-fn broken_machines_are_found() {
+fn invariant_checks_detect_violations() {
     let view = |chain: &[u64]| View {
         number: ViewNumber(3),
         chain: chain.iter().copied().map(NodeId).collect(),
@@ -413,5 +416,5 @@
     assert!(check_committed_records_kept(committed.clone(), &earlier).is_err(), "lost");
     let mut other = FleetState::default();
     other.apply(&Submission { request: RequestId(2), command: command("a") });
-    assert!(check_committed_records_kept(committed, &other).is_err(), "another in its place");
+    assert!(check_committed_records_kept(committed, &other).is_err(), "replaced by another record");
 }
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -75,14 +75,18 @@
 
     /// Tells a keeper to stop, removes it once it has left, and returns how long that took.
     fn stop(&mut self, id: u64) -> Span {
-        let told = self.now;
-        let place = self.place(id).expect("it runs");
+        let stop_requested = self.now;
+        let place = self.place(id).expect("it is running");
         self.feed(place, Input::Retire);
         while !self.keepers[place].has_left() {
-            assert!(self.now.since(told) < Span::seconds(3), "{}", self.keepers[place].leave_blocker(self.now));
+            assert!(
+                self.now.since(stop_requested) < Span::seconds(3),
+                "{}",
+                self.keepers[place].leave_blocker(self.now)
+            );
             self.run(STEP);
         }
-        let left = self.now.since(told);
+        let left = self.now.since(stop_requested);
         self.keepers.remove(place);
         left
     }
@@ -95,13 +99,13 @@
     }
 
     fn view(&self) -> &View {
-        self.keepers.iter().map(Coordinator::view).max_by_key(|view| view.number).expect("somebody runs")
+        self.keepers.iter().map(Coordinator::view).max_by_key(|view| view.number).expect("a keeper is running")
     }
 }
 
 /// Whichever chain member stops, it leaves the view well before the failure timeout.
 #[test]
-fn whoever_stops_is_out_of_the_view_before_it_ends() {
+fn a_stopping_keeper_leaves_the_view_before_it_ends() {
     for size in [4, 5, 7] {
         for leaver in 1..=size {
             let mut core = Core::of(size);
@@ -122,7 +126,7 @@
 /// Four voters tolerate one failure, as do three. If the leaver's seat stayed vacant, the next failure would leave no
 /// majority.
 #[test]
-fn a_loss_right_after_one_of_four_has_left_leaves_a_majority() {
+fn a_failure_after_one_of_four_left_leaves_a_majority() {
     for leaver in 1..=4 {
         let mut core = Core::of(4);
         core.stop(leaver);
@@ -141,9 +145,9 @@
 
 /// A keeper stays in the chain if that would become too short without it, and reports the reason.
 #[test]
-fn one_that_cannot_be_spared_says_why() {
+fn a_keeper_that_cannot_leave_reports_the_reason() {
     let mut core = Core::of(2);
-    let place = core.place(1).expect("it runs");
+    let place = core.place(1).expect("it is running");
     core.feed(place, Input::Retire);
     core.run(Span::seconds(2));
     assert!(!core.keepers[place].has_left());
@@ -155,7 +159,7 @@
 
 /// Keepers that are all told to stop at once do not keep changing the view.
 #[test]
-fn all_that_are_told_to_stop_at_once_keep_their_view() {
+fn keepers_stopped_all_at_once_keep_their_view() {
     let mut core = Core::of(4);
     for place in 0..4 {
         core.feed(place, Input::Retire);
--- a/crates/coordinator/tests/levelling.rs
+++ b/crates/coordinator/tests/levelling.rs
@@ -48,7 +48,7 @@
         CoreMessage::Chain(ChainMessage::Have { nonce, .. }) => Some(nonce),
         _ => None,
     });
-    asked.expect("it asks the tail")
+    asked.expect("it sends the request to the tail")
 }
 
 fn snapshot_of(keeper: &Coordinator, nonce: u64, edition: u64) -> Input {
@@ -62,28 +62,28 @@
     let prepare = CoreMessage::View(ViewMessage::Prepare { next: VIEW.next(), ballot });
     let input = from_keeper(keeper, TAIL, prepare);
     let effects = keeper.step(input, START);
-    let told = sent_to(&effects, TAIL).into_iter().find_map(|message| match message {
+    let promised = sent_to(&effects, TAIL).into_iter().find_map(|message| match message {
         CoreMessage::View(ViewMessage::Promise { last, .. }) => Some(last),
         _ => None,
     });
-    told.expect("it promises")
+    promised.expect("it promises")
 }
 
 #[test]
-fn a_promise_tells_where_the_log_ends_and_that_stays_in_it() {
+fn a_promised_log_end_is_not_cut_by_catch_up() {
     let mut keeper = outsider();
     let nonce = catch_up_nonce(&mut keeper);
     assert_eq!(promise(&mut keeper), mark(5));
     let late = snapshot_of(&keeper, nonce, 3);
     keeper.step(late, START);
-    assert_eq!(keeper.last(), mark(5), "a snapshot that was on its way has cut it short");
+    assert_eq!(keeper.last(), mark(5), "a delayed snapshot has truncated the log");
     let longer = snapshot_of(&keeper, nonce, 8);
     keeper.step(longer, START);
-    assert_eq!(keeper.last(), mark(8), "it is never brought level");
+    assert_eq!(keeper.last(), mark(8), "it never catches up");
 }
 
 #[test]
-fn before_it_has_promised_it_takes_what_the_chain_has() {
+fn without_a_promise_a_shorter_snapshot_is_accepted() {
     let mut keeper = outsider();
     let nonce = catch_up_nonce(&mut keeper);
     let shorter = snapshot_of(&keeper, nonce, 3);
--- a/crates/coordinator/tests/router_list.rs
+++ b/crates/coordinator/tests/router_list.rs
@@ -33,14 +33,14 @@
     arrival_times: BTreeMap<NodeId, Instant>,
     renewed_at: BTreeMap<NodeId, Instant>,
     /// The lists sent, each with its time.
-    told: Vec<(Instant, BTreeSet<NodeId>)>,
+    sent_lists: Vec<(Instant, BTreeSet<NodeId>)>,
 }
 
 impl Arrivals {
     fn new(arrival_ms: &[u64]) -> Arrivals {
         let (tail, now) = acting_tail();
         let arrival_times = (100..).map(NodeId).zip(arrival_ms.iter().map(|ms| now + Span::millis(*ms))).collect();
-        Arrivals { tail, started_at: now, now, arrival_times, renewed_at: BTreeMap::new(), told: Vec::new() }
+        Arrivals { tail, started_at: now, now, arrival_times, renewed_at: BTreeMap::new(), sent_lists: Vec::new() }
     }
 
     fn run(&mut self, span: Span) {
@@ -74,7 +74,7 @@
         for effect in plan {
             if let Effect::SendToNode { message: KeeperToAgent::Routers(routers), .. } = effect {
                 let listed = routers.iter().map(|listed| listed.router).collect();
-                self.told.push((self.now, listed));
+                self.sent_lists.push((self.now, listed));
             }
         }
     }
@@ -85,41 +85,41 @@
 }
 
 #[test]
-fn a_tail_that_begins_tells_no_list_of_the_first_that_arrive_alone() {
+fn a_new_tail_sends_no_partial_list() {
     for seed in 0..SEEDS {
         let mut rng = SeededRng(seed);
         let count = 2 + rng.below(60);
         let arrival_ms: Vec<u64> = (0..count).map(|_| rng.below(ARRIVAL_WINDOW_MS)).collect();
         let mut arrivals = Arrivals::new(&arrival_ms);
         arrivals.run(RUN_PERIOD);
-        assert!(!arrivals.told.is_empty(), "seed {seed}: no list was told");
-        for (at, listed) in &arrivals.told {
+        assert!(!arrivals.sent_lists.is_empty(), "seed {seed}: no list was sent");
+        for (at, listed) in &arrivals.sent_lists {
             let missing = arrivals.all().len() - listed.len();
-            assert_eq!(missing, 0, "seed {seed}: told after {:?} ms", at.since(arrivals.started_at).as_millis());
+            assert_eq!(missing, 0, "seed {seed}: sent after {:?} ms", at.since(arrivals.started_at).as_millis());
         }
     }
 }
 
 #[test]
-fn a_list_that_goes_on_changing_is_told_all_the_same() {
+fn a_list_that_keeps_changing_is_sent_within_the_maximum_delay() {
     let arrival_ms: Vec<u64> = (0..40).map(|number| number * 300).collect();
     let mut arrivals = Arrivals::new(&arrival_ms);
     arrivals.run(RUN_PERIOD);
-    let first = arrivals.told.first().expect("a list was told");
+    let first = arrivals.sent_lists.first().expect("a list was sent");
     assert!(first.0.since(arrivals.started_at) <= Span::millis(3200), "{:?}", first.0.since(arrivals.started_at));
 }
 
 #[test]
-fn a_router_without_a_lease_leaves_the_list_and_one_that_is_back_returns() {
+fn a_router_is_listed_while_it_holds_a_lease() {
     let mut arrivals = Arrivals::new(&[0, 0, 0]);
     arrivals.run(RUN_PERIOD);
     let all = arrivals.all();
-    assert_eq!(arrivals.told.last().map(|(_, listed)| listed.clone()), Some(all.clone()));
+    assert_eq!(arrivals.sent_lists.last().map(|(_, listed)| listed.clone()), Some(all.clone()));
     let gone = NodeId(100);
     let address_kept = arrivals.arrival_times.remove(&gone);
     arrivals.run(RUN_PERIOD);
-    assert_eq!(arrivals.told.last().map(|(_, listed)| listed.len()), Some(2));
+    assert_eq!(arrivals.sent_lists.last().map(|(_, listed)| listed.len()), Some(2));
     arrivals.arrival_times.insert(gone, address_kept.unwrap());
     arrivals.run(RUN_PERIOD);
-    assert_eq!(arrivals.told.last().map(|(_, listed)| listed.clone()), Some(all));
+    assert_eq!(arrivals.sent_lists.last().map(|(_, listed)| listed.clone()), Some(all));
 }
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -74,7 +74,7 @@
     grant_read_lease(tail, now);
 }
 
-fn asks(tail: &mut Coordinator, question: CoreQuery, now: Instant) -> bool {
+fn is_answered(tail: &mut Coordinator, question: CoreQuery, now: Instant) -> bool {
     let message = CoreMessage::Query { ticket: 9, question };
     let input = from_keeper(tail, THIRD, message);
     let effects = tail.step(input, now);
@@ -82,26 +82,26 @@
 }
 
 #[test]
-fn a_change_that_came_to_a_single_disk_is_neither_told_nor_counted() {
+fn a_change_on_a_single_disk_is_neither_reported_nor_committed() {
     let mut tail = acting_tail();
     // The view changes before this tail has committed the change, which is on its own disk and on the one just lost.
     adopt_single_member_view(&mut tail, START + Span::millis(10));
     let committed = tail.last().edition;
-    assert!(tail.tail_is_active(START + Span::millis(20)), "what was counted on two disks is served");
+    assert!(tail.tail_is_active(START + Span::millis(20)), "what was committed on two disks is served");
     let mut tail = acting_tail();
     let expired = START + Span::seconds(1);
     append(&mut tail, 7, expired);
-    assert!(tail.last().edition > committed, "it has the change");
-    assert!(!tail.tail_is_active(expired), "without a read lease it has not counted it");
+    assert!(tail.last().edition > committed, "it has appended the change");
+    assert!(!tail.tail_is_active(expired), "without a read lease it has not committed it");
     adopt_single_member_view(&mut tail, expired + Span::millis(10));
     let now = expired + Span::millis(20);
-    assert!(!tail.tail_is_active(now), "it acts on a change that one disk holds");
-    assert!(!asks(&mut tail, CoreQuery::Configuration, now));
-    assert!(!asks(&mut tail, CoreQuery::Settled { request: RequestId(7), fingerprint: None }, now));
+    assert!(!tail.tail_is_active(now), "it acts with a record that only one disk holds");
+    assert!(!is_answered(&mut tail, CoreQuery::Configuration, now));
+    assert!(!is_answered(&mut tail, CoreQuery::Settled { request: RequestId(7), fingerprint: None }, now));
 }
 
 #[test]
-fn once_another_disk_holds_it_it_is_served() {
+fn a_chain_with_a_second_disk_takes_writes_again() {
     let mut tail = acting_tail();
     let expired = START + Span::seconds(1);
     append(&mut tail, 7, expired);
@@ -115,7 +115,7 @@
 
 /// The other voters are live, so one joins the chain even though the tail is inactive.
 #[test]
-fn a_chain_that_is_too_short_grows_though_its_tail_rests() {
+fn a_short_chain_grows_while_its_tail_is_inactive() {
     let mut tail = acting_tail();
     let expired = START + Span::seconds(1);
     append(&mut tail, 7, expired);
@@ -130,5 +130,5 @@
         proposes |= asked.iter().any(|message| matches!(message, CoreMessage::View(ViewMessage::Prepare { .. })));
     }
     assert!(!tail.tail_is_active(now));
-    assert!(proposes, "nobody takes the third keeper in");
+    assert!(proposes, "nobody proposes a view with the third keeper");
 }
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -174,10 +174,10 @@
                     self.dial(tail_address, now);
                     return;
                 }
-                let silent_too_long = self.router.is_some() && now.since(self.last_heard) >= SILENCE_TIMEOUT;
-                let behind_too_long = self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_TIMEOUT);
-                let granted_nothing = self.router.is_some() && now.since(self.last_granted) >= GRANT_TIMEOUT;
-                if silent_too_long || behind_too_long || granted_nothing {
+                let is_silent = self.router.is_some() && now.since(self.last_heard) >= SILENCE_TIMEOUT;
+                let is_behind = self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_TIMEOUT);
+                let grants_nothing = self.router.is_some() && now.since(self.last_granted) >= GRANT_TIMEOUT;
+                if is_silent || is_behind || grants_nothing {
                     self.switch_keeper(now);
                     return;
                 }
@@ -372,7 +372,7 @@
     }
 
     #[test]
-    fn what_waited_for_a_sleeping_machine_is_not_new() {
+    fn messages_queued_while_the_machine_slept_are_not_new() {
         let mut subscription = Subscription::new(vec!["k".into()], 0);
         subscription.step(SubscriptionInput::Tick, at(1));
         subscription.step(SubscriptionInput::CoreConnected, at(1));
--- a/crates/subscription/tests/leaving.rs
+++ b/crates/subscription/tests/leaving.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_tail_that_grants_nothing_is_not_dialled_again_at_once() {
+fn a_tail_that_grants_nothing_is_not_redialled_at_once() {
     for spread in 0..12 {
         let mut subscription = connected_to_tail(spread);
         assert_ne!(dialled_without_grants(&mut subscription), address(TAIL), "spread {spread}");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_keeper_that_takes_no_connection_is_not_dialled_again_at_once() {
+fn an_unreachable_keeper_is_not_redialled_at_once() {
     for spread in 0..12 {
         let mut subscription = connected_to_tail(spread);
         let first = dialled_without_grants(&mut subscription);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_only_keeper_known_is_dialled_again() {
+fn the_only_known_keeper_is_redialled() {
     let mut subscription = Subscription::new(vec![address(0)], 0);
     subscription.step(SubscriptionInput::Tick, at(0));
     subscription.step(SubscriptionInput::CoreConnected, at(0));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_agent_that_outlives_every_keeper_it_knew_at_first_finds_the_later_ones() {
+fn an_agent_finds_keepers_that_replaced_all_it_knew() {
     for spread in 0..12 {
         let mut subscription = connected_to_tail(spread);
         let replaced = view_after(&[0, 1, 2], &[4, 5, 6]);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_tail_named_in_the_first_answer_is_dialled_within_a_tenth_of_a_second() {
+fn a_redirect_to_the_tail_is_followed_within_100_ms() {
     for spread in 0..12 {
         let mut subscription = connected_to_tail(spread);
         let other = dialled_without_grants(&mut subscription);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_seed_that_is_a_member_takes_one_place_in_the_turn() {
+fn a_seed_that_is_a_member_is_dialled_once_per_round() {
     for spread in 0..12 {
         let mut subscription = connected_to_tail(spread);
         subscription.step(SubscriptionInput::CoreDisconnected, at(500));
--- a/crates/subscription/tests/pushes.rs
+++ b/crates/subscription/tests/pushes.rs
@@ -15,18 +15,18 @@
 }
 
 #[test]
-fn a_router_without_a_state_is_pushed_no_change() {
+fn no_change_is_forwarded_to_a_router_without_a_state() {
     let mut subscription = Subscription::new(vec!["k".into()], 0);
     subscription.step(SubscriptionInput::Tick, NOW);
     subscription.step(SubscriptionInput::CoreConnected, NOW);
     subscription.step(SubscriptionInput::RouterConnected, NOW);
-    assert!(!forwards_push(&mut subscription), "it was pushed for another life of the router");
+    assert!(!forwards_push(&mut subscription), "it was pushed for another incarnation of the router");
     let state = Box::new(FleetState::default());
     subscription.step(SubscriptionInput::Core(KeeperToAgent::Snapshot { state, gave_way: Vec::new() }), NOW);
     assert!(forwards_push(&mut subscription), "it follows the snapshot");
     subscription.step(SubscriptionInput::RouterDisconnected, NOW);
     subscription.step(SubscriptionInput::RouterConnected, NOW);
-    assert!(!forwards_push(&mut subscription), "the router has begun again without a state");
+    assert!(!forwards_push(&mut subscription), "the router has restarted without a state");
     subscription.step(SubscriptionInput::Router(RouterToAgent::Applied { edition: Edition(6) }), NOW);
     assert!(forwards_push(&mut subscription), "it has kept its state");
 }
