--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -1,16 +1,20 @@
 //! The state machine: its state, input dispatch, and heartbeats between keepers.
 
 use crate::prelude::*;
-
+/// The time between two heartbeats of a keeper.
 pub const HEARTBEAT_INTERVAL: Span = Span::millis(200);
+/// The number of recent records whose commit time is remembered.
 const MAX_COMMIT_TIMES: usize = 1024;
 /// Longer than any router keeps using superseded weights.
 const SUPERSEDED_WEIGHTS_RETENTION: Span = Span::seconds(60);
+/// A keeper not heard for this long is suspected to have failed.
 pub const SUSPECT_TIMEOUT: Span = Span::millis(800);
 /// Tick interval while an operation is in progress.
 const BUSY_TICK_INTERVAL: Span = Span::millis(50);
+/// Keepers outside the view are forgotten after this long without a message.
 const FORGET_TIMEOUT: Span = Span::seconds(30);
 
+/// The settings of a keeper.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorSettings {
     /// Whether node leases are granted only if this keeper itself has read a matching listing recently.
@@ -24,6 +28,7 @@
     pub timing: Timing,
 }
 
+/// Another keeper as heard by this one.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     /// The incarnation heard last.
@@ -36,6 +41,7 @@
     pub(crate) stalled_since: Option<Instant>,
 }
 
+/// The state machine of one keeper.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     pub(crate) me: Member,
@@ -170,7 +176,7 @@
             Stored::CompleteView(FOUNDING_VIEW),
         ]
     }
-
+    /// Handles an input and returns the effects to carry out, in order.
     pub fn step(&mut self, input: Input, now: Instant) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now),
@@ -214,23 +220,23 @@
         }
         self.superseded_at.retain(|_, since| now.since(*since) < SUPERSEDED_WEIGHTS_RETENTION);
     }
-
+    /// The adopted view.
     pub fn view(&self) -> &View {
         &self.view
     }
-
+    /// This keeper as a member.
     pub fn me(&self) -> &Member {
         &self.me
     }
-
+    /// The fleet state after all records of the log.
     pub fn state(&self) -> &FleetState {
         self.log.state()
     }
-
+    /// Where the log ends.
     pub fn last(&self) -> Mark {
         self.log.last()
     }
-
+    /// Whether this keeper has adopted a view.
     pub fn has_view(&self) -> bool {
         self.view.number != ViewNumber(0)
     }
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -26,15 +26,21 @@
 /// The status that a keeper sends to all known keepers in each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperStatus {
+    /// The sender, with its addresses.
     pub member: Member,
     pub fleet: FleetId,
     pub view: ViewNumber,
+    /// The latest view in which its log was synced with the chain.
     #[serde(rename = "aligned")]
     pub synced_view: ViewNumber,
+    /// The latest view for which its log holds everything committed before the view began.
     #[serde(rename = "whole")]
     pub complete_view: ViewNumber,
+    /// Where its log ends.
     pub last: Mark,
+    /// The last edition that it knows to be committed.
     pub committed: Edition,
+    /// Whether it acts as the tail.
     pub tail_active: bool,
     /// The sender is stopping, and the next view should exclude it.
     pub leaving: bool,
@@ -42,17 +48,20 @@
     pub hears: Vec<NodeId>,
 }
 
+/// A message between keepers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoreMessage {
     #[serde(rename = "Pulse")]
     Heartbeat(KeeperStatus),
     View(ViewMessage),
     Chain(ChainMessage),
+    /// The tail requests a read lease from a voter.
     #[serde(rename = "ReadLeaseAsk")]
     ReadLeaseRequest {
         view: ViewNumber,
         sent: Instant,
     },
+    /// A voter grants the read lease requested at `sent`.
     #[serde(rename = "ReadLeaseGiven")]
     ReadLeaseGranted {
         view: ViewNumber,
@@ -62,10 +71,12 @@
     Retired {
         view: ViewNumber,
     },
+    /// A chain member requests the lease on its duties from the tail.
     #[serde(rename = "DutyAsk")]
     DutyLeaseRequest {
         sent: Instant,
     },
+    /// The tail grants the duty lease requested at `sent`, and names the duties held.
     #[serde(rename = "DutyGiven")]
     DutyLeaseGranted {
         sent: Instant,
@@ -91,6 +102,7 @@
     }
 }
 
+/// A query of an operator, or a command submitted on its behalf.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoreQuery {
     /// Submits a command; answered once it is in force.
@@ -108,6 +120,7 @@
     Configuration,
 }
 
+/// The outcome of a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum QueryOutcome {
     Settled(Settled),
@@ -122,6 +135,7 @@
     Unknown,
 }
 
+/// A node with a lease, as known to the tail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeReport {
     pub node: NodeId,
@@ -202,8 +216,10 @@
     },
 }
 
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
+    /// Time has passed.
     Tick,
     /// A message received at this keeper's address.
     Peer(Envelope),
@@ -237,6 +253,7 @@
     Seeds(Vec<String>),
 }
 
+/// An item to be stored durably.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stored {
     Record(Record),
@@ -252,6 +269,7 @@
     TailStarted(ViewNumber),
 }
 
+/// An effect of a step, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Store(Stored),
--- a/crates/coordinator/src/queries.rs
+++ b/crates/coordinator/src/queries.rs
@@ -2,9 +2,10 @@
 //! because submissions are deduplicated by request id.
 
 use crate::prelude::*;
-
+/// The time after which an unanswered query is sent again.
 const QUERY_RETRY_INTERVAL: Span = Span::millis(300);
 
+/// A query that waits for its outcome.
 #[derive(Clone, Debug)]
 pub struct PendingQuery {
     question: CoreQuery,
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -1,7 +1,7 @@
 //! Chain replication: numbering at the head, forwarding to the successor, and catch-up.
 
 use crate::prelude::*;
-
+/// The head accepts no submissions while this many records are uncommitted.
 const UNCOMMITTED_LIMIT: u64 = 256;
 /// How many record ages are sent to a member that catches up.
 const MAX_AGES_SENT: usize = 64;
--- a/crates/coordinator/src/view_changes.rs
+++ b/crates/coordinator/src/view_changes.rs
@@ -1,9 +1,11 @@
 //! View changes: failure suspicion, campaigns, voting and adoption.
 
 use crate::prelude::*;
-
+/// The delay between campaigns of voters, by rank, so that they do not compete.
 const RANK_DELAY: Span = Span::millis(200);
+/// A voter campaigns if it has been sealed for this long without a new view.
 const SEAL_TIMEOUT: Span = Span::millis(600);
+/// A campaign not decided in this time may be replaced by another.
 const CAMPAIGN_TIMEOUT: Span = Span::millis(500);
 /// How long a reachable member may make no progress.
 const STALL_TIMEOUT: Span = Span::millis(4000);
@@ -270,7 +272,7 @@
         self.request_read_lease(now);
     }
 }
-
+/// Formats node ids as a comma-separated list.
 pub fn join_ids(nodes: &[NodeId]) -> String {
     let texts: Vec<String> = nodes.iter().map(NodeId::to_string).collect();
     texts.join(",")
--- a/crates/coordinator/src/view_composition.rs
+++ b/crates/coordinator/src/view_composition.rs
@@ -2,12 +2,13 @@
 //! least tolerance + 1 disks keep everything committed.
 
 use crate::prelude::*;
-
+/// How long the core must be stable before it admits a member.
 const STABLE_PERIOD: Span = Span::millis(1000);
 /// A vacant seat is removed after this many times the period after which a spare may take it.
 const REMOVE_VOTER_FACTOR: u64 = 4;
 /// A core with fewer voters admits new keepers quickly, whatever its configured size.
 const SMALL_CORE_VOTERS: usize = 4;
+/// The number of editions by which a joining keeper may lag behind.
 const MAX_JOIN_LAG: u64 = 64;
 
 /// A membership change that no failure requires.
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -1,18 +1,24 @@
 //! The state machine: inputs from the core, from the router and from the timer.
 
 use crate::prelude::*;
-
+/// The renewal interval until a granted lease determines it.
 const DEFAULT_RENEWAL_INTERVAL: Span = Span::millis(400);
+/// The minimum time between two ticks.
 const MIN_TICK_INTERVAL: Span = Span::millis(20);
+/// The renewal interval while the lease is missing or about to expire.
 const EAGER_RENEWAL_INTERVAL: Span = Span::millis(100);
+/// The keeper is given up after this long without a message from it.
 const SILENCE_TIMEOUT: Span = Span::millis(1200);
 /// A keeper that grants nothing for this long may wrongly consider itself the tail after others have replaced it.
 const GRANT_TIMEOUT: Span = Span::millis(1500);
+/// The keeper is given up after refusing the lease for this long because the node lags behind.
 const BEHIND_TIMEOUT: Span = Span::millis(900);
+/// The minimum time between two dials.
 const DIAL_INTERVAL: Span = Span::millis(250);
 /// Minimum time after a dial before a redirect to the tail is followed.
 const REDIRECT_DELAY: Span = Span::millis(60);
 
+/// The state of the connection to the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CoreStream {
     Down,
@@ -20,6 +26,7 @@
     Up,
 }
 
+/// The connected router.
 #[derive(Clone, Debug)]
 struct RouterState {
     incarnation: u64,
