--- /dev/null
+++ b/crates/coordinator/src/replication.rs
@@ -0,0 +1,215 @@
+//! Chain replication: numbering at the head, forwarding to the successor, and catch-up.
+
+use crate::prelude::*;
+/// The head accepts no submissions while this many records are uncommitted.
+const UNCOMMITTED_LIMIT: u64 = 256;
+/// How many record ages are sent to a member that catches up.
+const MAX_AGES_SENT: usize = 64;
+
+impl Coordinator {
+    pub(crate) fn handle_submit(&mut self, submission: Submission) {
+        let may_take = self.view.head() == Some(self.me.id)
+            && self.is_synced()
+            && !self.sealed()
+            && self.view.takes_writes()
+            && self.log.last().edition.0 < self.committed.0 + UNCOMMITTED_LIMIT;
+        if !may_take || self.log.state().previous_outcome(submission.request).is_some() {
+            return;
+        }
+        let previous = self.log.last();
+        let record = self.log.number(self.view.number, submission);
+        self.store(Stored::Record(record.clone()));
+        self.pass_on(previous, vec![record]);
+    }
+
+    fn pass_on(&mut self, previous: Mark, records: Vec<Record>) {
+        let Some(successor) = self.view.after(self.me.id) else { return };
+        let append = ChainMessage::Append { view: self.view.number, previous, records };
+        self.send(successor, CoreMessage::Chain(append));
+    }
+
+    pub(crate) fn handle_chain(&mut self, from: NodeId, message: ChainMessage, now: Instant) {
+        match message {
+            ChainMessage::Append { view, previous, records } => {
+                self.handle_append(from, view, previous, records, now)
+            }
+            ChainMessage::Have { view, last, nonce } => {
+                let is_outside = !self.view.in_chain(from);
+                let can_serve_catch_up = self.is_synced() || (is_outside && self.holds_all_committed(self.me.id));
+                if view == self.view.number && can_serve_catch_up {
+                    let answer = self.log.level(view, last, nonce, self.ages(now));
+                    self.send(from, CoreMessage::Chain(answer));
+                }
+            }
+            ChainMessage::Level { view, nonce, previous, records, ages } => {
+                if self.accepts_catch_up(from, view, nonce) && previous == self.log.last() {
+                    let was_synced = self.is_synced();
+                    self.take_records(previous, records);
+                    if !was_synced {
+                        self.take_ages(&ages, nonce);
+                    }
+                    self.mark_synced();
+                }
+            }
+            ChainMessage::Snapshot { view, nonce, mark, state, ages } => {
+                // A sealed keeper has reported where its log ends, so the log must not become shorter.
+                let is_shorter = mark.edition < self.log.last().edition;
+                if self.accepts_catch_up(from, view, nonce) && !(self.sealed() && is_shorter) {
+                    self.log = Log::restore(mark, (*state).clone(), Vec::new());
+                    self.store(Stored::Snapshot { mark, state });
+                    self.take_ages(&ages, nonce);
+                    self.mark_synced();
+                }
+            }
+        }
+    }
+
+    fn handle_append(&mut self, from: NodeId, view: ViewNumber, previous: Mark, records: Vec<Record>, now: Instant) {
+        let from_before = self.view.before(self.me.id) == Some(from);
+        if view != self.view.number || !from_before || !self.is_synced() || self.sealed() {
+            return;
+        }
+        let last = self.log.last();
+        if previous.edition > last.edition {
+            self.request_catch_up_from(from, now);
+            return;
+        }
+        let new_records: Vec<Record> =
+            records.into_iter().filter(|record| record.mark.edition > last.edition).collect();
+        self.take_records(last, new_records);
+    }
+
+    fn take_records(&mut self, previous: Mark, records: Vec<Record>) {
+        if records.is_empty() {
+            return;
+        }
+        for record in &records {
+            self.log.append(record.clone());
+            self.store(Stored::Record(record.clone()));
+        }
+        if self.is_synced() {
+            self.pass_on(previous, records);
+        }
+    }
+
+    /// A chain member catches up from its predecessor only, and not while sealed. A keeper outside the chain may
+    /// catch up from any synced member, even while sealed, because nothing is committed through it.
+    fn accepts_catch_up(&self, from: NodeId, view: ViewNumber, nonce: u64) -> bool {
+        if view != self.view.number || nonce != self.nonce {
+            return false;
+        }
+        let is_next = self.view.before(self.me.id) == Some(from) && !self.sealed();
+        !self.view.in_chain(self.me.id) || is_next
+    }
+
+    /// Upper bounds of the ages of recent commits and superseded weights known here.
+    fn ages(&self, now: Instant) -> Ages {
+        let records = self.committed_at.iter().rev().take(MAX_AGES_SENT);
+        let gave_way = self.superseded_at.iter();
+        Ages {
+            records: records.map(|(edition, since)| (*edition, now.since(*since))).collect(),
+            gave_way: gave_way
+                .map(|((model, weights), since)| (model.clone(), *weights, now.since(*since)))
+                .collect(),
+        }
+    }
+
+    /// Adopts the commit times of the member that served the catch-up. Ages count from when the request was sent, so
+    /// no time is later than the actual commit: the head numbered each record before it could be committed, or was in
+    /// every chain since, and each member takes its times from its predecessor.
+    fn take_ages(&mut self, ages: &Ages, nonce: u64) {
+        self.clear_commit_times();
+        let Some(asked) = self.catch_up_request.filter(|(catch_up_nonce, _)| *catch_up_nonce == nonce) else {
+            return;
+        };
+        let instant_at_age = |age: Span| Instant(asked.1.0.saturating_sub(age.0));
+        let last = self.log.last().edition;
+        let records = ages.records.iter().filter(|(edition, _)| *edition <= last);
+        self.committed_at = records.map(|(edition, age)| (*edition, instant_at_age(*age))).collect();
+        let gave_way = ages.gave_way.iter();
+        self.superseded_at =
+            gave_way.map(|(model, weights, age)| ((model.clone(), *weights), instant_at_age(*age))).collect();
+    }
+
+    /// Discards commit times. Records committed before this keeper was synced may be older than when it saw them, so
+    /// their age is unknown. A synced member appends before the commit, so its times are valid.
+    pub(crate) fn clear_commit_times(&mut self) {
+        self.restored_at = self.log.last().edition;
+        self.committed_at.clear();
+        let models = &self.log.state().desired.models;
+        self.wanted_weights = models.iter().map(|(model, wish)| (model.clone(), wish.weights)).collect();
+        self.superseded_at.clear();
+    }
+
+    fn mark_synced(&mut self) {
+        self.nonce = self.nonce.wrapping_add(1);
+        if !self.view.in_chain(self.me.id) || self.synced_view == self.view.number {
+            return;
+        }
+        self.synced_view = self.view.number;
+        self.complete_view = self.view.number;
+        self.store(Stored::SyncedView(self.synced_view));
+        self.store(Stored::CompleteView(self.complete_view));
+        self.log_event("aligned", format!("view={} edition={}", self.synced_view, self.log.last().edition));
+        if let Some(successor) = self.view.after(self.me.id) {
+            let status = CoreMessage::Heartbeat(self.own_status(self.last_heartbeat));
+            self.send(successor, status);
+        }
+    }
+
+    fn request_catch_up_from(&mut self, other: NodeId, now: Instant) {
+        let is_first_request = self.catch_up_request.is_none_or(|(nonce, _)| nonce != self.nonce);
+        if is_first_request {
+            self.catch_up_request = Some((self.nonce, now));
+        }
+        let have = ChainMessage::Have { view: self.view.number, last: self.log.last(), nonce: self.nonce };
+        self.send(other, CoreMessage::Chain(have));
+    }
+
+    pub(crate) fn request_catch_up(&mut self, now: Instant) {
+        if !self.has_view() || self.is_synced() {
+            return;
+        }
+        let source = match self.view.in_chain(self.me.id) {
+            true => self.view.before(self.me.id),
+            false => self.catch_up_source(now),
+        };
+        if let Some(source) = source {
+            self.request_catch_up_from(source, now);
+        }
+    }
+
+    /// The keeper from which one outside the chain catches up: the last live synced member, or else the tail. If the
+    /// members before it are lost, a member that is not synced in this view but holds everything committed serves as
+    /// well.
+    fn catch_up_source(&self, now: Instant) -> Option<NodeId> {
+        let can_serve = |member: &NodeId| {
+            let status = self.peer_status(*member).filter(|_| self.is_alive(*member, now));
+            let is_synced =
+                status.is_some_and(|status| status.view == self.view.number && status.synced_view == status.view);
+            is_synced || (status.is_some() && self.holds_all_committed(*member))
+        };
+        let sources = self.view.chain.iter().rev().copied().filter(can_serve);
+        sources.chain(self.view.tail()).next()
+    }
+
+    /// Resends records to a successor whose log lagged and did not advance between two heartbeats, so it has missed a
+    /// message.
+    pub(crate) fn resend_to_successor(
+        &mut self,
+        from: NodeId,
+        status: &KeeperStatus,
+        last_status: Option<&KeeperStatus>,
+    ) {
+        let is_successor = self.view.after(self.me.id) == Some(from);
+        let both_synced =
+            self.is_synced() && status.synced_view == self.view.number && status.view == self.view.number;
+        let is_unchanged = last_status.is_some_and(|earlier| earlier.last == status.last);
+        if !is_successor || !both_synced || !is_unchanged || status.last.edition >= self.log.last().edition {
+            return;
+        }
+        let Some(records) = self.log.after(status.last.edition) else { return };
+        let append = ChainMessage::Append { view: self.view.number, previous: status.last, records };
+        self.send(from, CoreMessage::Chain(append));
+    }
+}
--- a/crates/coordinator/src/tail/settlements.rs
+++ b/crates/coordinator/src/tail/settlements.rs
@@ -1,35 +1,35 @@
-//! Requests that wait for their settlement: a keeper is answered once the change is in force on every node
-//! that may serve, a node once it is committed.
+//! Requests that wait for their outcome. A keeper is answered once the change is in force on every node that may
+//! serve, a node once it is committed.
 
 use crate::prelude::*;
 
-/// How long a request is kept after it was last asked about.
-const PENDING_SPAN: Span = Span::seconds(2);
+/// How long a request is kept after it was last queried.
+const PENDING_TIMEOUT: Span = Span::seconds(2);
 
-/// Who waits for a settlement.
+/// Who waits for an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Requester {
-    /// A keeper, for an operator; until the change is in force.
-    Keeper(KeeperLife),
-    /// A node; until the change is committed.
+    /// A keeper on behalf of an operator; waits until the change is in force.
+    Keeper(KeeperIncarnation),
+    /// A node; waits until the change is committed.
     Node(NodeId),
 }
 
-/// A request whose settlement somebody waits for.
+/// A request whose requester waits for the outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) from: Requester,
-    /// The requester's own number of it.
+    /// The requester's own identifier for it.
     pub(crate) ticket: u64,
     pub(crate) request: RequestId,
-    /// What was submitted under the request's id.
+    /// The fingerprint of the command submitted under the request id.
     pub(crate) fingerprint: Option<BlockHash>,
-    /// When it was asked about last.
+    /// When it was last queried.
     pub(crate) since: Instant,
 }
 
 impl TailRole {
-    /// A keeper asks about a request, for the first time or again.
+    /// Registers a keeper's query about a request, or refreshes the one registered.
     pub(crate) fn await_settlement(&mut self, asked: PendingRequest) {
         let is_same = |pending: &&mut PendingRequest| pending.from == asked.from && pending.ticket == asked.ticket;
         match self.pending.iter_mut().find(is_same) {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Whether an outcome may be told: a change that was taken, to a keeper, only once it is in force.
-    fn may_tell(&self, from: Requester, outcome: &CommandOutcome, now: Instant) -> bool {
+    /// Whether an outcome may be sent: an accepted change is reported to a keeper only once it is in force.
+    fn may_answer_with(&self, from: Requester, outcome: &CommandOutcome, now: Instant) -> bool {
         match (from, outcome) {
             (Requester::Keeper(_), CommandOutcome::Applied(edition)) => {
                 self.leases.settled(now) && *edition <= self.leases.in_force()
@@ -50,7 +50,7 @@
 }
 
 impl Coordinator {
-    /// Answers what is settled and may be told; what nobody asked about for long is forgotten.
+    /// Answers all requests with a final outcome, and drops those not queried for a long time.
     pub(crate) fn settle_pending(&mut self, now: Instant, read_until: Instant) {
         let Some(tail) = self.tail.as_mut() else { return };
         let mut answered = Vec::new();
@@ -58,35 +58,37 @@
             let state = self.log.state();
             let in_use = state.request_id_conflict(pending.request, pending.fingerprint);
             let outcome = in_use.or_else(|| state.previous_outcome(pending.request));
-            match outcome.filter(|outcome| tail.may_tell(pending.from, outcome, now)) {
+            match outcome.filter(|outcome| tail.may_answer_with(pending.from, outcome, now)) {
                 Some(outcome) => answered.push((pending, outcome)),
-                None if now.since(pending.since) < PENDING_SPAN => tail.pending.push(pending),
+                None if now.since(pending.since) < PENDING_TIMEOUT => tail.pending.push(pending),
                 None => {}
             }
         }
         for (pending, outcome) in answered {
             self.answer_pending(&pending, outcome, read_until);
         }
-        self.take_own_outcomes();
+        self.process_inbox();
     }
 
     fn answer_pending(&mut self, pending: &PendingRequest, outcome: CommandOutcome, read_until: Instant) {
         let ticket = pending.ticket;
         match pending.from {
             Requester::Keeper(keeper) => {
-                let outcome = AskOutcome::CommandOutcome(outcome);
-                self.send_to_life(keeper, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
+                let outcome = QueryOutcome::Settled(outcome);
+                self.send_to_incarnation(keeper, CoreMessage::Outcome { ticket, outcome }, Some(read_until));
+            }
+            Requester::Node(node) => {
+                self.send_to_node(node, KeeperToAgent::Settled { ticket, outcome }, Some(read_until))
             }
-            Requester::Node(node) => self.tell(node, NodeDown::CommandOutcome { ticket, outcome }, Some(read_until)),
         }
     }
 
-    /// Takes what this keeper, as the tail, has said to itself in this step.
-    pub(crate) fn take_own_outcomes(&mut self) {
+    /// Handles the messages that this keeper, as the tail, sent to itself in this step.
+    pub(crate) fn process_inbox(&mut self) {
         while let Some(message) = self.inbox.pop_front() {
             match message {
-                CoreMessage::Outcome { ticket, outcome } => self.hear_outcome(ticket, outcome),
-                CoreMessage::Submit(submission) => self.hear_submit(submission),
+                CoreMessage::Outcome { ticket, outcome } => self.handle_outcome(ticket, outcome),
+                CoreMessage::Submit(submission) => self.handle_submit(submission),
                 _ => {}
             }
         }
--- a/crates/coordinator/tests/addressing.rs
+++ b/crates/coordinator/tests/addressing.rs
@@ -1,4 +1,4 @@
-//! A message between keepers counts for the life of the keeper it was meant for, and for no other that gets it.
+//! A message between keepers is handled only by the incarnation to which it is addressed.
 
 mod common;
 
@@ -11,14 +11,14 @@
 const ME: NodeId = NodeId(2);
 const THIRD: NodeId = NodeId(3);
 const START: Instant = Instant(1_000_000_000_000);
-const LIFE: u64 = 70;
+const INCARNATION: u64 = 70;
 
 fn member(id: NodeId) -> Member {
     Member { id, address: format!("{id}:1"), door: format!("{id}:2"), zone: "a".into() }
 }
 
-/// The tail of a chain of three, in some life of its process.
-fn tail_in_life(life: u64) -> Coordinator {
+/// The tail of a chain of three.
+fn tail_with_incarnation(incarnation: u64) -> Coordinator {
     let view = View {
         fleet: FleetId(1),
         number: ViewNumber(2),
@@ -28,38 +28,47 @@
         ..View::default()
     };
     let number = view.number;
-    let kept = Kept { view: Some(view), aligned: number, whole: number, begun: number, ..Kept::default() };
-    Coordinator::restore(member(ME), kept, Wishes::default(), life, START)
+    let kept = PersistedState {
+        view: Some(view),
+        synced_view: number,
+        complete_view: number,
+        begun: number,
+        ..PersistedState::default()
+    };
+    Coordinator::restore(member(ME), kept, CoordinatorSettings::default(), incarnation, START)
 }
 
-fn envelope(to: Option<KeeperLife>, fleet: FleetId, message: CoreMessage) -> Input {
-    Input::Peer(Envelope { fleet, from: played(OTHER), to, message })
+fn envelope(to: Option<KeeperIncarnation>, fleet: FleetId, message: CoreMessage) -> Input {
+    Input::Peer(Envelope { fleet, from: peer_incarnation(OTHER), to, message })
 }
 
-/// A voter's word, given to an asking of long after `START`, as one of a life before a reboot can be.
+/// A read lease grant for a request sent long after `START`, as an incarnation before a reboot can have sent it.
 fn read_lease_from_the_future() -> CoreMessage {
-    CoreMessage::ReadLeaseGiven { view: ViewNumber(2), sent: START + Span::seconds(3600) }
+    CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START + Span::seconds(3600) }
 }
 
 #[test]
-fn a_read_lease_given_to_an_earlier_life_lets_no_later_one_act() {
-    let mut tail = tail_in_life(LIFE);
-    let earlier = KeeperLife { id: ME, life: LIFE - 1 };
-    tail.step(Input::Pulse, START);
+fn a_read_lease_granted_to_an_earlier_incarnation_is_ignored() {
+    let mut tail = tail_with_incarnation(INCARNATION);
+    let earlier = KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 };
+    tail.step(Input::Tick, START);
     for voter in [OTHER, THIRD] {
         let message = read_lease_from_the_future();
-        let from = played(voter);
+        let from = peer_incarnation(voter);
         tail.step(Input::Peer(Envelope { fleet: FleetId(1), from, to: Some(earlier), message }), START);
     }
-    assert!(!tail.tail_is_active(START + Span::seconds(20)), "cut off for twenty seconds, it acts");
+    assert!(
+        !tail.tail_is_active(START + Span::seconds(20)),
+        "it acts after twenty seconds without a valid read lease"
+    );
     assert_eq!(tail.misdirected(), 2);
 }
 
 #[test]
-fn what_is_meant_for_this_life_counts() {
-    let mut tail = tail_in_life(LIFE);
+fn messages_to_the_current_incarnation_are_handled() {
+    let mut tail = tail_with_incarnation(INCARNATION);
     for voter in [OTHER, THIRD] {
-        let message = CoreMessage::ReadLeaseGiven { view: ViewNumber(2), sent: START };
+        let message = CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START };
         let input = from_keeper(&tail, voter, message);
         tail.step(input, START);
     }
@@ -68,26 +77,26 @@
 }
 
 #[test]
-fn an_answer_to_a_question_of_an_earlier_life_reaches_nobody() {
-    let mut keeper = tail_in_life(LIFE);
-    let question = Question::Configuration;
+fn an_answer_to_an_earlier_incarnation_is_dropped() {
+    let mut keeper = tail_with_incarnation(INCARNATION);
+    let question = CoreQuery::Configuration;
     let (ticket, limit) = (5, START + Span::seconds(3));
-    keeper.step(Input::Ask { ticket, question, limit }, START);
-    let outcome = AskOutcome::Configuration { revision: Revision(1), source: "old".into() };
+    keeper.step(Input::Query { ticket, question, limit }, START);
+    let outcome = QueryOutcome::Configuration { revision: Revision(1), source: "old".into() };
     let answer = CoreMessage::Outcome { ticket, outcome };
-    let earlier = KeeperLife { id: ME, life: LIFE - 1 };
+    let earlier = KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 };
     let effects = keeper.step(envelope(Some(earlier), FleetId(1), answer.clone()), START);
     assert!(!effects.iter().any(|effect| matches!(effect, Effect::Outcome { .. })));
-    let own = Some(keeper.own_life());
+    let own = Some(keeper.own_incarnation());
     let effects = keeper.step(envelope(own, FleetId(1), answer), START);
     assert!(effects.iter().any(|effect| matches!(effect, Effect::Outcome { ticket: 5, .. })));
 }
 
 #[test]
-fn what_is_of_another_fleet_or_for_nobody_is_dropped() {
-    let mut keeper = tail_in_life(LIFE);
-    let own = Some(keeper.own_life());
-    for (to, fleet) in [(own, FleetId(9)), (None, FleetId(1)), (Some(played(THIRD)), FleetId(1))] {
+fn messages_of_another_fleet_or_without_a_receiver_are_dropped() {
+    let mut keeper = tail_with_incarnation(INCARNATION);
+    let own = Some(keeper.own_incarnation());
+    for (to, fleet) in [(own, FleetId(9)), (None, FleetId(1)), (Some(peer_incarnation(THIRD)), FleetId(1))] {
         let ballot = Ballot { round: 1, proposer: OTHER };
         let prepare = CoreMessage::View(ViewMessage::Prepare { next: ViewNumber(3), ballot });
         let effects = keeper.step(envelope(to, fleet, prepare), START);
@@ -96,38 +105,38 @@
     assert_eq!(keeper.misdirected(), 3);
 }
 
-/// Whoever sends to an earlier life is told of this one, and then sends to it.
+/// A keeper that sends to an earlier incarnation receives the current one's status and then sends to that.
 #[test]
-fn a_keeper_that_began_again_is_known_after_one_exchange() {
-    let (mut first, mut second) = (tail_in_life(LIFE), tail_in_life(LIFE + 1));
-    introduce(&mut first, OTHER, START);
-    let earlier = Some(first.own_life());
-    let ask = CoreMessage::DutyAsk { sent: START };
+fn a_restarted_keeper_is_known_after_one_exchange() {
+    let (mut first, mut second) = (tail_with_incarnation(INCARNATION), tail_with_incarnation(INCARNATION + 1));
+    deliver_status(&mut first, OTHER, START);
+    let earlier = Some(first.own_incarnation());
+    let ask = CoreMessage::DutyLeaseRequest { sent: START };
     let effects = second.step(envelope(earlier, FleetId(1), ask), START);
-    let told = effects.iter().find_map(|effect| match effect {
+    let sent = effects.iter().find_map(|effect| match effect {
         Effect::Send { envelope, .. } => Some(envelope.clone()),
         _ => None,
     });
-    let told = told.expect("it says who it is");
-    assert_eq!(told.from, second.own_life());
-    assert!(matches!(told.message, CoreMessage::Pulse(_)));
+    let sent = sent.expect("it sends its status");
+    assert_eq!(sent.from, second.own_incarnation());
+    assert!(matches!(sent.message, CoreMessage::Heartbeat(_)));
 }
 
-/// The answer goes to the life that asked, not to one that was heard since.
+/// The answer goes to the incarnation that asked, not to the one heard last.
 #[test]
-fn an_answer_names_the_life_that_asked() {
-    let mut tail = tail_in_life(LIFE);
-    introduce(&mut tail, OTHER, START);
-    introduce(&mut tail, THIRD, START);
+fn an_answer_is_addressed_to_the_incarnation_that_asked() {
+    let mut tail = tail_with_incarnation(INCARNATION);
+    deliver_status(&mut tail, OTHER, START);
+    deliver_status(&mut tail, THIRD, START);
     for voter in [OTHER, THIRD] {
-        let input = from_keeper(&tail, voter, CoreMessage::ReadLeaseGiven { view: ViewNumber(2), sent: START });
+        let input = from_keeper(&tail, voter, CoreMessage::ReadLeaseGranted { view: ViewNumber(2), sent: START });
         tail.step(input, START);
     }
-    let asked_in = KeeperLife { id: OTHER, life: PLAYED_LIFE + 8 };
-    let message = CoreMessage::Ask { ticket: 4, question: Question::Configuration };
-    let to = Some(tail.own_life());
-    let effects = tail.step(Input::Peer(Envelope { fleet: FleetId(1), from: asked_in, to, message }), START);
-    let answered: Vec<Option<KeeperLife>> = effects
+    let requester = KeeperIncarnation { id: OTHER, incarnation: PEER_INCARNATION + 8 };
+    let message = CoreMessage::Query { ticket: 4, question: CoreQuery::Configuration };
+    let to = Some(tail.own_incarnation());
+    let effects = tail.step(Input::Peer(Envelope { fleet: FleetId(1), from: requester, to, message }), START);
+    let answered: Vec<Option<KeeperIncarnation>> = effects
         .iter()
         .filter_map(|effect| match effect {
             Effect::Send { envelope, .. } if matches!(envelope.message, CoreMessage::Outcome { .. }) => {
@@ -136,20 +145,21 @@
             _ => None,
         })
         .collect();
-    assert_eq!(answered, [Some(asked_in)]);
+    assert_eq!(answered, [Some(requester)]);
 }
 
-/// A sender that goes on under a wrong name is answered at the pace of pulses: an answer makes it send again.
+/// Replies to misdirected messages are limited to one per heartbeat interval, since each reply makes the sender send
+/// again.
 #[test]
-fn misdirected_messages_are_not_each_answered() {
-    let mut keeper = tail_in_life(LIFE);
-    introduce(&mut keeper, OTHER, START);
-    let earlier = Some(KeeperLife { id: ME, life: LIFE - 1 });
+fn replies_to_misdirected_messages_are_rate_limited() {
+    let mut keeper = tail_with_incarnation(INCARNATION);
+    deliver_status(&mut keeper, OTHER, START);
+    let earlier = Some(KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 });
     let mut answers = 0;
     for number in 0..1000 {
         let now = START + Span::millis(number);
-        let effects = keeper.step(envelope(earlier, FleetId(1), CoreMessage::DutyAsk { sent: now }), now);
+        let effects = keeper.step(envelope(earlier, FleetId(1), CoreMessage::DutyLeaseRequest { sent: now }), now);
         answers += effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count();
     }
-    assert_eq!(answers as u64, Span::seconds(1).0 / PULSE_SPAN.0);
+    assert_eq!(answers as u64, Span::seconds(1).0 / HEARTBEAT_INTERVAL.0);
 }
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -1,34 +1,34 @@
-//! What tests of the coordinator share: keepers' messages as they arrive from the network.
+//! Shared test helpers: messages of other keepers as they arrive from the network.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 use coordinator::prelude::*;
 use units::prelude::*;
 
-/// The life of every keeper that a test plays itself.
-pub const PLAYED_LIFE: u64 = 1;
+/// The incarnation of every keeper that a test simulates.
+pub const PEER_INCARNATION: u64 = 1;
 
-pub fn played(id: NodeId) -> KeeperLife {
-    KeeperLife { id, life: PLAYED_LIFE }
+pub fn peer_incarnation(id: NodeId) -> KeeperIncarnation {
+    KeeperIncarnation { id, incarnation: PEER_INCARNATION }
 }
 
-/// A message of a keeper, addressed to the life that the coordinator has now.
+/// A keeper's message addressed to the coordinator's current incarnation.
 pub fn from_keeper(coordinator: &Coordinator, from: NodeId, message: CoreMessage) -> Input {
-    let to = Some(coordinator.own_life()).filter(|_| !message.is_for_anyone());
-    Input::Peer(Envelope { fleet: coordinator.view().fleet, from: played(from), to, message })
+    let to = Some(coordinator.own_incarnation()).filter(|_| !message.is_broadcast());
+    Input::Peer(Envelope { fleet: coordinator.view().fleet, from: peer_incarnation(from), to, message })
 }
 
-/// What a keeper says that stands where the coordinator does, and hears everybody of its view.
-pub fn news_of(coordinator: &Coordinator, from: NodeId) -> News {
+/// The status of a keeper in the same view and at the same log position as the coordinator, which hears all voters.
+pub fn status_of(coordinator: &Coordinator, from: NodeId) -> KeeperStatus {
     let view = coordinator.view();
     let address = format!("{from}:1");
     let stranger = Member { id: from, door: format!("{from}:2"), address, zone: "a".into() };
-    News {
+    KeeperStatus {
         member: view.member(from).cloned().unwrap_or(stranger),
         fleet: view.fleet,
         view: view.number,
-        aligned: view.number,
-        whole: view.number,
+        synced_view: view.number,
+        complete_view: view.number,
         last: coordinator.last(),
         committed: coordinator.last().edition,
         tail_active: view.tail() == Some(from),
@@ -37,14 +37,14 @@
     }
 }
 
-/// Has the coordinator hear a keeper, so that it knows which life of it to answer.
-pub fn introduce(coordinator: &mut Coordinator, from: NodeId, now: Instant) -> Vec<Effect> {
-    let news = CoreMessage::Pulse(news_of(coordinator, from));
-    let input = from_keeper(coordinator, from, news);
+/// Delivers a keeper's status, so that the coordinator knows which incarnation to reply to.
+pub fn deliver_status(coordinator: &mut Coordinator, from: NodeId, now: Instant) -> Vec<Effect> {
+    let status = CoreMessage::Heartbeat(status_of(coordinator, from));
+    let input = from_keeper(coordinator, from, status);
     coordinator.step(input, now)
 }
 
-/// What the effects send to a keeper, whichever life of it.
+/// The messages that the effects send to any incarnation of a keeper.
 pub fn sent_to(effects: &[Effect], to: NodeId) -> Vec<CoreMessage> {
     let sent = effects.iter().filter_map(|effect| match effect {
         Effect::Send { envelope, .. } if envelope.to.is_some_and(|told| told.id == to) => Some(&envelope.message),
@@ -53,30 +53,30 @@
     sent.cloned().collect()
 }
 
-/// When the tests of this package begin.
+/// The start time of the tests.
 pub const START: Instant = Instant(1_000_000_000);
 
-/// A keeper that is alone and acts as the tail; it has heard the read lease it gave itself.
+/// A single keeper that acts as the tail, with a read lease granted by its own vote.
 pub fn acting_tail() -> (Coordinator, Instant) {
     let address = "k".to_owned();
     let me = Member { id: NodeId(1), door: address.clone(), address, zone: Zone("z".into()) };
-    let mut kept = Kept::default();
-    for stored in Coordinator::founding(&me, FleetId(7), FleetState::default()) {
+    let mut kept = PersistedState::default();
+    for stored in Coordinator::bootstrap(&me, FleetId(7), FleetState::default()) {
         match stored {
             Stored::Snapshot { mark, state } => (kept.mark, kept.state) = (mark, *state),
             Stored::View(view) => kept.view = Some(view),
-            Stored::Aligned(view) => kept.aligned = view,
-            Stored::Whole(view) => kept.whole = view,
+            Stored::SyncedView(view) => kept.synced_view = view,
+            Stored::CompleteView(view) => kept.complete_view = view,
             _ => {}
         }
     }
-    let wishes = Wishes { core_size: 1, ..Wishes::default() };
-    let mut coordinator = Coordinator::restore(me, kept, wishes, 1, START);
+    let settings = CoordinatorSettings { core_size: 1, ..CoordinatorSettings::default() };
+    let mut coordinator = Coordinator::restore(me, kept, settings, 1, START);
     let mut now = START;
     while !coordinator.tail_is_active(now) {
-        now = now + PULSE_SPAN;
+        now = now + HEARTBEAT_INTERVAL;
         assert!(now < START + Span::seconds(10), "it never acts");
-        coordinator.step(Input::Pulse, now);
+        coordinator.step(Input::Tick, now);
     }
     (coordinator, now)
 }
--- a/crates/coordinator/tests/duties.rs
+++ b/crates/coordinator/tests/duties.rs
@@ -1,4 +1,4 @@
-//! A lease on duties counts for the keeper alone that asked for it, not for an empty one in its place.
+//! A duty lease is valid only for the keeper that requested it, not for an empty keeper at its address.
 
 mod common;
 
@@ -10,14 +10,14 @@
 
 const HOLDER: NodeId = NodeId(1);
 const TAIL: NodeId = NodeId(2);
-const EMPTY_ONE: NodeId = NodeId(3);
+const REPLACEMENT: NodeId = NodeId(3);
 const START: Instant = Instant(1_000_000_000_000);
 
 fn member(id: NodeId) -> Member {
     Member { id, address: format!("{id}:1"), door: format!("{id}:2"), zone: "a".into() }
 }
 
-/// A keeper that starts in a view whose chain is the holder and the tail.
+/// A keeper started in a view whose chain is the holder and the tail.
 fn keeper(id: NodeId) -> Coordinator {
     let view = View {
         fleet: FleetId(1),
@@ -27,31 +27,31 @@
         members: vec![member(HOLDER), member(TAIL)],
         ..View::default()
     };
-    let kept = Kept { view: Some(view), ..Kept::default() };
-    Coordinator::restore(member(id), kept, Wishes::default(), 1, START)
+    let kept = PersistedState { view: Some(view), ..PersistedState::default() };
+    Coordinator::restore(member(id), kept, CoordinatorSettings::default(), 1, START)
 }
 
-/// Whether a keeper takes itself for the conductor after a lease for it came that was asked for at an instant.
-fn is_conductor_after(keeper: &mut Coordinator, sent: Instant) -> bool {
-    let message = CoreMessage::DutyGiven { sent, duties: vec![(DutyKind::Conductor, Term(1))] };
+/// Whether a keeper holds the conductor duty after receiving a lease grant for a request sent at `sent`.
+fn holds_conductor_lease_after(keeper: &mut Coordinator, sent: Instant) -> bool {
+    let message = CoreMessage::DutyLeaseGranted { sent, duties: vec![(DutyKind::Conductor, Term(1))] };
     let now = START + Span::millis(100);
     let input = from_keeper(keeper, TAIL, message);
     keeper.step(input, now);
-    keeper.is_named_for(DutyKind::Conductor, now).is_some()
+    keeper.leased_duty(DutyKind::Conductor, now).is_some()
 }
 
 #[test]
-fn a_keeper_that_asked_holds_its_duty() {
-    assert!(is_conductor_after(&mut keeper(HOLDER), START));
+fn a_keeper_that_requested_the_lease_holds_its_duty() {
+    assert!(holds_conductor_lease_after(&mut keeper(HOLDER), START));
 }
 
 #[test]
-fn what_an_earlier_process_asked_for_is_no_lease() {
+fn a_grant_requested_by_an_earlier_process_is_ignored() {
     let before = Instant(START.0 - Span::millis(1).0);
-    assert!(!is_conductor_after(&mut keeper(HOLDER), before));
+    assert!(!holds_conductor_lease_after(&mut keeper(HOLDER), before));
 }
 
 #[test]
-fn a_keeper_that_is_not_in_the_chain_takes_no_lease_that_was_meant_for_another() {
-    assert!(!is_conductor_after(&mut keeper(EMPTY_ONE), START));
+fn a_keeper_outside_the_chain_ignores_grants() {
+    assert!(!holds_conductor_lease_after(&mut keeper(REPLACEMENT), START));
 }
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -1,11 +1,12 @@
-//! A keeper that is told to stop is out of the view before it ends, and its seat does not weigh on the others.
+//! A keeper that is told to stop is out of the view before its process ends, and its vacant seat does not reduce the
+//! failures that the others tolerate.
 
 use coordinator::prelude::*;
 use units::prelude::*;
 use view::prelude::{Member, View};
 
 const START: Instant = Instant(1_000_000_000_000);
-/// No message is lost, and each takes less than this.
+/// The tick interval; messages arrive without loss or delay.
 const STEP: Span = Span::millis(10);
 
 fn member(number: u64) -> Member {
@@ -13,11 +14,11 @@
     Member { id: NodeId(number), door: address.clone(), address, zone: "a".into() }
 }
 
-/// Keepers on a perfect network.
+/// Keepers on a lossless network without delay.
 struct Core {
     now: Instant,
     keepers: Vec<Coordinator>,
-    outcomes: Vec<AskOutcome>,
+    outcomes: Vec<QueryOutcome>,
 }
 
 impl Core {
@@ -32,10 +33,11 @@
             lineage: vec![(ViewNumber(1), vec![NodeId(1)])],
             ..View::default()
         };
-        let (aligned, whole) = (view.number, view.number);
-        let kept = Kept { view: Some(view), aligned, whole, ..Kept::default() };
-        let wishes = Wishes { core_size: size as usize, ..Wishes::default() };
-        let keepers = (1..=size).map(|id| Coordinator::restore(member(id), kept.clone(), wishes.clone(), id, START));
+        let (synced_view, complete_view) = (view.number, view.number);
+        let kept = PersistedState { view: Some(view), synced_view, complete_view, ..PersistedState::default() };
+        let settings = CoordinatorSettings { core_size: size as usize, ..CoordinatorSettings::default() };
+        let keepers =
+            (1..=size).map(|id| Coordinator::restore(member(id), kept.clone(), settings.clone(), id, START));
         let mut core = Core { now: START, keepers: keepers.collect(), outcomes: Vec::new() };
         core.run(Span::seconds(6));
         core
@@ -46,7 +48,7 @@
         while self.now < until {
             self.now = self.now + STEP;
             for place in 0..self.keepers.len() {
-                self.feed(place, Input::Pulse);
+                self.feed(place, Input::Tick);
             }
         }
     }
@@ -71,45 +73,49 @@
         self.keepers.iter().position(|keeper| keeper.me().id == NodeId(id))
     }
 
-    /// Tells a keeper to stop; how long until it may end.
+    /// Tells a keeper to stop, removes it once it has left, and returns how long that took.
     fn stop(&mut self, id: u64) -> Span {
-        let told = self.now;
-        let place = self.place(id).expect("it runs");
+        let stop_requested = self.now;
+        let place = self.place(id).expect("it is running");
         self.feed(place, Input::Retire);
         while !self.keepers[place].has_left() {
-            assert!(self.now.since(told) < Span::seconds(3), "{}", self.keepers[place].reason_to_stay(self.now));
+            assert!(
+                self.now.since(stop_requested) < Span::seconds(3),
+                "{}",
+                self.keepers[place].leave_blocker(self.now)
+            );
             self.run(STEP);
         }
-        let left = self.now.since(told);
+        let left = self.now.since(stop_requested);
         self.keepers.remove(place);
         left
     }
 
     fn submit(&mut self, number: u64) {
         let command = Command::Merge { base: None, patch: r#"{"kinds":["k"]}"#.into() };
-        let question = Question::Submit(Submission { request: RequestId(number), command });
+        let question = CoreQuery::Submit(Submission { request: RequestId(number), command });
         let limit = self.now + Span::seconds(6);
-        self.feed(0, Input::Ask { ticket: number, question, limit });
+        self.feed(0, Input::Query { ticket: number, question, limit });
     }
 
     fn view(&self) -> &View {
-        self.keepers.iter().map(Coordinator::view).max_by_key(|view| view.number).expect("somebody runs")
+        self.keepers.iter().map(Coordinator::view).max_by_key(|view| view.number).expect("a keeper is running")
     }
 }
 
-/// Whichever member of the chain stops, it is let go long before it would have been missed.
+/// Whichever chain member stops, it leaves the view well before the failure timeout.
 #[test]
-fn whoever_stops_is_out_of_the_view_before_it_ends() {
+fn a_stopping_keeper_leaves_the_view_before_it_ends() {
     for size in [4, 5, 7] {
         for leaver in 1..=size {
             let mut core = Core::of(size);
             let left = core.stop(leaver);
-            assert!(left < SUSPECT_AFTER, "{leaver} of {size} took {} ms", left.as_millis());
+            assert!(left < SUSPECT_TIMEOUT, "{leaver} of {size} took {} ms", left.as_millis());
             assert!(!core.view().in_chain(NodeId(leaver)));
             core.submit(1);
             core.run(Span::seconds(5));
             assert!(
-                matches!(core.outcomes.as_slice(), [AskOutcome::CommandOutcome(CommandOutcome::Applied(_))]),
+                matches!(core.outcomes.as_slice(), [QueryOutcome::Settled(CommandOutcome::Applied(_))]),
                 "{leaver} of {size}: {:?}",
                 core.outcomes
             );
@@ -117,9 +123,10 @@
     }
 }
 
-/// Four bear one loss and three bear one, too: the seat that stays empty would leave no majority after the next.
+/// Four voters tolerate one failure, as do three. If the leaver's seat stayed vacant, the next failure would leave no
+/// majority.
 #[test]
-fn a_loss_right_after_one_of_four_has_left_leaves_a_majority() {
+fn a_failure_after_one_of_four_left_leaves_a_majority() {
     for leaver in 1..=4 {
         let mut core = Core::of(4);
         core.stop(leaver);
@@ -129,30 +136,30 @@
         core.submit(1);
         core.run(Span::seconds(5));
         assert!(
-            matches!(core.outcomes.as_slice(), [AskOutcome::CommandOutcome(CommandOutcome::Applied(_))]),
+            matches!(core.outcomes.as_slice(), [QueryOutcome::Settled(CommandOutcome::Applied(_))]),
             "{:?}",
             core.outcomes
         );
     }
 }
 
-/// Where the chain would become too short without it, a keeper stays until it must end, and can say why.
+/// A keeper stays in the chain if that would become too short without it, and reports the reason.
 #[test]
-fn one_that_cannot_be_spared_says_why() {
+fn a_keeper_that_cannot_leave_reports_the_reason() {
     let mut core = Core::of(2);
-    let place = core.place(1).expect("it runs");
+    let place = core.place(1).expect("it is running");
     core.feed(place, Input::Retire);
     core.run(Span::seconds(2));
     assert!(!core.keepers[place].has_left());
-    assert_eq!(core.keepers[place].reason_to_stay(core.now), "the chain without it would be too short");
+    assert_eq!(core.keepers[place].leave_blocker(core.now), "the chain without it would be too short");
     core.keepers.remove(1 - place);
     core.run(Span::seconds(2));
-    assert_eq!(core.keepers[0].reason_to_stay(core.now), "no majority of the voters is heard");
+    assert_eq!(core.keepers[0].leave_blocker(core.now), "no majority of the voters is heard");
 }
 
-/// A whole fleet that is told to stop does not tear its view apart meanwhile.
+/// Keepers that are all told to stop at once do not keep changing the view.
 #[test]
-fn all_that_are_told_to_stop_at_once_keep_their_view() {
+fn keepers_stopped_all_at_once_keep_their_view() {
     let mut core = Core::of(4);
     for place in 0..4 {
         core.feed(place, Input::Retire);
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -1,5 +1,5 @@
-//! A chain that has become too short for the losses that the fleet must bear tells and counts nothing that it
-//! does not hold on enough disks already.
+//! A chain that is too short for the configured tolerance neither reports nor commits records that are not yet on
+//! enough disks.
 
 mod common;
 
@@ -33,22 +33,28 @@
 fn acting_tail() -> Coordinator {
     let view = view_of(2, &[HEAD, TAIL]);
     let number = view.number;
-    let kept = Kept { view: Some(view), aligned: number, whole: number, begun: number, ..Kept::default() };
-    let mut tail = Coordinator::restore(member(TAIL), kept, Wishes::default(), 1, START);
-    lend_read_lease(&mut tail, START);
+    let kept = PersistedState {
+        view: Some(view),
+        synced_view: number,
+        complete_view: number,
+        begun: number,
+        ..PersistedState::default()
+    };
+    let mut tail = Coordinator::restore(member(TAIL), kept, CoordinatorSettings::default(), 1, START);
+    grant_read_lease(&mut tail, START);
     assert!(tail.tail_is_active(START));
     tail
 }
 
-fn lend_read_lease(tail: &mut Coordinator, now: Instant) {
+fn grant_read_lease(tail: &mut Coordinator, now: Instant) {
     let view = tail.view().number;
     for voter in [HEAD, THIRD] {
-        let input = from_keeper(tail, voter, CoreMessage::ReadLeaseGiven { view, sent: now });
+        let input = from_keeper(tail, voter, CoreMessage::ReadLeaseGranted { view, sent: now });
         tail.step(input, now);
     }
 }
 
-/// Has the head pass a change on; the same step may not yet count it.
+/// Appends a change received from the head; without a read lease the tail does not commit it.
 fn append(tail: &mut Coordinator, number: u64, now: Instant) -> Vec<Effect> {
     let previous = tail.last();
     let mark = Mark { edition: previous.edition.next(), view: tail.view().number };
@@ -60,46 +66,46 @@
     tail.step(input, now)
 }
 
-/// The head's disk is lost: the next view has this member alone in its chain.
-fn lose_head(tail: &mut Coordinator, now: Instant) {
+/// The head's disk is lost: the next view's chain is this member alone.
+fn adopt_single_member_view(tail: &mut Coordinator, now: Instant) {
     let decided = CoreMessage::View(ViewMessage::Decided(view_of(3, &[TAIL])));
     let input = from_keeper(tail, THIRD, decided);
     tail.step(input, now);
-    lend_read_lease(tail, now);
+    grant_read_lease(tail, now);
 }
 
-fn asks(tail: &mut Coordinator, question: Question, now: Instant) -> bool {
-    let message = CoreMessage::Ask { ticket: 9, question };
+fn is_answered(tail: &mut Coordinator, question: CoreQuery, now: Instant) -> bool {
+    let message = CoreMessage::Query { ticket: 9, question };
     let input = from_keeper(tail, THIRD, message);
     let effects = tail.step(input, now);
     sent_to(&effects, THIRD).iter().any(|message| matches!(message, CoreMessage::Outcome { .. }))
 }
 
 #[test]
-fn a_change_that_came_to_a_single_disk_is_neither_told_nor_counted() {
+fn a_change_on_a_single_disk_is_neither_reported_nor_committed() {
     let mut tail = acting_tail();
-    // The view changes before this tail has counted the change: it stands on its own disk, and on one just lost.
-    lose_head(&mut tail, START + Span::millis(10));
+    // The view changes before this tail has committed the change, which is on its own disk and on the one just lost.
+    adopt_single_member_view(&mut tail, START + Span::millis(10));
     let committed = tail.last().edition;
-    assert!(tail.tail_is_active(START + Span::millis(20)), "what was counted on two disks is served");
+    assert!(tail.tail_is_active(START + Span::millis(20)), "what was committed on two disks is served");
     let mut tail = acting_tail();
     let expired = START + Span::seconds(1);
     append(&mut tail, 7, expired);
-    assert!(tail.last().edition > committed, "it has the change");
-    assert!(!tail.tail_is_active(expired), "without a read lease it has not counted it");
-    lose_head(&mut tail, expired + Span::millis(10));
+    assert!(tail.last().edition > committed, "it has appended the change");
+    assert!(!tail.tail_is_active(expired), "without a read lease it has not committed it");
+    adopt_single_member_view(&mut tail, expired + Span::millis(10));
     let now = expired + Span::millis(20);
-    assert!(!tail.tail_is_active(now), "it acts on a change that one disk holds");
-    assert!(!asks(&mut tail, Question::Configuration, now));
-    assert!(!asks(&mut tail, Question::CommandOutcome { request: RequestId(7), fingerprint: None }, now));
+    assert!(!tail.tail_is_active(now), "it acts with a record that only one disk holds");
+    assert!(!is_answered(&mut tail, CoreQuery::Configuration, now));
+    assert!(!is_answered(&mut tail, CoreQuery::Settled { request: RequestId(7), fingerprint: None }, now));
 }
 
 #[test]
-fn once_another_disk_holds_it_it_is_served() {
+fn a_chain_with_a_second_disk_takes_writes_again() {
     let mut tail = acting_tail();
     let expired = START + Span::seconds(1);
     append(&mut tail, 7, expired);
-    lose_head(&mut tail, expired + Span::millis(10));
+    adopt_single_member_view(&mut tail, expired + Span::millis(10));
     let grown = CoreMessage::View(ViewMessage::Decided(view_of(4, &[TAIL, THIRD])));
     let now = expired + Span::millis(20);
     let input = from_keeper(&tail, THIRD, grown);
@@ -107,22 +113,22 @@
     assert!(tail.view().takes_writes());
 }
 
-/// The other voters are still there, so one of them is taken into the chain, though its tail does not act.
+/// The other voters are live, so one joins the chain even though the tail is inactive.
 #[test]
-fn a_chain_that_is_too_short_grows_though_its_tail_rests() {
+fn a_short_chain_grows_while_its_tail_is_inactive() {
     let mut tail = acting_tail();
     let expired = START + Span::seconds(1);
     append(&mut tail, 7, expired);
-    lose_head(&mut tail, expired + Span::millis(10));
+    adopt_single_member_view(&mut tail, expired + Span::millis(10));
     let mut now = expired;
     let mut proposes = false;
     for _ in 0..40 {
         now = now + Span::millis(50);
-        introduce(&mut tail, THIRD, now);
-        let effects = tail.step(Input::Pulse, now);
+        deliver_status(&mut tail, THIRD, now);
+        let effects = tail.step(Input::Tick, now);
         let asked = sent_to(&effects, THIRD);
         proposes |= asked.iter().any(|message| matches!(message, CoreMessage::View(ViewMessage::Prepare { .. })));
     }
     assert!(!tail.tail_is_active(now));
-    assert!(proposes, "nobody takes the third keeper in");
+    assert!(proposes, "nobody proposes a view with the third keeper");
 }
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -61,8 +61,8 @@
     }
 
     async fn configuration(&self) -> Option<(Revision, String)> {
-        match self.executor.ask(Question::Configuration, READ_LIMIT).await {
-            AskOutcome::Configuration { revision, source } => Some((revision, source)),
+        match self.executor.ask(CoreQuery::Configuration, READ_LIMIT).await {
+            QueryOutcome::Configuration { revision, source } => Some((revision, source)),
             _ => None,
         }
     }
@@ -115,7 +115,7 @@
             }
             let outcome = self.settle(Command::QueryChange { base, fingerprint }).await;
             let is_base_now =
-                matches!(outcome, AskOutcome::CommandOutcome(CommandOutcome::Stale { now }) if now.0 == base.0);
+                matches!(outcome, QueryOutcome::Settled(CommandOutcome::Stale { now }) if now.0 == base.0);
             if !is_base_now {
                 return tell(outcome);
             }
@@ -130,36 +130,36 @@
         };
         match self.settle(Command::RaiseWeights { model, weights }).await {
             // Newer ones were named since.
-            AskOutcome::CommandOutcome(CommandOutcome::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
+            QueryOutcome::Settled(CommandOutcome::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
             outcome => tell(outcome),
         }
     }
 
-    async fn settle(&self, command: Command) -> AskOutcome {
+    async fn settle(&self, command: Command) -> QueryOutcome {
         self.executor.submit(RequestId::random(), command, CHANGE_LIMIT).await
     }
 }
 
 /// What became of a change, as logs name it.
-fn outcome_name(outcome: &AskOutcome) -> &'static str {
+fn outcome_name(outcome: &QueryOutcome) -> &'static str {
     match outcome {
-        AskOutcome::CommandOutcome(CommandOutcome::Applied(_)) => "acknowledged",
-        AskOutcome::CommandOutcome(CommandOutcome::Stale { .. }) => "stale",
-        AskOutcome::CommandOutcome(CommandOutcome::Refused(_)) => "refused",
+        QueryOutcome::Settled(CommandOutcome::Applied(_)) => "acknowledged",
+        QueryOutcome::Settled(CommandOutcome::Stale { .. }) => "stale",
+        QueryOutcome::Settled(CommandOutcome::Refused(_)) => "refused",
         _ => "unknown",
     }
 }
 
-fn tell(outcome: AskOutcome) -> WebOutcome {
+fn tell(outcome: QueryOutcome) -> WebOutcome {
     match outcome {
-        AskOutcome::CommandOutcome(CommandOutcome::Applied(edition)) => {
+        QueryOutcome::Settled(CommandOutcome::Applied(edition)) => {
             outcome_json(StatusCode::OK, &json!({"edition": edition.0}))
         }
-        AskOutcome::CommandOutcome(CommandOutcome::Stale { now }) => {
+        QueryOutcome::Settled(CommandOutcome::Stale { now }) => {
             let reason = format!("another revision is in force: {now}");
             refuse(StatusCode::PRECONDITION_FAILED, "stale", &reason)
         }
-        AskOutcome::CommandOutcome(CommandOutcome::Refused(complaints)) => tell_faults(&complaints),
+        QueryOutcome::Settled(CommandOutcome::Refused(complaints)) => tell_faults(&complaints),
         _ => not_known(),
     }
 }
--- a/crates/simulator/src/register_operators.rs
+++ b/crates/simulator/src/register_operators.rs
@@ -75,12 +75,12 @@
     }
 
     /// Notes what a keeper answered to one of the calls.
-    pub(crate) fn hear(&mut self, ticket: u64, outcome: &AskOutcome) {
+    pub(crate) fn hear(&mut self, ticket: u64, outcome: &QueryOutcome) {
         let Some(place) = self.open.remove(&ticket) else { return };
         let answer = match outcome {
-            AskOutcome::CommandOutcome(CommandOutcome::Applied(_)) => RegisterAnswer::Taken,
-            AskOutcome::CommandOutcome(CommandOutcome::Stale { .. }) => RegisterAnswer::Stale,
-            AskOutcome::Configuration { revision, .. } => RegisterAnswer::Revision(revision.0),
+            QueryOutcome::Settled(CommandOutcome::Applied(_)) => RegisterAnswer::Taken,
+            QueryOutcome::Settled(CommandOutcome::Stale { .. }) => RegisterAnswer::Stale,
+            QueryOutcome::Configuration { revision, .. } => RegisterAnswer::Revision(revision.0),
             _ => return,
         };
         self.moment += 1;
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -1,18 +1,24 @@
-//! The machine: inputs from the core, from the router and from the pulse.
+//! The state machine: inputs from the core, from the router and from the timer.
 
 use crate::prelude::*;
+/// The renewal interval until a granted lease determines it.
+const DEFAULT_RENEWAL_INTERVAL: Span = Span::millis(400);
+/// The minimum time between two ticks.
+const MIN_TICK_INTERVAL: Span = Span::millis(20);
+/// The renewal interval while the lease is missing or about to expire.
+const EAGER_RENEWAL_INTERVAL: Span = Span::millis(100);
+/// The keeper is given up after this long without a message from it.
+const SILENCE_TIMEOUT: Span = Span::millis(1200);
+/// A keeper that grants nothing for this long may wrongly consider itself the tail after others have replaced it.
+const GRANT_TIMEOUT: Span = Span::millis(1500);
+/// The keeper is given up after refusing the lease for this long because the node lags behind.
+const BEHIND_TIMEOUT: Span = Span::millis(900);
+/// The minimum time between two dials.
+const DIAL_INTERVAL: Span = Span::millis(250);
+/// Minimum time after a dial before a redirect to the tail is followed.
+const REDIRECT_DELAY: Span = Span::millis(60);
 
-const USUAL_RENEWAL: Span = Span::millis(400);
-const SHORTEST_PAUSE: Span = Span::millis(20);
-const EAGER_SPAN: Span = Span::millis(100);
-const SILENCE_LIMIT: Span = Span::millis(1200);
-/// A keeper that grants nothing for so long may take itself for a tail that others have replaced.
-const GRANT_LIMIT: Span = Span::millis(1500);
-const BEHIND_LIMIT: Span = Span::millis(900);
-const DIAL_SPAN: Span = Span::millis(250);
-/// A keeper that names the tail is believed after so short a time.
-const REDIRECT_SPAN: Span = Span::millis(60);
-
+/// The state of the connection to the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CoreStream {
     Down,
@@ -20,17 +26,18 @@
     Up,
 }
 
+/// The connected router.
 #[derive(Clone, Debug)]
-struct RouterPlace {
-    life: u64,
+struct RouterState {
+    incarnation: u64,
     applied: Option<Edition>,
     address: Option<RouterAddress>,
-    /// It has a state that changes can follow: its own, or a snapshot that is on its way to it. What was
-    /// pushed for the router before it can follow nothing.
+    /// Whether it has a state to which changes can be applied: its own, or a snapshot on its way to it. Changes
+    /// pushed for an earlier router incarnation cannot be applied.
     has_state: bool,
 }
 
-/// An agent's hold on the core, for its router.
+/// An agent's connection to the core on behalf of its router.
 #[derive(Clone, Debug)]
 pub struct Subscription {
     seeds: Vec<String>,
@@ -39,25 +46,25 @@
     target: String,
     next_dial: Instant,
     dial_count: usize,
-    /// The tail as the keeper dialled last names it, to be dialled at the next moment that allows it.
+    /// The tail's address as named by the connected keeper; dialled as soon as the redirect delay allows.
     redirect: Option<String>,
     last_heard: Instant,
-    /// When the last lease was granted, or the stream came up.
+    /// When the last lease was granted, or the connection was established.
     last_granted: Instant,
     last_renewed: Instant,
-    renew_span: Span,
-    /// What comes on this stream now was not said before: when the renewal last granted left here. A
-    /// machine that slept must not take what waited for it meanwhile for new.
-    said_since: Instant,
+    renew_interval: Span,
+    /// The earliest time at which messages arriving now can have been sent: when the last granted renewal was sent.
+    /// After the machine slept, messages queued meanwhile must not count as new.
+    stream_baseline: Instant,
     behind_since: Option<Instant>,
-    router: Option<RouterPlace>,
-    lives: u64,
+    router: Option<RouterState>,
+    incarnations: u64,
     lease_until: Instant,
-    plan: Vec<SubscriptionEffect>,
+    effects: Vec<SubscriptionEffect>,
 }
 
 impl Subscription {
-    /// An agent that has reached nobody yet; `spread` says with which seed it begins.
+    /// An agent without a connection; `spread` selects the seed to dial first.
     pub fn new(seeds: Vec<String>, spread: usize) -> Subscription {
         Subscription {
             seeds,
@@ -70,153 +77,165 @@
             last_heard: Instant(0),
             last_granted: Instant(0),
             last_renewed: Instant(0),
-            renew_span: USUAL_RENEWAL,
-            said_since: Instant(0),
+            renew_interval: DEFAULT_RENEWAL_INTERVAL,
+            stream_baseline: Instant(0),
             behind_since: None,
             router: None,
-            lives: 0,
+            incarnations: 0,
             lease_until: Instant(0),
-            plan: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
-    /// The fleet it belongs to, once it knows.
+    /// The agent's fleet, once known.
     pub fn fleet(&self) -> FleetId {
         self.view.fleet
     }
 
-    /// Until when its router is leased.
+    /// The end of the router's lease.
     pub fn lease_until(&self) -> Instant {
         self.lease_until
     }
 
-    /// Takes an input; what is to be done about it, in order.
+    /// Handles an input and returns the effects to carry out, in order.
     pub fn step(&mut self, input: SubscriptionInput, now: Instant) -> Vec<SubscriptionEffect> {
         match input {
-            SubscriptionInput::Pulse => self.pulse(now),
-            SubscriptionInput::CoreUp => {
+            SubscriptionInput::Tick => self.tick(now),
+            SubscriptionInput::CoreConnected => {
                 self.core = CoreStream::Up;
                 self.last_heard = now;
                 self.last_granted = now;
-                self.said_since = now;
+                self.stream_baseline = now;
                 self.behind_since = None;
                 self.renew(now);
             }
-            SubscriptionInput::CoreDown => self.core = CoreStream::Down,
+            SubscriptionInput::CoreDisconnected => self.core = CoreStream::Down,
             SubscriptionInput::Core(message) => {
                 if self.core == CoreStream::Up {
                     self.last_heard = now;
-                    self.hear_core(message, now);
+                    self.handle_core_message(message, now);
                 }
             }
-            SubscriptionInput::RouterUp => {
-                self.lives += 1;
-                self.router = Some(RouterPlace { life: self.lives, applied: None, address: None, has_state: false });
+            SubscriptionInput::RouterConnected => {
+                self.incarnations += 1;
+                self.router = Some(RouterState {
+                    incarnation: self.incarnations,
+                    applied: None,
+                    address: None,
+                    has_state: false,
+                });
                 self.renew(now);
             }
-            SubscriptionInput::RouterDown => self.router = None,
-            SubscriptionInput::Router(RouterUp::Here(address)) => {
+            SubscriptionInput::RouterDisconnected => self.router = None,
+            SubscriptionInput::Router(RouterToAgent::Announce(address)) => {
                 if let Some(router) = self.router.as_mut() {
                     router.address = Some(address);
                 }
             }
-            SubscriptionInput::Router(RouterUp::Submit { ticket, submission }) => {
-                self.say_core(NodeUp::Submit { ticket, submission });
+            SubscriptionInput::Router(RouterToAgent::Submit { ticket, submission }) => {
+                self.send_to_core(AgentToKeeper::Submit { ticket, submission });
+            }
+            SubscriptionInput::Router(RouterToAgent::Demand(report)) => {
+                self.send_to_core(AgentToKeeper::Demand(report))
             }
-            SubscriptionInput::Router(RouterUp::Demand(report)) => self.say_core(NodeUp::Demand(report)),
-            SubscriptionInput::Router(RouterUp::Applied { edition }) => {
+            SubscriptionInput::Router(RouterToAgent::Applied { edition }) => {
                 let Some(router) = self.router.as_mut() else { return Vec::new() };
                 let is_first = router.applied.is_none();
                 router.applied = Some(edition);
                 router.has_state = true;
-                self.say_core(NodeUp::Applied { edition });
+                self.send_to_core(AgentToKeeper::Applied { edition });
                 if is_first {
                     self.renew(now);
                 }
             }
             SubscriptionInput::Seeds(seeds) => self.seeds = seeds,
         }
-        std::mem::take(&mut self.plan)
+        std::mem::take(&mut self.effects)
     }
 
-    fn say_core(&mut self, message: NodeUp) {
+    fn send_to_core(&mut self, message: AgentToKeeper) {
         if self.core == CoreStream::Up {
-            self.plan.push(SubscriptionEffect::SayCore(message));
+            self.effects.push(SubscriptionEffect::SendToCore(message));
         }
     }
 
     fn renew(&mut self, now: Instant) {
         let Some(router) = &self.router else { return };
         let address = router.address.clone();
-        let renewal = NodeUp::Renew { sent: now, applied: router.applied, life: router.life, router: address };
+        let renewal = AgentToKeeper::Renew {
+            sent: now,
+            applied: router.applied,
+            incarnation: router.incarnation,
+            router: address,
+        };
         self.last_renewed = now;
-        self.say_core(renewal);
+        self.send_to_core(renewal);
     }
 
-    fn pulse(&mut self, now: Instant) {
+    fn tick(&mut self, now: Instant) {
         match self.core {
             CoreStream::Up => {
-                if now >= self.redirected_from()
+                if now >= self.redirect_allowed_at()
                     && let Some(tail_address) = self.redirect.take()
                 {
                     self.dial(tail_address, now);
                     return;
                 }
-                let silent_too_long = self.router.is_some() && now.since(self.last_heard) >= SILENCE_LIMIT;
-                let behind_too_long = self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_LIMIT);
-                let granted_nothing = self.router.is_some() && now.since(self.last_granted) >= GRANT_LIMIT;
-                if silent_too_long || behind_too_long || granted_nothing {
-                    self.leave(now);
+                let is_silent = self.router.is_some() && now.since(self.last_heard) >= SILENCE_TIMEOUT;
+                let is_behind = self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_TIMEOUT);
+                let grants_nothing = self.router.is_some() && now.since(self.last_granted) >= GRANT_TIMEOUT;
+                if is_silent || is_behind || grants_nothing {
+                    self.switch_keeper(now);
                     return;
                 }
-                if now.since(self.last_renewed) >= self.pause(now) {
+                if now.since(self.last_renewed) >= self.renewal_interval(now) {
                     self.renew(now);
                 }
             }
-            CoreStream::Down => self.dial_another(now),
+            CoreStream::Down => self.dial_next(now),
             CoreStream::Dialling { since } => {
-                if now.since(since) >= SILENCE_LIMIT {
-                    self.leave(now);
+                if now.since(since) >= SILENCE_TIMEOUT {
+                    self.switch_keeper(now);
                 }
             }
         }
     }
 
-    /// Gives up the present keeper for another. The same one again would cost its whole limit once more: a
-    /// tail that the other keepers cannot reach still answers, and still takes itself for the tail.
-    fn leave(&mut self, now: Instant) {
+    /// Dials another keeper than the current one. Redialling the same one could cost the whole timeout again: a tail
+    /// that other keepers cannot reach still answers and still considers itself the tail.
+    fn switch_keeper(&mut self, now: Instant) {
         let left = self.target.clone();
-        self.dial_one(now, |address| address != left);
+        self.dial_next_matching(now, |address| address != left);
     }
 
-    /// Between two renewals.
-    fn pause(&self, now: Instant) -> Span {
-        let is_leased = now + self.renew_span < self.lease_until;
-        if is_leased { self.renew_span } else { EAGER_SPAN }
+    /// The time until the next renewal: shorter while the lease is not valid beyond a full interval.
+    fn renewal_interval(&self, now: Instant) -> Span {
+        let is_leased = now + self.renew_interval < self.lease_until;
+        if is_leased { self.renew_interval } else { EAGER_RENEWAL_INTERVAL }
     }
 
-    /// When the next pulse is due, if nothing comes before.
-    pub fn next_pulse(&self, now: Instant) -> Instant {
+    /// When the next tick is due if no other input arrives before.
+    pub fn next_tick(&self, now: Instant) -> Instant {
         let due = match self.core {
-            CoreStream::Up if self.redirect.is_some() => self.redirected_from(),
-            CoreStream::Up if self.router.is_some() => (self.last_renewed + self.pause(now))
-                .min(self.last_heard + SILENCE_LIMIT)
-                .min(self.last_granted + GRANT_LIMIT)
-                .min(self.behind_since.map_or(now + SILENCE_LIMIT, |since| since + BEHIND_LIMIT)),
-            CoreStream::Up => now + SILENCE_LIMIT,
+            CoreStream::Up if self.redirect.is_some() => self.redirect_allowed_at(),
+            CoreStream::Up if self.router.is_some() => (self.last_renewed + self.renewal_interval(now))
+                .min(self.last_heard + SILENCE_TIMEOUT)
+                .min(self.last_granted + GRANT_TIMEOUT)
+                .min(self.behind_since.map_or(now + SILENCE_TIMEOUT, |since| since + BEHIND_TIMEOUT)),
+            CoreStream::Up => now + SILENCE_TIMEOUT,
             CoreStream::Down => self.next_dial,
-            CoreStream::Dialling { since } => since + SILENCE_LIMIT,
+            CoreStream::Dialling { since } => since + SILENCE_TIMEOUT,
         };
-        due.max(now + SHORTEST_PAUSE)
+        due.max(now + MIN_TICK_INTERVAL)
     }
 
-    /// Everybody in turn.
-    fn dial_another(&mut self, now: Instant) {
-        self.dial_one(now, |_| true);
+    /// Dials the next known address, round-robin.
+    fn dial_next(&mut self, now: Instant) {
+        self.dial_next_matching(now, |_| true);
     }
 
-    /// The next in turn of those wanted, or of all if none is.
-    fn dial_one(&mut self, now: Instant, is_wanted: impl Fn(&str) -> bool) {
+    /// Dials the next address that matches, or the next of all if none matches.
+    fn dial_next_matching(&mut self, now: Instant, is_wanted: impl Fn(&str) -> bool) {
         if now < self.next_dial {
             return;
         }
@@ -238,71 +257,79 @@
     }
 
     fn dial(&mut self, address: String, now: Instant) {
-        self.next_dial = now + DIAL_SPAN;
+        self.next_dial = now + DIAL_INTERVAL;
         self.core = CoreStream::Dialling { since: now };
         self.behind_since = None;
         self.redirect = None;
         self.target = address.clone();
-        self.plan.push(SubscriptionEffect::Dial(address));
+        self.effects.push(SubscriptionEffect::Dial(address));
     }
 
-    fn hear_core(&mut self, message: NodeDown, now: Instant) {
+    fn handle_core_message(&mut self, message: KeeperToAgent, now: Instant) {
         match message {
-            NodeDown::Membership(view) => self.hear_membership(view, now),
-            NodeDown::Granted { sent, span, life, undisturbed } => {
+            KeeperToAgent::Membership(view) => self.handle_membership(view, now),
+            KeeperToAgent::Granted { sent, span, incarnation, undisturbed } => {
                 self.last_granted = now;
-                self.renew_span = renewal_span(span);
-                self.said_since = self.said_since.max(sent);
+                self.renew_interval = renewal_span(span);
+                self.stream_baseline = self.stream_baseline.max(sent);
                 self.behind_since = None;
                 self.redirect = None;
-                let asked_for_this_life = self.router.as_ref().is_some_and(|router| router.life == life);
-                if asked_for_this_life {
+                let asked_for_this_incarnation =
+                    self.router.as_ref().is_some_and(|router| router.incarnation == incarnation);
+                if asked_for_this_incarnation {
                     self.lease_until = self.lease_until.max(sent + span);
-                    let disturbed = self.when(undisturbed);
-                    let lease = RouterDown::Lease { asked: sent, until: sent + span, disturbed };
-                    self.plan.push(SubscriptionEffect::SayRouter(lease));
+                    let disturbed = self.instant_at_age(undisturbed);
+                    let lease = AgentToRouter::Lease { asked: sent, until: sent + span, disturbed };
+                    self.effects.push(SubscriptionEffect::SendToRouter(lease));
                 }
             }
-            NodeDown::NotNow => {}
-            NodeDown::CommandOutcome { ticket, outcome } => {
-                self.plan.push(SubscriptionEffect::SayRouter(RouterDown::CommandOutcome { ticket, outcome }));
+            KeeperToAgent::NotNow => {}
+            KeeperToAgent::Settled { ticket, outcome } => {
+                self.effects.push(SubscriptionEffect::SendToRouter(AgentToRouter::Settled { ticket, outcome }));
+            }
+            KeeperToAgent::Routers(routers) => {
+                self.effects.push(SubscriptionEffect::SendToRouter(AgentToRouter::Routers(routers)))
             }
-            NodeDown::Routers(routers) => self.plan.push(SubscriptionEffect::SayRouter(RouterDown::Routers(routers))),
-            NodeDown::Behind => {
+            KeeperToAgent::Behind => {
                 let has_applied = self.router.as_ref().is_some_and(|router| router.applied.is_some());
                 if has_applied {
                     self.behind_since.get_or_insert(now);
                 }
             }
-            NodeDown::Snapshot { state, gave_way } => {
+            KeeperToAgent::Snapshot { state, gave_way } => {
                 if let Some(router) = self.router.as_mut() {
                     router.has_state = true;
                 }
-                let gave_way = gave_way.into_iter().map(|(model, weights, age)| (model, weights, self.when(age)));
-                let message = RouterDown::Snapshot { state, gave_way: gave_way.collect() };
-                self.plan.push(SubscriptionEffect::SayRouter(message));
+                let gave_way =
+                    gave_way.into_iter().map(|(model, weights, age)| (model, weights, self.instant_at_age(age)));
+                let message = AgentToRouter::Snapshot { state, gave_way: gave_way.collect() };
+                self.effects.push(SubscriptionEffect::SendToRouter(message));
             }
-            NodeDown::Push { number, submission, age } => {
+            KeeperToAgent::Push { number, submission, age } => {
                 if !self.router.as_ref().is_some_and(|router| router.has_state) {
                     return;
                 }
-                let committed = age.map(|age| self.when(age));
-                self.plan.push(SubscriptionEffect::SayRouter(RouterDown::Push { number, submission, committed }));
+                let committed = age.map(|age| self.instant_at_age(age));
+                self.effects.push(SubscriptionEffect::SendToRouter(AgentToRouter::Push {
+                    number,
+                    submission,
+                    committed,
+                }));
             }
         }
     }
 
-    /// The earliest instant of what was so long ago when it was said.
-    fn when(&self, age: Span) -> Instant {
-        Instant(self.said_since.0.saturating_sub(age.0))
+    /// The earliest instant that a reported age can refer to.
+    fn instant_at_age(&self, age: Span) -> Instant {
+        Instant(self.stream_baseline.0.saturating_sub(age.0))
     }
 
-    fn hear_membership(&mut self, view: View, now: Instant) {
+    fn handle_membership(&mut self, view: View, now: Instant) {
         let other_fleet = self.view.fleet != FleetId(0) && view.fleet != FleetId(0) && view.fleet != self.view.fleet;
         if other_fleet {
             let detail = format!("theirs={} ours={}", view.fleet, self.view.fleet);
-            self.plan.push(SubscriptionEffect::Note { event: "wrong_fleet", detail });
-            self.dial_another(now);
+            self.effects.push(SubscriptionEffect::LogEvent { event: "wrong_fleet", detail });
+            self.dial_next(now);
             return;
         }
         if view.number >= self.view.number {
@@ -316,17 +343,17 @@
             .unwrap_or_default();
         if tail_address.is_empty() || tail_address == self.target {
             self.redirect = None;
-        } else if now < self.redirected_from() {
+        } else if now < self.redirect_allowed_at() {
             self.redirect = Some(tail_address);
         } else {
             self.dial(tail_address, now);
         }
     }
 
-    /// From when on the keeper dialled last is believed that another is the tail: two that name each other must
-    /// not be dialled without a pause.
-    fn redirected_from(&self) -> Instant {
-        Instant(self.next_dial.0.saturating_sub(DIAL_SPAN.0)) + REDIRECT_SPAN
+    /// The earliest time to follow a redirect from the current keeper. Two keepers that each name the other as tail
+    /// must not cause a tight dial loop.
+    fn redirect_allowed_at(&self) -> Instant {
+        Instant(self.next_dial.0.saturating_sub(DIAL_INTERVAL.0)) + REDIRECT_DELAY
     }
 }
 
@@ -339,30 +366,30 @@
         Instant(0) + Span::seconds(seconds)
     }
 
-    /// What the router is told of a push that says "just now", heard at an instant.
+    /// The commit time forwarded to the router for a push with age zero that arrives at `now`.
     fn committed(subscription: &mut Subscription, now: Instant) -> Option<Instant> {
         let submission =
             Submission { request: RequestId(1), command: Command::Merge { base: None, patch: "{}".into() } };
-        let push = NodeDown::Push { number: Edition(1), submission, age: Some(Span(0)) };
+        let push = KeeperToAgent::Push { number: Edition(1), submission, age: Some(Span(0)) };
         let plan = subscription.step(SubscriptionInput::Core(push), now);
         plan.into_iter().find_map(|effect| match effect {
-            SubscriptionEffect::SayRouter(RouterDown::Push { committed, .. }) => committed,
+            SubscriptionEffect::SendToRouter(AgentToRouter::Push { committed, .. }) => committed,
             _ => None,
         })
     }
 
     #[test]
-    fn what_waited_for_a_sleeping_machine_is_not_new() {
+    fn messages_queued_while_the_machine_slept_are_not_new() {
         let mut subscription = Subscription::new(vec!["k".into()], 0);
-        subscription.step(SubscriptionInput::Pulse, at(1));
-        subscription.step(SubscriptionInput::CoreUp, at(1));
-        subscription.step(SubscriptionInput::RouterUp, at(1));
-        subscription.step(SubscriptionInput::Router(RouterUp::Applied { edition: Edition(0) }), at(1));
+        subscription.step(SubscriptionInput::Tick, at(1));
+        subscription.step(SubscriptionInput::CoreConnected, at(1));
+        subscription.step(SubscriptionInput::RouterConnected, at(1));
+        subscription.step(SubscriptionInput::Router(RouterToAgent::Applied { edition: Edition(0) }), at(1));
         let granted = |sent| {
-            SubscriptionInput::Core(NodeDown::Granted {
+            SubscriptionInput::Core(KeeperToAgent::Granted {
                 sent,
                 span: Span::seconds(2),
-                life: 1,
+                incarnation: 1,
                 undisturbed: Span::seconds(60),
             })
         };
--- a/crates/subscription/src/prelude.rs
+++ b/crates/subscription/src/prelude.rs
@@ -1,9 +1,9 @@
-//! The one import of this package's files.
+//! The items that each file of this crate imports.
 
 pub use crate::machine::*;
 pub use crate::messages::*;
 pub(crate) use coordinator::prelude::{
-    CommandOutcome, DemandReport, FleetState, NodeDown, NodeUp, RouterAddress, Submission, View,
+    AgentToKeeper, CommandOutcome, DemandReport, FleetState, KeeperToAgent, RouterAddress, Submission, View,
 };
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use timing::prelude::renewal_span;
