--- a/crates/adapters/src/allotment.rs
+++ b/crates/adapters/src/allotment.rs
@@ -115,5 +115,5 @@
 
 /// The order among engines that are alike, so that adapters do not all choose the same ones.
 fn spread(adapter: &AdapterId, engine: &EngineName) -> BlockHash {
-    BlockHash::over(&[adapter.name.as_str().as_bytes(), engine.as_str().as_bytes()])
+    BlockHash::of_parts(&[adapter.name.as_str().as_bytes(), engine.as_str().as_bytes()])
 }
--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -351,7 +351,7 @@
 #[test]
 fn noise_moves_nothing() {
     for seed in 0..40u64 {
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         let mut fleet = Fleet::new(8, 2, 4, r#"{"loads_at_once":3,"demand_ms":6000,"hold_ms":20000}"#);
         let mut noisy = |fleet: &mut Fleet, steps: u64| {
             for _ in 0..steps {
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -34,7 +34,7 @@
 pub fn run_agent(plan: AgentPlan, begun: impl FnOnce(AgentHandle) -> Result<(), Report>) -> Result<(), Report> {
     let node = NodeId::random();
     let fleet = Arc::new(AtomicU64::new(0));
-    let (queue, commands) = ring::<AgentCommand>(4096);
+    let (queue, commands) = bounded_queue::<AgentCommand>(4096);
     let router_queue = queue.clone();
     let hello_fleet = Arc::clone(&fleet);
     let own_hello = move || Hello::new(FleetId(hello_fleet.load(Ordering::SeqCst)), node, Purpose::Agent);
@@ -74,7 +74,7 @@
         let mut stops_at: Option<Instant> = None;
         loop {
             let due = stops_at.map_or(next_pulse, |stops_at| next_pulse.min(stops_at));
-            let Some(batch) = drain(commands, due.since(boot_now()).as_duration(), BATCH) else { return };
+            let Some(batch) = receive_batch(commands, due.since(boot_now()).as_duration(), BATCH) else { return };
             for command in batch {
                 match command {
                     AgentCommand::Stop => {
@@ -192,7 +192,7 @@
         let own_hello = Hello::new(self.subscription.fleet(), self.node, Purpose::Agent);
         let queue = self.queue.clone();
         event!(debug, "dials", address = address);
-        duty("core-link", move || {
+        spawn_thread("core-link", move || {
             let tell = |link_event| queue.send(AgentCommand::Core { dial_number, link_event }).is_ok();
             if let Err(reason) = dial_and_hold(&address, own_hello, &tell) {
                 event!(debug, "dial_fault", address = address, reason = reason);
--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -78,8 +78,8 @@
         return Err(StartBar::AdapterMoved);
     }
     let wall = sight.state.wall_of(&ground.tenant);
-    let salt = Salt::of(&ground.model, ground.weights, wall.id, wall.edition);
-    if salt.under(ground.adapter.as_ref()) != ground.salt {
+    let salt = Salt::for_model(&ground.model, ground.weights, wall.id, wall.edition);
+    if salt.with_adapter(ground.adapter.as_ref()) != ground.salt {
         return Err(StartBar::WallMoved);
     }
     Ok(())
@@ -99,7 +99,7 @@
 pub fn is_own_answer(adapter: Option<&AdapterId>, answered_on: Option<&str>) -> bool {
     match (adapter, answered_on) {
         (None, None) => true,
-        (Some(adapter), Some(named)) => AdapterId::read(named).as_ref() == Some(adapter),
+        (Some(adapter), Some(named)) => AdapterId::parse(named).as_ref() == Some(adapter),
         _ => false,
     }
 }
@@ -150,7 +150,8 @@
     }
 
     fn ground(adapter: Option<AdapterId>) -> Ground {
-        let salt = Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)).under(adapter.as_ref());
+        let salt =
+            Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)).with_adapter(adapter.as_ref());
         Ground {
             key_hash: "0".repeat(64),
             tenant: "a".into(),
@@ -209,7 +210,7 @@
     /// An attempt for the second model, on weights of it or on others.
     fn second_ground(weights: u64, adapter: Option<AdapterId>) -> Ground {
         let (model, weights) = (ModelName::from("n"), WeightsEdition(weights));
-        let salt = Salt::of(&model, weights, WallId(0), WallEdition(0)).under(adapter.as_ref());
+        let salt = Salt::for_model(&model, weights, WallId(0), WallEdition(0)).with_adapter(adapter.as_ref());
         Ground { model, weights, adapter, salt, ..ground(None) }
     }
 
--- a/crates/blocks/src/cut.rs
+++ b/crates/blocks/src/chunking.rs
@@ -12,37 +12,38 @@
 pub struct Salt(pub String);
 
 impl Salt {
-    pub fn of(model: &ModelName, weights: WeightsEdition, wall: WallId, wall_edition: WallEdition) -> Salt {
+    pub fn for_model(model: &ModelName, weights: WeightsEdition, wall: WallId, wall_edition: WallEdition) -> Salt {
         let numbers = [weights.0.to_le_bytes(), wall.0.to_le_bytes(), wall_edition.0.to_le_bytes()];
-        let salt_hash = BlockHash::over(&[b"salt", model.as_str().as_bytes(), &numbers[0], &numbers[1], &numbers[2]]);
+        let salt_hash =
+            BlockHash::of_parts(&[b"salt", model.as_str().as_bytes(), &numbers[0], &numbers[1], &numbers[2]]);
         Salt(format!("w{weights}.{salt_hash}"))
     }
 
     /// The salt of what is made under an adapter: neither that of the bare model nor of another adapter or
     /// revision. Without an adapter it is that of the bare model.
-    pub fn under(self, adapter: Option<&AdapterId>) -> Salt {
+    pub fn with_adapter(self, adapter: Option<&AdapterId>) -> Salt {
         let Some(adapter) = adapter else { return self };
         let revision = adapter.revision.0.to_le_bytes();
         let adapter_hash =
-            BlockHash::over(&[b"adapter", self.0.as_bytes(), adapter.name.as_str().as_bytes(), &revision]);
+            BlockHash::of_parts(&[b"adapter", self.0.as_bytes(), adapter.name.as_str().as_bytes(), &revision]);
         Salt(format!("{}.{adapter_hash}", self.0))
     }
 }
 
 /// The names of a prompt's whole blocks, first to last.
-pub fn cut(salt: &Salt, prompt: &[u8]) -> Vec<BlockHash> {
-    let mut parent_hash = BlockHash::over(&[b"root", salt.0.as_bytes()]);
+pub fn hash_blocks(salt: &Salt, prompt: &[u8]) -> Vec<BlockHash> {
+    let mut parent_hash = BlockHash::of_parts(&[b"root", salt.0.as_bytes()]);
     prompt
         .chunks_exact(BLOCK_BYTES)
         .map(|block_text| {
-            parent_hash = BlockHash::over(&[&parent_hash.0.to_le_bytes(), block_text]);
+            parent_hash = BlockHash::of_parts(&[&parent_hash.0.to_le_bytes(), block_text]);
             parent_hash
         })
         .collect()
 }
 
 /// Blocks a prompt takes up, the last, partial one included.
-pub fn blocks_of(prompt_bytes: usize) -> BlockCount {
+pub fn blocks_needed(prompt_bytes: usize) -> BlockCount {
     BlockCount(prompt_bytes.div_ceil(BLOCK_BYTES) as u64)
 }
 
@@ -53,21 +54,22 @@
     #[test]
     fn any_part_of_the_salt_changes_every_name() {
         let prompt = [b'x'; 3 * BLOCK_BYTES + 5];
-        let base_names = cut(&Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)), &prompt);
+        let base_names =
+            hash_blocks(&Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)), &prompt);
         assert_eq!(base_names.len(), 3);
         let other_salts = [
-            Salt::of(&"n".into(), WeightsEdition(1), WallId(0), WallEdition(0)),
-            Salt::of(&"m".into(), WeightsEdition(2), WallId(0), WallEdition(0)),
-            Salt::of(&"m".into(), WeightsEdition(1), WallId(1), WallEdition(0)),
-            Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(1)),
+            Salt::for_model(&"n".into(), WeightsEdition(1), WallId(0), WallEdition(0)),
+            Salt::for_model(&"m".into(), WeightsEdition(2), WallId(0), WallEdition(0)),
+            Salt::for_model(&"m".into(), WeightsEdition(1), WallId(1), WallEdition(0)),
+            Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(1)),
         ];
-        let base_salt = Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0));
-        assert_eq!(base_salt.clone().under(None), base_salt);
+        let base_salt = Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0));
+        assert_eq!(base_salt.clone().with_adapter(None), base_salt);
         let adapted = [AdapterId::new("x", 1), AdapterId::new("x", 2), AdapterId::new("y", 1)];
-        let adapted_salts = adapted.map(|adapter| base_salt.clone().under(Some(&adapter)));
+        let adapted_salts = adapted.map(|adapter| base_salt.clone().with_adapter(Some(&adapter)));
         assert!(adapted_salts[0] != adapted_salts[1] && adapted_salts[0] != adapted_salts[2]);
         for other_salt in other_salts.into_iter().chain(adapted_salts) {
-            let other_names = cut(&other_salt, &prompt);
+            let other_names = hash_blocks(&other_salt, &prompt);
             assert!(other_names.iter().all(|name| !base_names.contains(name)), "{other_salt:?}");
         }
     }
--- a/crates/blocks/src/events.rs
+++ b/crates/blocks/src/events.rs
@@ -4,22 +4,27 @@
 use crate::prelude::*;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum KeptEvent {
+pub enum CacheEvent {
     Stored(Vec<BlockHash>),
     Removed(Vec<BlockHash>),
     AllCleared,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SourcePlace {
+pub struct EventCursor {
     pub boot: String,
     pub next_number: u64,
 }
 
-impl SourcePlace {
+impl EventCursor {
     /// Takes a batch that starts with number `first_number`; answers the part that is new, or nothing
     /// on a gap or another boot: what the source told is to be dropped and its snapshot taken.
-    pub fn follow<'a>(&mut self, boot: &str, first_number: u64, batch: &'a [KeptEvent]) -> Option<&'a [KeptEvent]> {
+    pub fn accept_batch<'a>(
+        &mut self,
+        boot: &str,
+        first_number: u64,
+        batch: &'a [CacheEvent],
+    ) -> Option<&'a [CacheEvent]> {
         if boot != self.boot || first_number > self.next_number {
             return None;
         }
--- a/crates/blocks/src/lib.rs
+++ b/crates/blocks/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub mod prelude;
 
-mod cut;
+mod chunking;
 mod events;
 mod history;
-mod tree;
+mod prefix_index;
--- a/crates/blocks/src/tree.rs
+++ b/crates/blocks/src/prefix_index.rs
@@ -9,25 +9,25 @@
 pub struct SourceIndex(pub u32);
 
 #[derive(Debug, Default)]
-pub struct PrefixTree {
+pub struct PrefixIndex {
     keepers_of: HashMap<BlockHash, Vec<SourceIndex>>,
     kept_by: HashMap<SourceIndex, HashSet<BlockHash>>,
 }
 
-impl PrefixTree {
-    pub fn apply(&mut self, source: SourceIndex, event: &KeptEvent) {
+impl PrefixIndex {
+    pub fn apply(&mut self, source: SourceIndex, event: &CacheEvent) {
         match event {
-            KeptEvent::Stored(block_names) => {
+            CacheEvent::Stored(block_names) => {
                 for block_name in block_names {
                     self.store(source, *block_name);
                 }
             }
-            KeptEvent::Removed(block_names) => {
+            CacheEvent::Removed(block_names) => {
                 for block_name in block_names {
                     self.remove(source, *block_name);
                 }
             }
-            KeptEvent::AllCleared => self.drop_source(source),
+            CacheEvent::AllCleared => self.drop_source(source),
         }
     }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    pub fn keeps(&self, source: SourceIndex, block_name: BlockHash) -> bool {
+    pub fn contains(&self, source: SourceIndex, block_name: BlockHash) -> bool {
         self.kept_by.get(&source).is_some_and(|kept| kept.contains(&block_name))
     }
 
@@ -93,14 +93,14 @@
     #[test]
     fn overlap_is_the_unbroken_leading_run() {
         let names: Vec<BlockHash> = (1..=5).map(BlockHash).collect();
-        let mut tree = PrefixTree::default();
-        tree.apply(SourceIndex(1), &KeptEvent::Stored(names.clone()));
-        tree.apply(SourceIndex(2), &KeptEvent::Stored(names[..2].to_vec()));
-        tree.apply(SourceIndex(1), &KeptEvent::Removed(vec![names[3]]));
+        let mut tree = PrefixIndex::default();
+        tree.apply(SourceIndex(1), &CacheEvent::Stored(names.clone()));
+        tree.apply(SourceIndex(2), &CacheEvent::Stored(names[..2].to_vec()));
+        tree.apply(SourceIndex(1), &CacheEvent::Removed(vec![names[3]]));
         let mut overlaps = tree.overlaps(&names);
         overlaps.sort();
         assert_eq!(overlaps, [(SourceIndex(1), BlockCount(3)), (SourceIndex(2), BlockCount(2))]);
-        tree.apply(SourceIndex(1), &KeptEvent::AllCleared);
+        tree.apply(SourceIndex(1), &CacheEvent::AllCleared);
         assert_eq!(tree.overlaps(&names), [(SourceIndex(2), BlockCount(2))]);
         tree.drop_source(SourceIndex(2));
         assert_eq!(tree.block_count(), 0);
@@ -108,13 +108,13 @@
 
     #[test]
     fn a_gap_or_another_boot_is_lost_and_a_repeat_is_harmless() {
-        let batch = [KeptEvent::AllCleared, KeptEvent::AllCleared];
-        let mut place = SourcePlace { boot: "b1".into(), next_number: 5 };
-        assert_eq!(place.follow("b1", 4, &batch).map(<[_]>::len), Some(1));
+        let batch = [CacheEvent::AllCleared, CacheEvent::AllCleared];
+        let mut place = EventCursor { boot: "b1".into(), next_number: 5 };
+        assert_eq!(place.accept_batch("b1", 4, &batch).map(<[_]>::len), Some(1));
         assert_eq!(place.next_number, 6);
-        assert_eq!(place.follow("b1", 7, &batch), None);
-        assert_eq!(place.follow("b2", 6, &batch), None);
-        assert_eq!(place.follow("b1", 2, &batch).map(<[_]>::len), Some(0));
+        assert_eq!(place.accept_batch("b1", 7, &batch), None);
+        assert_eq!(place.accept_batch("b2", 6, &batch), None);
+        assert_eq!(place.accept_batch("b1", 2, &batch).map(<[_]>::len), Some(0));
         assert_eq!(place.next_number, 6);
     }
 }
--- a/crates/caller/src/day.rs
+++ b/crates/caller/src/day.rs
@@ -16,7 +16,7 @@
 impl Day {
     /// Plays for so long at so many requests a second; ends when the last answer has come.
     pub async fn play(self: Arc<Self>, seconds: u64, rate: u64, seed: u64) -> u64 {
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         let began = boot_now();
         let mut due = began;
         let mut asking = tokio::task::JoinSet::new();
--- a/crates/caller/src/office.rs
+++ b/crates/caller/src/office.rs
@@ -71,7 +71,7 @@
     let mut text = String::with_capacity(blocks * BLOCK_BYTES);
     let mut place = 0u64;
     while text.len() < blocks * BLOCK_BYTES {
-        let hash = BlockHash::over(&[naming.as_bytes(), &place.to_le_bytes()]);
+        let hash = BlockHash::of_parts(&[naming.as_bytes(), &place.to_le_bytes()]);
         text.push_str(&format!("{hash} "));
         place += 1;
     }
@@ -90,13 +90,13 @@
         if name == "sms" { &SMS } else { &ENGRAVING }
     }
 
-    pub fn draw_request(&'static self, draw: &mut Draw) -> Request {
-        let tenant_place = draw.by_shares(self.tenant_shares.iter().copied());
-        let kind = &self.kinds[draw.by_shares(self.kinds.iter().map(|kind| kind.share))];
+    pub fn draw_request(&'static self, draw: &mut SeededRng) -> Request {
+        let tenant_place = draw.weighted_index(self.tenant_shares.iter().copied());
+        let kind = &self.kinds[draw.weighted_index(self.kinds.iter().map(|kind| kind.share))];
         let prefix_number = draw.below(kind.prefix_pool);
         let prefix = text_of(&format!("{tenant_place}/{}/{prefix_number}", kind.name), kind.prefix_blocks);
         let tail_blocks = kind.tail_blocks.0 + draw.below(kind.tail_blocks.1 - kind.tail_blocks.0 + 1);
-        let tail = text_of(&format!("own/{}", draw.number()), tail_blocks as usize);
+        let tail = text_of(&format!("own/{}", draw.next_u64()), tail_blocks as usize);
         Request { tenant_place, kind, prompt: format!("{prefix}{tail}") }
     }
 }
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -9,14 +9,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     /// The mark before the first kept record.
-    base: Mark,
+    base: LogPosition,
     records: VecDeque<Record>,
     kept_bytes: usize,
     state: FleetState,
 }
 
 impl Log {
-    pub fn restore(mark: Mark, state: FleetState, records: Vec<Record>) -> Log {
+    pub fn restore(mark: LogPosition, state: FleetState, records: Vec<Record>) -> Log {
         let mut log = Log { base: mark, records: VecDeque::new(), kept_bytes: 0, state };
         for record in records {
             log.append(record);
@@ -24,7 +24,7 @@
         log
     }
 
-    pub fn last(&self) -> Mark {
+    pub fn last(&self) -> LogPosition {
         self.records.back().map_or(self.base, |record| record.mark)
     }
 
@@ -49,14 +49,14 @@
     }
 
     /// The head numbers a submission.
-    pub fn number(&mut self, view: ViewNumber, submission: Submission) -> Record {
-        let mark = Mark { edition: self.last().edition.next(), view };
+    pub fn append_submission(&mut self, view: ViewNumber, submission: Submission) -> Record {
+        let mark = LogPosition { edition: self.last().edition.next(), view };
         let record = Record { mark, submission };
         self.append(record.clone());
         record
     }
 
-    pub fn knows(&self, mark: Mark) -> bool {
+    pub fn contains(&self, mark: LogPosition) -> bool {
         if mark == self.base {
             return true;
         }
@@ -65,7 +65,7 @@
     }
 
     /// The records after an edition, if all of them are still kept.
-    pub fn after(&self, edition: Edition) -> Option<Vec<Record>> {
+    pub fn records_after(&self, edition: Edition) -> Option<Vec<Record>> {
         let skipped_count = edition.0.checked_sub(self.base.edition.0)? as usize;
         if skipped_count > self.records.len() {
             return None;
@@ -73,7 +73,7 @@
         Some(self.records.iter().skip(skipped_count).cloned().collect())
     }
 
-    pub fn mark_at(&self, edition: Edition) -> Option<Mark> {
+    pub fn position_at(&self, edition: Edition) -> Option<LogPosition> {
         if edition == self.base.edition {
             return Some(self.base);
         }
@@ -82,9 +82,15 @@
     }
 
     /// The answer to a member that asked to be brought level.
-    pub fn level(&self, view: ViewNumber, asked_from: Mark, nonce: u64, ages: Ages) -> ChainMessage {
-        if self.knows(asked_from)
-            && let Some(records) = self.after(asked_from.edition)
+    pub fn catch_up_reply(
+        &self,
+        view: ViewNumber,
+        asked_from: LogPosition,
+        nonce: u64,
+        ages: CommitAges,
+    ) -> ChainMessage {
+        if self.contains(asked_from)
+            && let Some(records) = self.records_after(asked_from.edition)
         {
             return ChainMessage::Level { view, nonce, previous: asked_from, records, ages };
         }
@@ -105,30 +111,38 @@
     fn a_log_levels_by_records_where_marks_agree_and_by_snapshot_where_not() {
         let mut log = Log::default();
         for number in 1..=3 {
-            log.number(ViewNumber(1), submission(number));
+            log.append_submission(ViewNumber(1), submission(number));
         }
-        let known_mark = Mark { edition: Edition(2), view: ViewNumber(1) };
-        let ChainMessage::Level { records, .. } = log.level(ViewNumber(2), known_mark, 0, Ages::default()) else {
+        let known_mark = LogPosition { edition: Edition(2), view: ViewNumber(1) };
+        let ChainMessage::Level { records, .. } =
+            log.catch_up_reply(ViewNumber(2), known_mark, 0, CommitAges::default())
+        else {
             panic!("a known mark is levelled by records")
         };
         assert_eq!(records.len(), 1);
-        let foreign_mark = Mark { edition: Edition(2), view: ViewNumber(9) };
-        assert!(matches!(log.level(ViewNumber(2), foreign_mark, 0, Ages::default()), ChainMessage::Snapshot { .. }));
-        let longer_mark = Mark { edition: Edition(4), view: ViewNumber(1) };
-        assert!(matches!(log.level(ViewNumber(2), longer_mark, 0, Ages::default()), ChainMessage::Snapshot { .. }));
-        assert!(log.after(Edition(4)).is_none());
+        let foreign_mark = LogPosition { edition: Edition(2), view: ViewNumber(9) };
+        assert!(matches!(
+            log.catch_up_reply(ViewNumber(2), foreign_mark, 0, CommitAges::default()),
+            ChainMessage::Snapshot { .. }
+        ));
+        let longer_mark = LogPosition { edition: Edition(4), view: ViewNumber(1) };
+        assert!(matches!(
+            log.catch_up_reply(ViewNumber(2), longer_mark, 0, CommitAges::default()),
+            ChainMessage::Snapshot { .. }
+        ));
+        assert!(log.records_after(Edition(4)).is_none());
     }
 
     #[test]
     fn old_records_are_dropped_and_then_a_snapshot_is_given() {
         let mut log = Log::default();
         for number in 1..=(KEPT_RECORDS as u64 + 10) {
-            log.number(ViewNumber(1), submission(number));
+            log.append_submission(ViewNumber(1), submission(number));
         }
-        assert!(log.after(Edition(5)).is_none());
-        assert_eq!(log.after(Edition(10)).map(|records| records.len()), Some(KEPT_RECORDS));
+        assert!(log.records_after(Edition(5)).is_none());
+        assert_eq!(log.records_after(Edition(10)).map(|records| records.len()), Some(KEPT_RECORDS));
         assert!(matches!(
-            log.level(ViewNumber(1), Mark::default(), 0, Ages::default()),
+            log.catch_up_reply(ViewNumber(1), LogPosition::default(), 0, CommitAges::default()),
             ChainMessage::Snapshot { .. }
         ));
     }
--- a/crates/chain/src/messages.rs
+++ b/crates/chain/src/messages.rs
@@ -4,7 +4,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    pub mark: Mark,
+    pub mark: LogPosition,
     pub submission: Submission,
 }
 
@@ -13,35 +13,35 @@
     /// New records for the member after the sender.
     Append {
         view: ViewNumber,
-        previous: Mark,
+        previous: LogPosition,
         records: Vec<Record>,
     },
     /// "My log ends here; bring me level." The nonce ties the answer to this asking.
     Have {
         view: ViewNumber,
-        last: Mark,
+        last: LogPosition,
         nonce: u64,
     },
     Level {
         view: ViewNumber,
         nonce: u64,
-        previous: Mark,
+        previous: LogPosition,
         records: Vec<Record>,
-        ages: Ages,
+        ages: CommitAges,
     },
     Snapshot {
         view: ViewNumber,
         nonce: u64,
-        mark: Mark,
+        mark: LogPosition,
         state: Box<FleetState>,
-        ages: Ages,
+        ages: CommitAges,
     },
 }
 
 /// How long ago things were committed at the most, when the message was sent. What is not named may be of
 /// any age.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ages {
+pub struct CommitAges {
     pub records: Vec<(Edition, Span)>,
     /// Weights that newer ones have replaced, and how long ago.
     pub gave_way: Vec<(ModelName, WeightsEdition, Span)>,
--- a/crates/chain/src/prelude.rs
+++ b/crates/chain/src/prelude.rs
@@ -6,4 +6,4 @@
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::VecDeque;
 pub(crate) use units::prelude::*;
-pub use view::prelude::Mark;
+pub use view::prelude::LogPosition;
--- a/crates/console/src/comparing.rs
+++ b/crates/console/src/comparing.rs
@@ -4,36 +4,36 @@
 use crate::prelude::*;
 
 /// Asks the routers for their figures and sums them.
-pub fn gather(asker: &Asker, routers: &[String]) -> Result<PolicyBook, Report> {
-    let mut book = PolicyBook::default();
+pub fn gather(asker: &Asker, routers: &[String]) -> Result<PolicyMetrics, Report> {
+    let mut book = PolicyMetrics::default();
     for router in routers {
         let asked = asker.runtime.block_on(ask_whole(router, Question::get("/metrics"), asker.limit, 16 << 20));
         let (_, _, body) = asked.map_err(|reason| miette!("{router}: {reason}"))?;
-        let told =
-            PolicyBook::read(&String::from_utf8_lossy(&body)).map_err(|reason| miette!("{router}: {reason}"))?;
+        let told = PolicyMetrics::from_prometheus(&String::from_utf8_lossy(&body))
+            .map_err(|reason| miette!("{router}: {reason}"))?;
         book.merge(&told);
     }
     Ok(book)
 }
 
 /// Only what was asked for; an unknown name is refused.
-pub fn narrow(book: &mut PolicyBook, policy: Option<&str>, tenant: Option<&str>) -> Result<(), Report> {
+pub fn narrow(book: &mut PolicyMetrics, policy: Option<&str>, tenant: Option<&str>) -> Result<(), Report> {
     let known = |wanted: &str, names: Vec<&String>, what: &str| match names.into_iter().any(|name| name == wanted) {
         true => Ok(()),
         false => Err(miette!("{what} {wanted}: no request under it was seen by these routers")),
     };
     if let Some(policy) = policy {
-        known(policy, book.by_place.keys().map(|(policy, _)| policy).collect(), "policy")?;
-        book.by_place.retain(|(known_policy, _), _| known_policy == policy || known_policy == "default");
+        known(policy, book.by_policy_and_tenant.keys().map(|(policy, _)| policy).collect(), "policy")?;
+        book.by_policy_and_tenant.retain(|(known_policy, _), _| known_policy == policy || known_policy == "default");
     }
     if let Some(tenant) = tenant {
-        known(tenant, book.by_place.keys().map(|(_, tenant)| tenant).collect(), "tenant")?;
-        book.by_place.retain(|(_, known_tenant), _| known_tenant == tenant);
+        known(tenant, book.by_policy_and_tenant.keys().map(|(_, tenant)| tenant).collect(), "tenant")?;
+        book.by_policy_and_tenant.retain(|(_, known_tenant), _| known_tenant == tenant);
     }
     Ok(())
 }
 
-pub fn show_comparison(book: &PolicyBook, as_json: bool) {
+pub fn show_comparison(book: &PolicyMetrics, as_json: bool) {
     let by_policy = book.by_policy();
     if as_json {
         let policies: serde_json::Map<String, Value> = by_policy
@@ -41,7 +41,7 @@
             .map(|(policy, figures)| ((*policy).to_owned(), as_value(figures, beside(book, policy).as_ref())))
             .collect();
         let places: Vec<Value> = book
-            .by_place
+            .by_policy_and_tenant
             .iter()
             .map(|((policy, tenant), figures)| json!({"policy": policy, "tenant": tenant, "figures": as_value(figures, None)}))
             .collect();
@@ -60,20 +60,20 @@
             }
             None => {}
         }
-        for ((_, tenant), figures) in book.by_place.iter().filter(|((known, _), _)| known == policy) {
+        for ((_, tenant), figures) in book.by_policy_and_tenant.iter().filter(|((known, _), _)| known == policy) {
             println!("  tenant {tenant}: {}", in_words(figures));
         }
     }
 }
 
 /// What a policy is held against: the default's requests of the same tenants, drawn by lot.
-fn beside(book: &PolicyBook, policy: &str) -> Option<Figures> {
-    (policy != "default").then(|| book.default_beside(policy)).flatten()
+fn beside(book: &PolicyMetrics, policy: &str) -> Option<TrafficMetrics> {
+    (policy != "default").then(|| book.default_for_tenants_of(policy)).flatten()
 }
 
 const SHARES: [(&str, f64); 3] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99)];
 
-fn in_words(figures: &Figures) -> String {
+fn in_words(figures: &TrafficMetrics) -> String {
     let first: Vec<String> = SHARES
         .iter()
         .map(|(name, share)| match figures.first.quantile(*share) {
@@ -96,7 +96,7 @@
 }
 
 /// What can be said of a policy's first piece against the default's.
-fn verdict(figures: &Figures, default: &Figures) -> String {
+fn verdict(figures: &TrafficMetrics, default: &TrafficMetrics) -> String {
     let told: Vec<String> = SHARES
         .iter()
         .map(|(name, share)| match (figures.first.quantile(*share), default.first.quantile(*share)) {
@@ -109,7 +109,7 @@
     format!("first piece {}", told.join(", "))
 }
 
-fn as_value(figures: &Figures, default: Option<&Figures>) -> Value {
+fn as_value(figures: &TrafficMetrics, default: Option<&TrafficMetrics>) -> Value {
     let mut value = json!({"busiest_share": figures.busiest_share(), "engines": figures.engines});
     for (name, sum) in figures.sums() {
         value[name] = json!(sum);
--- a/crates/console/src/prelude.rs
+++ b/crates/console/src/prelude.rs
@@ -3,7 +3,7 @@
 pub(crate) use crate::Asker;
 pub(crate) use crate::comparing::*;
 pub(crate) use crate::words::*;
-pub(crate) use figures::prelude::{Figures, PolicyBook, Quantile};
+pub(crate) use figures::prelude::{PolicyMetrics, Quantile, TrafficMetrics};
 pub(crate) use process::prelude::*;
 pub(crate) use serde_json::{Value, json};
 pub(crate) use std::process::ExitCode;
--- a/crates/contract/src/engines.rs
+++ b/crates/contract/src/engines.rs
@@ -9,13 +9,13 @@
 pub const ADAPTER_HEADER: &str = "x-haremount-adapter";
 /// The error type with which an engine refuses a request, without having begun it, because it does not hold
 /// that adapter in that revision.
-pub const NOT_RESIDENT: &str = "adapter_not_resident";
+pub const ADAPTER_NOT_RESIDENT: &str = "adapter_not_resident";
 /// How long the attempt may be worked on, in milliseconds; the engine ends it then, unless more was allowed
-/// meanwhile by a `POST` to [`limit_page`].
+/// meanwhile by a `POST` to [`attempt_limit_path`].
 pub const LIMIT_HEADER: &str = "x-haremount-limit-ms";
 
 /// Where an attempt under way is allowed more time, from that call on.
-pub fn limit_page(attempt: &str) -> String {
+pub fn attempt_limit_path(attempt: &str) -> String {
     format!("/v1/shots/{attempt}/limit")
 }
 
@@ -39,13 +39,13 @@
 
 /// What a peer or the store answers: how many of the asked blocks, from the first on, it keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Found {
+pub struct FoundBlocks {
     pub found: u64,
 }
 
 /// Blocks asked for, or put into the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NamedBlocks {
+pub struct BlockHashList {
     pub block_hashes: Vec<String>,
 }
 
@@ -108,33 +108,33 @@
 }
 
 impl EngineEvent {
-    pub fn of(event: &KeptEvent) -> EngineEvent {
+    pub fn from_cache_event(event: &CacheEvent) -> EngineEvent {
         match event {
-            KeptEvent::Stored(names) => EngineEvent::BlockStored { block_hashes: write_hashes(names) },
-            KeptEvent::Removed(names) => EngineEvent::BlockRemoved { block_hashes: write_hashes(names) },
-            KeptEvent::AllCleared => EngineEvent::AllBlocksCleared,
+            CacheEvent::Stored(names) => EngineEvent::BlockStored { block_hashes: format_hashes(names) },
+            CacheEvent::Removed(names) => EngineEvent::BlockRemoved { block_hashes: format_hashes(names) },
+            CacheEvent::AllCleared => EngineEvent::AllBlocksCleared,
         }
     }
 
-    pub fn read(&self) -> Option<KeptEvent> {
+    pub fn read(&self) -> Option<CacheEvent> {
         match self {
-            EngineEvent::BlockStored { block_hashes } => read_hashes(block_hashes).map(KeptEvent::Stored),
-            EngineEvent::BlockRemoved { block_hashes } => read_hashes(block_hashes).map(KeptEvent::Removed),
-            EngineEvent::AllBlocksCleared => Some(KeptEvent::AllCleared),
+            EngineEvent::BlockStored { block_hashes } => parse_hashes(block_hashes).map(CacheEvent::Stored),
+            EngineEvent::BlockRemoved { block_hashes } => parse_hashes(block_hashes).map(CacheEvent::Removed),
+            EngineEvent::AllBlocksCleared => Some(CacheEvent::AllCleared),
         }
     }
 }
 
-pub fn write_hashes(names: &[BlockHash]) -> Vec<String> {
+pub fn format_hashes(names: &[BlockHash]) -> Vec<String> {
     names.iter().map(BlockHash::to_string).collect()
 }
 
-pub fn read_hashes(texts: &[String]) -> Option<Vec<BlockHash>> {
+pub fn parse_hashes(texts: &[String]) -> Option<Vec<BlockHash>> {
     texts.iter().map(|text| text.parse().ok()).collect()
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptSnapshot {
+pub struct CacheSnapshot {
     pub boot: String,
     /// The number of the first event after this snapshot.
     pub next: u64,
@@ -163,12 +163,12 @@
     pub term: u64,
     pub holder: String,
     #[serde(flatten)]
-    pub wish: OrderWish,
+    pub wish: EngineOrderAction,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
-pub enum OrderWish {
+pub enum EngineOrderAction {
     Drain,
     Open,
     LoadWeights {
@@ -187,7 +187,7 @@
 /// What an engine logs for whoever judges a run; instants are boot-time milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
-pub enum EngineLine {
+pub enum EngineLogLine {
     Start(StartLine),
     /// A prompt is prefilled for an attempt that another engine decodes.
     Prefill(StartLine),
@@ -242,12 +242,12 @@
 /// What the stand-in engine says as piece `place` of a run: any reader can tell whether a piece
 /// belongs to this prompt, this attempt and this place.
 pub fn stand_in_piece(prompt: &str, attempt: &str, place: u64) -> String {
-    let piece_hash = BlockHash::over(&[b"piece", prompt.as_bytes(), attempt.as_bytes(), &place.to_le_bytes()]);
+    let piece_hash = BlockHash::of_parts(&[b"piece", prompt.as_bytes(), attempt.as_bytes(), &place.to_le_bytes()]);
     format!("{:06x} ", piece_hash.0 & 0xff_ffff)
 }
 
 /// The same under an adapter: any reader can tell which adapter and revision a piece was made on.
-pub fn adapted_piece(adapter: &str, prompt: &str, attempt: &str, place: u64) -> String {
+pub fn stand_in_piece_with_adapter(adapter: &str, prompt: &str, attempt: &str, place: u64) -> String {
     match adapter {
         "" => stand_in_piece(prompt, attempt, place),
         adapter => stand_in_piece(&format!("{adapter}\n{prompt}"), attempt, place),
--- a/crates/contract/src/prelude.rs
+++ b/crates/contract/src/prelude.rs
@@ -3,6 +3,6 @@
 pub use crate::engines::*;
 pub use crate::listing::*;
 pub use crate::requests::*;
-pub(crate) use blocks::prelude::KeptEvent;
+pub(crate) use blocks::prelude::CacheEvent;
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use units::prelude::*;
--- a/crates/contract/src/requests.rs
+++ b/crates/contract/src/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-pub const MOST_REQUEST_BYTES: usize = 4 << 20;
+pub const MAX_REQUEST_BYTES: usize = 4 << 20;
 pub const RUN_HEADER: &str = "x-haremount-run";
 pub const OUTCOME_HEADER: &str = "x-haremount-outcome";
 
--- a/crates/coordinator/src/chaining.rs
+++ b/crates/coordinator/src/chaining.rs
@@ -11,19 +11,19 @@
         let may_take = self.view.head() == Some(self.me.id)
             && self.is_aligned()
             && !self.sealed()
-            && self.view.takes_writes()
+            && self.view.accepts_writes()
             && self.log.last().edition.0 < self.committed.0 + UNCOMMITTED_LIMIT;
         if !may_take || self.log.state().settled_before(submission.request).is_some() {
             return;
         }
         let previous = self.log.last();
-        let record = self.log.number(self.view.number, submission);
+        let record = self.log.append_submission(self.view.number, submission);
         self.store(Stored::Record(record.clone()));
         self.pass_on(previous, vec![record]);
     }
 
-    fn pass_on(&mut self, previous: Mark, records: Vec<Record>) {
-        let Some(successor) = self.view.after(self.me.id) else { return };
+    fn pass_on(&mut self, previous: LogPosition, records: Vec<Record>) {
+        let Some(successor) = self.view.successor(self.me.id) else { return };
         let append = ChainMessage::Append { view: self.view.number, previous, records };
         self.send(successor, CoreMessage::Chain(append));
     }
@@ -35,7 +35,7 @@
                 let is_outside = !self.view.in_chain(from);
                 let may_level = self.is_aligned() || (is_outside && self.holds_all_committed(self.me.id));
                 if view == self.view.number && may_level {
-                    let answer = self.log.level(view, last, nonce, self.ages(now));
+                    let answer = self.log.catch_up_reply(view, last, nonce, self.ages(now));
                     self.send(from, CoreMessage::Chain(answer));
                 }
             }
@@ -62,8 +62,15 @@
         }
     }
 
-    fn hear_append(&mut self, from: NodeId, view: ViewNumber, previous: Mark, records: Vec<Record>, now: Instant) {
-        let from_before = self.view.before(self.me.id) == Some(from);
+    fn hear_append(
+        &mut self,
+        from: NodeId,
+        view: ViewNumber,
+        previous: LogPosition,
+        records: Vec<Record>,
+        now: Instant,
+    ) {
+        let from_before = self.view.predecessor(self.me.id) == Some(from);
         if view != self.view.number || !from_before || !self.is_aligned() || self.sealed() {
             return;
         }
@@ -77,7 +84,7 @@
         self.take_records(last, new_records);
     }
 
-    fn take_records(&mut self, previous: Mark, records: Vec<Record>) {
+    fn take_records(&mut self, previous: LogPosition, records: Vec<Record>) {
         if records.is_empty() {
             return;
         }
@@ -96,15 +103,15 @@
         if view != self.view.number || nonce != self.nonce {
             return false;
         }
-        let is_next = self.view.before(self.me.id) == Some(from) && !self.sealed();
+        let is_next = self.view.predecessor(self.me.id) == Some(from) && !self.sealed();
         !self.view.in_chain(self.me.id) || is_next
     }
 
     /// How long ago what is dated here was committed at the most.
-    fn ages(&self, now: Instant) -> Ages {
+    fn ages(&self, now: Instant) -> CommitAges {
         let records = self.committed_at.iter().rev().take(TOLD_AGES);
         let gave_way = self.gave_way.iter();
-        Ages {
+        CommitAges {
             records: records.map(|(edition, since)| (*edition, now.since(*since))).collect(),
             gave_way: gave_way
                 .map(|((model, weights), since)| (model.clone(), *weights, now.since(*since)))
@@ -115,7 +122,7 @@
     /// Dates what the levelling member has dated. It said so after it was asked, so nothing is dated later
     /// than it was committed: the head numbered each record before anybody could commit it, or was in every
     /// chain since, and each member has its dates from the one before it.
-    fn take_ages(&mut self, ages: &Ages, nonce: u64) {
+    fn take_ages(&mut self, ages: &CommitAges, nonce: u64) {
         self.forget_dates();
         let Some(asked) = self.asked_level.filter(|(asked_nonce, _)| *asked_nonce == nonce) else { return };
         let when = |age: Span| Instant(asked.1.0.saturating_sub(age.0));
@@ -146,7 +153,7 @@
         self.store(Stored::Aligned(self.aligned));
         self.store(Stored::Whole(self.whole));
         self.note("aligned", format!("view={} edition={}", self.aligned, self.log.last().edition));
-        if let Some(successor) = self.view.after(self.me.id) {
+        if let Some(successor) = self.view.successor(self.me.id) {
             let news = CoreMessage::Pulse(self.news(self.last_pulse));
             self.send(successor, news);
         }
@@ -166,7 +173,7 @@
             return;
         }
         let asked_member = match self.view.in_chain(self.me.id) {
-            true => self.view.before(self.me.id),
+            true => self.view.predecessor(self.me.id),
             false => self.levelling_member(now),
         };
         if let Some(asked_member) = asked_member {
@@ -188,13 +195,13 @@
 
     /// A successor whose log stood still behind ours between two pulses missed something.
     pub(crate) fn resend_to_successor(&mut self, from: NodeId, news: &News, last_news: Option<&News>) {
-        let is_successor = self.view.after(self.me.id) == Some(from);
+        let is_successor = self.view.successor(self.me.id) == Some(from);
         let both_aligned = self.is_aligned() && news.aligned == self.view.number && news.view == self.view.number;
         let stood_still = last_news.is_some_and(|earlier| earlier.last == news.last);
         if !is_successor || !both_aligned || !stood_still || news.last.edition >= self.log.last().edition {
             return;
         }
-        let Some(records) = self.log.after(news.last.edition) else { return };
+        let Some(records) = self.log.records_after(news.last.edition) else { return };
         let append = ChainMessage::Append { view: self.view.number, previous: news.last, records };
         self.send(from, CoreMessage::Chain(append));
     }
--- a/crates/coordinator/src/composing.rs
+++ b/crates/coordinator/src/composing.rs
@@ -25,7 +25,12 @@
     /// The next view: the living members of the chain in their old order, begun by one that surely
     /// holds all that was committed, and at most one newcomer. `promised` are the voters that take no more part in
     /// the present view, and where their logs end.
-    pub(crate) fn compose(&self, next: ViewNumber, promised: &BTreeMap<NodeId, Mark>, now: Instant) -> Option<View> {
+    pub(crate) fn compose(
+        &self,
+        next: ViewNumber,
+        promised: &BTreeMap<NodeId, LogPosition>,
+        now: Instant,
+    ) -> Option<View> {
         let (mut chain, growth) = self.next_chain(promised, now)?;
         let mut voters = self.view.voters.clone();
         match growth {
@@ -63,7 +68,11 @@
     /// The chain of the next view before its newcomer, and what else changes. The first of these that keeps
     /// enough copies of what was committed: without members that leave or do not do their part, without those
     /// that do not do their part, without the dead alone.
-    fn next_chain(&self, promised: &BTreeMap<NodeId, Mark>, now: Instant) -> Option<(Vec<NodeId>, Option<Growth>)> {
+    fn next_chain(
+        &self,
+        promised: &BTreeMap<NodeId, LogPosition>,
+        now: Instant,
+    ) -> Option<(Vec<NodeId>, Option<Growth>)> {
         let growth = self.growth(now);
         let living: Vec<NodeId> = self
             .view
@@ -75,7 +84,7 @@
                 promised.contains_key(member) || self.is_alive(*member, now) || others_hear
             })
             .collect();
-        let is_long_enough = |chain: &Vec<NodeId>| chain.len() >= self.view.least_chain();
+        let is_long_enough = |chain: &Vec<NodeId>| chain.len() >= self.view.min_chain_length();
         let without = |chain: &[NodeId], gone: &dyn Fn(NodeId) -> bool| -> Vec<NodeId> {
             chain.iter().copied().filter(|member| !gone(*member)).collect()
         };
@@ -94,7 +103,7 @@
         &self,
         chain: Vec<NodeId>,
         growth: Option<Growth>,
-        promised: &BTreeMap<NodeId, Mark>,
+        promised: &BTreeMap<NodeId, LogPosition>,
     ) -> Option<Vec<NodeId>> {
         let first_whole = chain.iter().copied().find(|member| self.holds_all_committed(*member))?;
         let newcomer = match growth {
@@ -102,7 +111,7 @@
             _ => None,
         };
         let copies = chain.iter().copied().chain(newcomer).filter(|member| self.surely_holds_all(*member, promised));
-        if copies.count() < self.view.least_holders() {
+        if copies.count() < self.view.min_holders() {
             return None;
         }
         let others = chain.into_iter().filter(|member| *member != first_whole);
@@ -118,7 +127,7 @@
     }
 
     /// Where a keeper's log ended when it was last heard.
-    fn log_end(&self, keeper: NodeId) -> Option<Mark> {
+    fn log_end(&self, keeper: NodeId) -> Option<LogPosition> {
         match keeper == self.me.id {
             true => Some(self.log.last()),
             false => self.peer_news(keeper).map(|news| news.last),
@@ -137,9 +146,9 @@
 
     /// Whether a member holds all that was committed: it stood in the chain all the time, or it has promised and its
     /// log ends where that of such a member does, which takes no more part in the present view.
-    fn surely_holds_all(&self, member: NodeId, promised: &BTreeMap<NodeId, Mark>) -> bool {
+    fn surely_holds_all(&self, member: NodeId, promised: &BTreeMap<NodeId, LogPosition>) -> bool {
         let Some(own_end) = promised.get(&member) else { return self.holds_all_committed(member) };
-        let ends_alike = |(other, end): (&NodeId, &Mark)| {
+        let ends_alike = |(other, end): (&NodeId, &LogPosition)| {
             end == own_end && self.view.in_chain(*other) && self.holds_all_committed(*other)
         };
         self.holds_all_committed(member) || promised.iter().any(ends_alike)
@@ -148,7 +157,7 @@
     /// A core still below its size takes newcomers quickly, and so does a chain that is too short to serve.
     pub(crate) fn steady_span(&self) -> Span {
         let is_small = self.view.voters.len() < self.wishes.core_size.min(SMALL_CORE);
-        if is_small || !self.view.takes_writes() { PULSE_SPAN } else { STEADY_FOR }
+        if is_small || !self.view.accepts_writes() { PULSE_SPAN } else { STEADY_FOR }
     }
 
     /// What the steady core would gladly change, one seat at a time.
@@ -164,7 +173,7 @@
                 && news.view == self.view.number
                 && news.last.edition.0 + CAUGHT_UP_WITHIN >= self.log.last().edition.0
         };
-        let spare = self.peers.keys().copied().find(|peer| !self.view.votes(*peer) && may_join(*peer));
+        let spare = self.peers.keys().copied().find(|peer| !self.view.is_voter(*peer) && may_join(*peer));
         if let Some(change) = self.seat_of_leaver(spare, now) {
             return Some(change);
         }
--- a/crates/coordinator/src/duties.rs
+++ b/crates/coordinator/src/duties.rs
@@ -20,7 +20,7 @@
     let numbers: Vec<[u8; 8]> = numbers.iter().map(|number| number.to_le_bytes()).collect();
     let mut parts = vec![label];
     parts.extend(numbers.iter().map(|number| number.as_slice()));
-    RequestId(BlockHash::over(&parts).0)
+    RequestId(BlockHash::of_parts(&parts).0)
 }
 
 // The holder's side.
--- a/crates/coordinator/src/leaving.rs
+++ b/crates/coordinator/src/leaving.rs
@@ -48,9 +48,9 @@
     pub(crate) fn chain_without_leavers(&self, now: Instant) -> Option<Vec<NodeId>> {
         let stays = |member: &NodeId| self.is_alive(*member, now) && !self.is_leaving(*member, now);
         let staying: Vec<NodeId> = self.view.chain.iter().copied().filter(stays).collect();
-        let is_long_enough = staying.len() >= self.view.least_chain();
+        let is_long_enough = staying.len() >= self.view.min_chain_length();
         let holders = staying.iter().filter(|member| self.holds_all_committed(**member)).count();
-        (is_long_enough && holders >= self.view.least_holders()).then_some(staying)
+        (is_long_enough && holders >= self.view.min_holders()).then_some(staying)
     }
 
     /// Whether a chain member leaves that the chain can do without.
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -46,7 +46,7 @@
     pub(crate) misdirected: Misdirected,
     pub(crate) wishes: Wishes,
     pub(crate) view: View,
-    pub(crate) vote: Vote,
+    pub(crate) vote: VoterState,
     pub(crate) sealed_since: Instant,
     pub(crate) aligned: ViewNumber,
     /// The view before whose beginning everything committed is surely in this log: it was aligned in
@@ -150,10 +150,10 @@
             holders: vec![me.id],
             tolerance,
         };
-        let mark = Mark { edition: founding_state.edition, view: FOUNDING_VIEW };
+        let mark = LogPosition { edition: founding_state.edition, view: FOUNDING_VIEW };
         vec![
             Stored::Snapshot { mark, state: Box::new(founding_state) },
-            Stored::Vote(Vote::default()),
+            Stored::Vote(VoterState::default()),
             Stored::View(first_view),
             Stored::Aligned(FOUNDING_VIEW),
             Stored::Whole(FOUNDING_VIEW),
@@ -216,7 +216,7 @@
         self.log.state()
     }
 
-    pub fn last(&self) -> Mark {
+    pub fn last(&self) -> LogPosition {
         self.log.last()
     }
 
@@ -335,7 +335,7 @@
         self.watch_wellness(from, &news, now);
         self.resend_to_successor(from, &news, last_news.as_ref());
         let can_level = news.view == self.view.number && news.aligned == self.view.number;
-        if can_level && self.view.before(self.me.id) == Some(from) {
+        if can_level && self.view.predecessor(self.me.id) == Some(from) {
             self.ask_to_be_levelled(now);
         }
     }
@@ -382,7 +382,7 @@
         let tail_waits = self
             .tail
             .as_ref()
-            .is_some_and(|tail| !tail.begun || !tail.pending.is_empty() || !tail.leases.settled(now));
+            .is_some_and(|tail| !tail.begun || !tail.pending.is_empty() || !tail.leases.may_acknowledge(now));
         let is_busy = tail_waits
             || self.retired
             || self.sealed()
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -30,7 +30,7 @@
     pub view: ViewNumber,
     pub aligned: ViewNumber,
     pub whole: ViewNumber,
-    pub last: Mark,
+    pub last: LogPosition,
     pub committed: Edition,
     pub tail_active: bool,
     /// The speaker is about to stop: the next view is to do without it.
@@ -231,11 +231,11 @@
 pub enum Stored {
     Record(Record),
     Snapshot {
-        mark: Mark,
+        mark: LogPosition,
         state: Box<FleetState>,
     },
     View(View),
-    Vote(Vote),
+    Vote(VoterState),
     Aligned(ViewNumber),
     Whole(ViewNumber),
     /// This keeper has begun to act as the tail of a view: no tail before it acts any more.
@@ -255,11 +255,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Kept {
     pub view: Option<View>,
-    pub vote: Vote,
+    pub vote: VoterState,
     pub aligned: ViewNumber,
     pub whole: ViewNumber,
     pub begun: ViewNumber,
-    pub mark: Mark,
+    pub mark: LogPosition,
     pub state: FleetState,
     pub records: Vec<Record>,
 }
--- a/crates/coordinator/src/prelude.rs
+++ b/crates/coordinator/src/prelude.rs
@@ -11,7 +11,7 @@
 pub(crate) use crate::tail::*;
 pub use crate::viewing::list_ids;
 pub use adapters::prelude::{DemandReport, HeardDemand};
-pub use chain::prelude::{Ages, ChainMessage, Log, Record};
+pub use chain::prelude::{ChainMessage, CommitAges, Log, Record};
 pub use desired::prelude::{
     CLAIM_SPAN, Command, Complaint, Duty, DutyKind, FleetState, Listing, Revision, Settled, Standing, Submission,
 };
@@ -19,4 +19,4 @@
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::{BTreeMap, BTreeSet, VecDeque};
 pub(crate) use units::prelude::*;
-pub use view::prelude::{Ballot, Campaign, Mark, Member, View, ViewMessage, Vote};
+pub use view::prelude::{Ballot, Campaign, LogPosition, Member, View, ViewMessage, VoterState};
--- a/crates/coordinator/src/tail/mod.rs
+++ b/crates/coordinator/src/tail/mod.rs
@@ -78,8 +78,8 @@
     /// Raises what is in force. Tells the nodes that are counted without although their leases run on, when others
     /// are than before.
     fn left_behind_anew(&mut self, last_edition: Edition, now: Instant) -> Option<(Edition, Vec<NodeId>)> {
-        let in_force = self.leases.raise(last_edition, now);
-        let left_behind = self.leases.left_behind();
+        let in_force = self.leases.advance_in_force(last_edition, now);
+        let left_behind = self.leases.nodes_behind();
         let is_new = left_behind.iter().any(|node| !self.left_behind.contains(node));
         self.left_behind = left_behind;
         is_new.then(|| (in_force, self.left_behind.clone()))
@@ -116,7 +116,7 @@
     /// came later would be gone with the next disk, so it is neither told nor counted until the chain has grown.
     fn log_is_durable(&self) -> bool {
         let is_founding = self.view.number == FOUNDING_VIEW;
-        is_founding || self.view.takes_writes() || self.log.last().edition <= self.committed
+        is_founding || self.view.accepts_writes() || self.log.last().edition <= self.committed
     }
 
     /// After a view was adopted: go on as its tail, begin as its tail, or hand over.
@@ -192,7 +192,7 @@
         let Some(tail) = self.tail.as_mut() else { return };
         tail.begun = true;
         tail.appoints_from = now + self.wishes.timing.duty_lease + LEASE_MARGIN;
-        tail.leases = NodeLeases::begin_under(self.wishes.timing, last_edition, now);
+        tail.leases = NodeLeases::with_timing(self.wishes.timing, last_edition, now);
         tail.due = last_edition;
         self.store(Stored::Begun(self.view.number));
         self.note("tail_begins", format!("view={} edition={last_edition}", self.view.number));
--- a/crates/coordinator/src/tail/pushes.rs
+++ b/crates/coordinator/src/tail/pushes.rs
@@ -70,7 +70,7 @@
 
     /// The changes after an edition, or a snapshot if the log does not reach back to it.
     fn news_after(&self, pushed: Option<Edition>, now: Instant) -> Vec<NodeDown> {
-        match pushed.and_then(|edition| self.log.after(edition)) {
+        match pushed.and_then(|edition| self.log.records_after(edition)) {
             Some(records) => records.into_iter().map(|record| self.push_of(record, now)).collect(),
             None => vec![self.snapshot(now)],
         }
--- a/crates/coordinator/src/tail/read_lease.rs
+++ b/crates/coordinator/src/tail/read_lease.rs
@@ -24,7 +24,7 @@
         let agrees = view == self.view.number
             && self.view.tail() == Some(from)
             && !self.sealed()
-            && self.view.votes(self.me.id);
+            && self.view.is_voter(self.me.id);
         if agrees {
             self.send(from, CoreMessage::ReadLeaseGiven { view, sent });
         }
--- a/crates/coordinator/src/tail/settlements.rs
+++ b/crates/coordinator/src/tail/settlements.rs
@@ -42,7 +42,7 @@
     fn may_tell(&self, from: Requester, outcome: &Settled, now: Instant) -> bool {
         match (from, outcome) {
             (Requester::Keeper(_), Settled::Taken(edition)) => {
-                self.leases.settled(now) && *edition <= self.leases.in_force()
+                self.leases.may_acknowledge(now) && *edition <= self.leases.in_force()
             }
             _ => true,
         }
--- a/crates/coordinator/src/viewing.rs
+++ b/crates/coordinator/src/viewing.rs
@@ -22,7 +22,7 @@
                 if campaign.next != next || campaign.ballot != ballot {
                     return;
                 }
-                let Some(decided_view) = campaign.take_acceptance(&self.view, from) else { return };
+                let Some(decided_view) = campaign.record_acceptance(&self.view, from) else { return };
                 self.tell_decided(&decided_view);
                 self.adopt(decided_view, now);
             }
@@ -37,7 +37,7 @@
     }
 
     fn may_vote(&mut self, from: NodeId, next: ViewNumber) -> bool {
-        if !self.view.votes(self.me.id) || !self.has_view() {
+        if !self.view.is_voter(self.me.id) || !self.has_view() {
             return false;
         }
         if next <= self.view.number {
@@ -83,7 +83,7 @@
         from: NodeId,
         (next, ballot): (ViewNumber, Ballot),
         accepted: Option<(Ballot, View)>,
-        last: Mark,
+        last: LogPosition,
         now: Instant,
     ) {
         let Some(mut campaign) = self.campaign.take() else { return };
@@ -91,9 +91,9 @@
             self.campaign = Some(campaign);
             return;
         }
-        let may_propose = campaign.take_promise(&self.view, from, accepted, last);
+        let may_propose = campaign.record_promise(&self.view, from, accepted, last);
         if may_propose {
-            let proposal = campaign.bound_view().or_else(|| self.compose(next, &campaign.promised(), now));
+            let proposal = campaign.highest_accepted_view().or_else(|| self.compose(next, &campaign.promised(), now));
             if let Some(proposed_view) = proposal {
                 campaign.propose(proposed_view.clone());
                 for voter in self.view.voters.clone() {
@@ -114,10 +114,10 @@
     /// Notes since when a member that is heard does not do its part: our successor that stays behind us,
     /// or a tail that does not act.
     pub(crate) fn watch_wellness(&mut self, from: NodeId, news: &News, now: Instant) {
-        let is_successor = self.view.after(self.me.id) == Some(from);
+        let is_successor = self.view.successor(self.me.id) == Some(from);
         let is_behind = news.aligned != self.view.number || news.last.edition < self.log.last().edition;
         let stuck = is_successor && self.is_aligned() && is_behind;
-        let should_act = self.view.takes_writes() && news.aligned == self.view.number;
+        let should_act = self.view.accepts_writes() && news.aligned == self.view.number;
         let idle = self.view.tail() == Some(from) && should_act && !news.tail_active;
         let adopted = self.adopted;
         let Some(peer) = self.peers.get_mut(&from) else { return };
@@ -130,7 +130,7 @@
     /// A chain member that is heard, but cannot hear most voters, or has long not done its part.
     pub(crate) fn is_neighbour(&self, member: NodeId) -> bool {
         let me = self.me.id;
-        self.view.before(me) == Some(member) || self.view.after(me) == Some(member)
+        self.view.predecessor(me) == Some(member) || self.view.successor(me) == Some(member)
     }
 
     /// Whether most voters hear a keeper, by their own word: then our not hearing it is a matter of one
@@ -171,7 +171,7 @@
 
     /// Whether the present view should give way, as this voter sees it.
     fn wants_view(&self, now: Instant) -> bool {
-        if !self.has_view() || !self.view.votes(self.me.id) || self.alive_voters(now) < self.view.majority() {
+        if !self.has_view() || !self.view.is_voter(self.me.id) || self.alive_voters(now) < self.view.majority() {
             return false;
         }
         let rank = self.rank(now);
@@ -187,7 +187,7 @@
         let is_steady = first_living == Some(&self.me.id)
             && now.since(self.adopted) >= self.steady_span()
             && !self.sealed()
-            && (self.tail_seen(now) || !self.view.takes_writes());
+            && (self.tail_seen(now) || !self.view.accepts_writes());
         seal_hangs || ((member_lost || lets_go) && self.can_compose(now)) || (is_steady && self.growth(now).is_some())
     }
 
@@ -228,7 +228,7 @@
             return;
         }
         let previous_view = std::mem::replace(&mut self.view, view);
-        self.vote = Vote::default();
+        self.vote = VoterState::default();
         self.campaign = None;
         self.highest_round = 0;
         self.adopted = now;
@@ -240,7 +240,7 @@
             }
         }
         self.store(Stored::View(self.view.clone()));
-        self.store(Stored::Vote(Vote::default()));
+        self.store(Stored::Vote(VoterState::default()));
         let stays_whole = self.whole != ViewNumber(0) && self.view.was_always_in_chain(self.me.id, self.whole);
         if stays_whole || self.view.holders.contains(&self.me.id) {
             self.whole = self.view.number;
--- a/crates/coordinator/tests/ages.rs
+++ b/crates/coordinator/tests/ages.rs
@@ -54,23 +54,23 @@
     })
 }
 
-fn told_ages() -> Ages {
-    Ages {
+fn told_ages() -> CommitAges {
+    CommitAges {
         records: vec![(Edition(7), Span::millis(300))],
         gave_way: vec![("model".into(), WeightsEdition(1), Span::millis(300))],
     }
 }
 
 fn snapshot(coordinator: &Coordinator, nonce: u64) -> Input {
-    let mark = Mark { edition: Edition(7), view: ViewNumber(1) };
+    let mark = LogPosition { edition: Edition(7), view: ViewNumber(1) };
     let state = Box::new(FleetState { edition: Edition(7), ..FleetState::default() });
     let message = ChainMessage::Snapshot { view: VIEW, nonce, mark, state, ages: told_ages() };
     from_keeper(coordinator, HEAD, CoreMessage::Chain(message))
 }
 
 /// The ages with which the member levels its successor.
-fn ages_passed_on(coordinator: &mut Coordinator, now: Instant) -> Option<Ages> {
-    let have = ChainMessage::Have { view: VIEW, last: Mark::default(), nonce: 5 };
+fn ages_passed_on(coordinator: &mut Coordinator, now: Instant) -> Option<CommitAges> {
+    let have = ChainMessage::Have { view: VIEW, last: LogPosition::default(), nonce: 5 };
     let input = from_keeper(coordinator, TAIL, CoreMessage::Chain(have));
     let effects = coordinator.step(input, now);
     chain_messages(&effects, TAIL).into_iter().find_map(|message| match message {
@@ -104,11 +104,11 @@
         ..View::default()
     };
     let state = FleetState { edition: Edition(7), ..FleetState::default() };
-    let mark = Mark { edition: Edition(7), view: ViewNumber(1) };
+    let mark = LogPosition { edition: Edition(7), view: ViewNumber(1) };
     let kept = Kept { view: Some(view), aligned: VIEW, whole: VIEW, mark, state, ..Kept::default() };
     let mut coordinator = Coordinator::restore(member(MIDDLE), kept, Wishes::default(), 1, START);
     coordinator.step(Input::Pulse, START);
-    assert_eq!(ages_passed_on(&mut coordinator, START), Some(Ages::default()));
+    assert_eq!(ages_passed_on(&mut coordinator, START), Some(CommitAges::default()));
 }
 
 #[test]
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -156,5 +156,5 @@
     let before = core.view().number;
     core.run(Span::seconds(3));
     assert!(core.view().number.0 - before.0 <= 3, "{} views", core.view().number.0 - before.0);
-    assert!(core.view().takes_writes());
+    assert!(core.view().accepts_writes());
 }
--- a/crates/coordinator/tests/levelling.rs
+++ b/crates/coordinator/tests/levelling.rs
@@ -18,8 +18,8 @@
     Member { id, address: format!("{id}:1"), door: format!("{id}:2"), zone: "a".into() }
 }
 
-fn mark(edition: u64) -> Mark {
-    Mark { edition: Edition(edition), view: ViewNumber(3) }
+fn mark(edition: u64) -> LogPosition {
+    LogPosition { edition: Edition(edition), view: ViewNumber(3) }
 }
 
 fn state(edition: u64) -> FleetState {
@@ -53,11 +53,11 @@
 
 fn snapshot_of(keeper: &Coordinator, nonce: u64, edition: u64) -> Input {
     let (mark, state) = (mark(edition), Box::new(state(edition)));
-    let snapshot = ChainMessage::Snapshot { view: VIEW, nonce, mark, state, ages: Ages::default() };
+    let snapshot = ChainMessage::Snapshot { view: VIEW, nonce, mark, state, ages: CommitAges::default() };
     from_keeper(keeper, TAIL, CoreMessage::Chain(snapshot))
 }
 
-fn promise(keeper: &mut Coordinator) -> Mark {
+fn promise(keeper: &mut Coordinator) -> LogPosition {
     let ballot = Ballot { round: 1, proposer: TAIL };
     let prepare = CoreMessage::View(ViewMessage::Prepare { next: VIEW.next(), ballot });
     let input = from_keeper(keeper, TAIL, prepare);
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -51,7 +51,7 @@
 /// Has the head pass a change on; the same step may not yet count it.
 fn append(tail: &mut Coordinator, number: u64, now: Instant) -> Vec<Effect> {
     let previous = tail.last();
-    let mark = Mark { edition: previous.edition.next(), view: tail.view().number };
+    let mark = LogPosition { edition: previous.edition.next(), view: tail.view().number };
     let patch = format!(r#"{{"kinds":["k{number}"]}}"#);
     let submission = Submission { request: RequestId(number), command: Command::Merge { base: None, patch } };
     let append =
@@ -104,7 +104,7 @@
     let now = expired + Span::millis(20);
     let input = from_keeper(&tail, THIRD, grown);
     tail.step(input, now);
-    assert!(tail.view().takes_writes());
+    assert!(tail.view().accepts_writes());
 }
 
 /// The other voters are still there, so one of them is taken into the chain, though its tail does not act.
--- a/crates/desired/src/adapters.rs
+++ b/crates/desired/src/adapters.rs
@@ -58,7 +58,7 @@
         adapter.close();
     });
     for (zone, region) in document.named_texts("zones") {
-        if !is_name(&region) {
+        if !is_valid_name(&region) {
             document.complain(&format!("zones.{zone}"), "the region is not a name");
         }
         desired_state.zones.insert(Zone(zone), Region(region));
--- a/crates/desired/src/configuration.rs
+++ b/crates/desired/src/configuration.rs
@@ -106,7 +106,7 @@
     use crate::prelude::*;
 
     fn change(base: u64, revision: u64, document: &str) -> Command {
-        let fingerprint = BlockHash::over(&[&base.to_le_bytes(), &revision.to_le_bytes(), document.as_bytes()]);
+        let fingerprint = BlockHash::of_parts(&[&base.to_le_bytes(), &revision.to_le_bytes(), document.as_bytes()]);
         let (document, source) = (document.to_owned(), format!("source {revision}"));
         let (base, revision) = (Revision(base), Revision(revision));
         Command::Configure(Box::new(ConfigurationChange { base, revision, fingerprint, document, source }))
--- a/crates/desired/src/document.rs
+++ b/crates/desired/src/document.rs
@@ -163,7 +163,7 @@
         let mut read_policy = Policy { weight: policy.number("weight", 0.0, 1e6).unwrap_or(1.0), rules: Vec::new() };
         policy.items("rules", |mut rule| {
             let band = rule.text("band").and_then(|text| {
-                let band = Band::read(&text);
+                let band = LoadBand::parse(&text);
                 if band.is_none() {
                     rule.complain("band", "expected calm, steady or busy");
                 }
--- a/crates/desired/src/orders.rs
+++ b/crates/desired/src/orders.rs
@@ -71,11 +71,13 @@
         let base_bytes = |base: &Option<Edition>| base.map_or(u64::MAX, |base| base.0).to_le_bytes();
         match self {
             Command::Replace { base, text } => {
-                Some(BlockHash::over(&[b"replace", &base_bytes(base), text.as_bytes()]))
+                Some(BlockHash::of_parts(&[b"replace", &base_bytes(base), text.as_bytes()]))
             }
-            Command::Merge { base, patch } => Some(BlockHash::over(&[b"merge", &base_bytes(base), patch.as_bytes()])),
-            Command::Intend(intent) => Some(BlockHash::over(&[b"intend", format!("{intent:?}").as_bytes()])),
-            Command::Confirm { plan } => Some(BlockHash::over(&[b"confirm", &plan.0.to_le_bytes()])),
+            Command::Merge { base, patch } => {
+                Some(BlockHash::of_parts(&[b"merge", &base_bytes(base), patch.as_bytes()]))
+            }
+            Command::Intend(intent) => Some(BlockHash::of_parts(&[b"intend", format!("{intent:?}").as_bytes()])),
+            Command::Confirm { plan } => Some(BlockHash::of_parts(&[b"confirm", &plan.0.to_le_bytes()])),
             _ => None,
         }
     }
--- a/crates/desired/src/prelude.rs
+++ b/crates/desired/src/prelude.rs
@@ -15,7 +15,7 @@
 pub use crate::scan::*;
 pub use crate::traffic::*;
 pub use crate::walls::*;
-pub use policy::prelude::{Band, Policy, Rule, Table};
+pub use policy::prelude::{LoadBand, Policy, Rule, WeightTable};
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::{BTreeMap, BTreeSet, VecDeque};
 pub(crate) use std::fmt;
--- a/crates/desired/src/read.rs
+++ b/crates/desired/src/read.rs
@@ -104,7 +104,7 @@
         let Some(named) = Reader::open(&path, value, self.complaints) else { return };
         for (name, member) in named.members {
             let member_path = format!("{path}.{name}");
-            if !is_name(name) {
+            if !is_valid_name(name) {
                 named.complaints.push(Complaint::at(&member_path, "not a name: 1 to 64 of a-z A-Z 0-9 - _ ."));
                 continue;
             }
@@ -122,7 +122,7 @@
         let Some(mut named) = Reader::open(&path, value, self.complaints) else { return found };
         let names: Vec<String> = named.members.keys().map(|name| (*name).to_owned()).collect();
         for name in names {
-            if !is_name(&name) {
+            if !is_valid_name(&name) {
                 named.complain(&name, "not a name: 1 to 64 of a-z A-Z 0-9 - _ .");
             }
             if let Some(text) = named.text(&name) {
--- a/crates/desired/src/walls.rs
+++ b/crates/desired/src/walls.rs
@@ -21,7 +21,7 @@
         for (tenant, wish) in &next_desired.tenants {
             let was_walled = self.walls.contains_key(tenant);
             if wish.walled && !was_walled {
-                let own_wall = BlockHash::over(&[b"wall", tenant.as_str().as_bytes(), &number.0.to_le_bytes()]);
+                let own_wall = BlockHash::of_parts(&[b"wall", tenant.as_str().as_bytes(), &number.0.to_le_bytes()]);
                 let wall = Wall { id: WallId(own_wall.0.max(1)), edition: WallEdition(number.0) };
                 self.walls.insert(tenant.clone(), wall);
                 if self.desired.tenants.contains_key(tenant) {
--- a/crates/engine/src/adapters.rs
+++ b/crates/engine/src/adapters.rs
@@ -18,7 +18,7 @@
         match self {
             AdapterRefusal::NoPlace => "no_adapter_place",
             AdapterRefusal::InUse => "adapter_in_use",
-            AdapterRefusal::NotResident => NOT_RESIDENT,
+            AdapterRefusal::NotResident => ADAPTER_NOT_RESIDENT,
         }
     }
 }
--- a/crates/engine/src/completion.rs
+++ b/crates/engine/src/completion.rs
@@ -23,7 +23,7 @@
 impl Work {
     /// The text of one token.
     fn piece_text(&self, place: u64) -> String {
-        adapted_piece(&self.told_adapter, &self.request.prompt, &self.told_attempt, place)
+        stand_in_piece_with_adapter(&self.told_adapter, &self.request.prompt, &self.told_attempt, place)
     }
 
     fn usage(&self, fetched_blocks: u64) -> Usage {
@@ -43,7 +43,7 @@
         let limit = limit_of(&asked);
         let asked_weights = weights_of(&asked);
         let Ok(adapter) = adapter_of(&asked) else { return bad_adapter() };
-        let Ok(body) = asked.read_body(MOST_REQUEST_BYTES * 2).await else {
+        let Ok(body) = asked.read_body(MAX_REQUEST_BYTES * 2).await else {
             return refuse(StatusCode::BAD_REQUEST, "bad_request", "body unreadable");
         };
         let Ok(request) = serde_json::from_slice::<EngineRequest>(&body) else {
@@ -54,21 +54,21 @@
         if faults.refuse {
             return refuse(StatusCode::INTERNAL_SERVER_ERROR, "engine_fault", "told to refuse");
         }
-        let names = cut(&Salt(request.cache_salt.clone()), request.prompt.as_bytes());
+        let names = hash_blocks(&Salt(request.cache_salt.clone()), request.prompt.as_bytes());
         let weights = match self.admit(asked_weights, adapter.as_ref()) {
             Ok(weights) => weights,
             Err(refusal) => return *refusal,
         };
         let cached_blocks = held(&self.memory).overlap(&names) as u64;
         let adapter_text = text_of(adapter.as_ref());
-        self.log_line(&EngineLine::Start(StartLine {
+        self.log_line(&EngineLogLine::Start(StartLine {
             at: now_millis(),
             engine: self.name.clone(),
             attempt: attempt.clone(),
             salt: request.cache_salt.clone(),
             weights,
             adapter: adapter_text.clone(),
-            prompt_blocks: blocks_of(request.prompt.len()).0,
+            prompt_blocks: blocks_needed(request.prompt.len()).0,
             cached_blocks,
         }));
         let told_adapter = faults.answers_as.clone().unwrap_or(adapter_text);
@@ -128,7 +128,7 @@
 
     /// Fetches, prefills and decodes; how many blocks were fetched.
     async fn run(&self, work: &Work, running: &Running<'_>, pieces: Option<&PieceSender>) -> u64 {
-        let prompt_blocks = blocks_of(work.request.prompt.len()).0;
+        let prompt_blocks = blocks_needed(work.request.prompt.len()).0;
         let _in_work = self.pace.begin(prompt_blocks);
         let fetched_blocks = self.fetch(&work.request.fetch, &work.names, work.cached_blocks as usize).await;
         let cached_blocks = work.cached_blocks + fetched_blocks;
@@ -165,19 +165,19 @@
         let limit = limit_of(&asked);
         let asked_weights = weights_of(&asked);
         let Ok(adapter) = adapter_of(&asked) else { return bad_adapter() };
-        let body = asked.read_body(MOST_REQUEST_BYTES * 2).await.unwrap_or_default();
+        let body = asked.read_body(MAX_REQUEST_BYTES * 2).await.unwrap_or_default();
         let Ok(request) = serde_json::from_slice::<PrefillRequest>(&body) else {
             return refuse(StatusCode::BAD_REQUEST, "bad_request", "no prefill request");
         };
-        let names = cut(&Salt(request.cache_salt.clone()), request.prompt.as_bytes());
-        let prompt_blocks = blocks_of(request.prompt.len()).0;
+        let names = hash_blocks(&Salt(request.cache_salt.clone()), request.prompt.as_bytes());
+        let prompt_blocks = blocks_needed(request.prompt.len()).0;
         let (weights, _running) = match self.admit(asked_weights, adapter.as_ref()) {
             Ok(weights) => (weights, Counted::already(&self.running)),
             Err(refusal) => return *refusal,
         };
         let _on_adapter = AdapterUse { site: self, adapter: adapter.clone() };
         let known_count = held(&self.memory).overlap(&names);
-        self.log_line(&EngineLine::Prefill(StartLine {
+        self.log_line(&EngineLogLine::Prefill(StartLine {
             at: now_millis(),
             engine: self.name.clone(),
             attempt,
@@ -193,7 +193,7 @@
             return refuse(StatusCode::GATEWAY_TIMEOUT, "limit_passed", "the prefill's limit passed");
         }
         self.keep(&names, known_count);
-        outcome_json(StatusCode::OK, &json!(Found { found: names.len() as u64 }))
+        outcome_json(StatusCode::OK, &json!(FoundBlocks { found: names.len() as u64 }))
     }
 }
 
@@ -210,7 +210,7 @@
 /// The adapter a request names, if it names one.
 fn adapter_of(asked: &Asked) -> Result<Option<AdapterId>, ()> {
     let Some(text) = asked.header(ADAPTER_HEADER) else { return Ok(None) };
-    AdapterId::read(text).map(Some).ok_or(())
+    AdapterId::parse(text).map(Some).ok_or(())
 }
 
 /// The refusal of a name that no adapter can have.
--- a/crates/engine/src/fetching.rs
+++ b/crates/engine/src/fetching.rs
@@ -11,7 +11,7 @@
         held(&self.memory).keep(names);
         self.news.send_modify(|count| *count += 1);
         let Some(store) = self.store.clone().filter(|_| known_count < names.len()) else { return };
-        let new_blocks = NamedBlocks { block_hashes: write_hashes(names) };
+        let new_blocks = BlockHashList { block_hashes: format_hashes(names) };
         tokio::spawn(async move {
             let question = Question::with_json(Method::POST, "/v1/blocks", &json!(new_blocks));
             let _ = ask_whole(&store, question, FETCH_LIMIT, MOST_ANSWER_BYTES).await;
@@ -23,18 +23,18 @@
     pub(crate) async fn fetch(&self, orders: &[FetchOrder], names: &[BlockHash], own_count: usize) -> u64 {
         let mut place = own_count;
         for order in orders {
-            let Some(asked_names) = read_hashes(&order.block_hashes) else { break };
+            let Some(asked_names) = parse_hashes(&order.block_hashes) else { break };
             let wanted: Vec<BlockHash> = match names.get(place..) {
                 Some(rest) if rest.starts_with(&asked_names) => asked_names,
                 _ if names.starts_with(&asked_names) && asked_names.len() > place => asked_names[place..].to_vec(),
                 _ => break,
             };
-            let question = NamedBlocks { block_hashes: write_hashes(&wanted) };
+            let question = BlockHashList { block_hashes: format_hashes(&wanted) };
             let question = Question::with_json(Method::POST, "/v1/kept/blocks", &json!(question));
             let Ok((_, _, body)) = ask_whole(&order.address, question, FETCH_LIMIT, MOST_ANSWER_BYTES).await else {
                 break;
             };
-            let Ok(answer) = serde_json::from_slice::<Found>(&body) else { break };
+            let Ok(answer) = serde_json::from_slice::<FoundBlocks>(&body) else { break };
             let found_count = (answer.found as usize).min(wanted.len());
             let link_block = held(&self.faults).link_us.map_or(self.link_block, Duration::from_micros);
             let transfer = link_block * found_count as u32;
@@ -56,8 +56,8 @@
     /// Tells another engine how many of the blocks it names are kept here.
     pub(crate) async fn tell_blocks(&self, mut asked: Asked) -> WebOutcome {
         let Some(names) = read_names(&mut asked).await else { return bad_names() };
-        self.log_line(&EngineLine::Asked { at: now_millis(), engine: self.name.clone() });
+        self.log_line(&EngineLogLine::Asked { at: now_millis(), engine: self.name.clone() });
         let found = held(&self.memory).overlap(&names) as u64;
-        outcome_json(StatusCode::OK, &json!(Found { found }))
+        outcome_json(StatusCode::OK, &json!(FoundBlocks { found }))
     }
 }
--- a/crates/engine/src/kept_pages.rs
+++ b/crates/engine/src/kept_pages.rs
@@ -35,8 +35,8 @@
 /// The block names in a request's body.
 pub async fn read_names(asked: &mut Asked) -> Option<Vec<BlockHash>> {
     let body = asked.read_body(MOST_NAMES_BYTES).await.ok()?;
-    let named: NamedBlocks = serde_json::from_slice(&body).ok()?;
-    read_hashes(&named.block_hashes)
+    let named: BlockHashList = serde_json::from_slice(&body).ok()?;
+    parse_hashes(&named.block_hashes)
 }
 
 /// The refusal of a body without block names.
--- a/crates/engine/src/memory.rs
+++ b/crates/engine/src/memory.rs
@@ -10,7 +10,7 @@
     ticks: u64,
     kept: HashMap<BlockHash, u64>,
     by_age: BTreeMap<u64, BlockHash>,
-    events: VecDeque<KeptEvent>,
+    events: VecDeque<CacheEvent>,
     first_number: u64,
 }
 
@@ -52,20 +52,20 @@
             removed.push(oldest);
         }
         if !stored.is_empty() {
-            self.tell(KeptEvent::Stored(stored));
+            self.tell(CacheEvent::Stored(stored));
         }
         if !removed.is_empty() {
-            self.tell(KeptEvent::Removed(removed));
+            self.tell(CacheEvent::Removed(removed));
         }
     }
 
     pub fn clear(&mut self) {
         self.kept.clear();
         self.by_age.clear();
-        self.tell(KeptEvent::AllCleared);
+        self.tell(CacheEvent::AllCleared);
     }
 
-    fn tell(&mut self, event: KeptEvent) {
+    fn tell(&mut self, event: CacheEvent) {
         self.events.push_back(event);
         if self.events.len() > KEPT_EVENTS {
             self.events.pop_front();
@@ -81,13 +81,13 @@
     pub fn events_from(&self, number: u64) -> EventBatch {
         let first = number.clamp(self.first_number, self.next_number());
         let skipped_count = (first - self.first_number) as usize;
-        let events = self.events.iter().skip(skipped_count).take(512).map(EngineEvent::of).collect();
+        let events = self.events.iter().skip(skipped_count).take(512).map(EngineEvent::from_cache_event).collect();
         EventBatch { boot: self.boot.clone(), first, events }
     }
 
-    pub fn snapshot(&self) -> KeptSnapshot {
+    pub fn snapshot(&self) -> CacheSnapshot {
         let block_hashes = self.kept.keys().map(BlockHash::to_string).collect();
-        KeptSnapshot { boot: self.boot.clone(), next: self.next_number(), block_hashes }
+        CacheSnapshot { boot: self.boot.clone(), next: self.next_number(), block_hashes }
     }
 
     pub fn kept_share(&self) -> f64 {
--- a/crates/engine/src/orders.rs
+++ b/crates/engine/src/orders.rs
@@ -41,7 +41,7 @@
     }
 
     fn log_order(&self, order: &EngineOrder, taken: bool) {
-        self.log_line(&EngineLine::Order {
+        self.log_line(&EngineLogLine::Order {
             at: now_millis(),
             engine: self.name.clone(),
             holder: order.holder.clone(),
@@ -51,18 +51,18 @@
         });
     }
 
-    async fn obey(&self, wish: OrderWish) -> Result<(), Box<WebOutcome>> {
+    async fn obey(&self, wish: EngineOrderAction) -> Result<(), Box<WebOutcome>> {
         match wish {
-            OrderWish::Drain => held(&self.weights).accepting = false,
-            OrderWish::Open => held(&self.weights).accepting = !self.stopping.load(Ordering::SeqCst),
-            OrderWish::LoadWeights { weights } => self.load_weights(weights).await?,
-            OrderWish::LoadAdapter { adapter } => {
-                let adapter = AdapterId::read(&adapter).ok_or_else(|| Box::new(bad_adapter()))?;
+            EngineOrderAction::Drain => held(&self.weights).accepting = false,
+            EngineOrderAction::Open => held(&self.weights).accepting = !self.stopping.load(Ordering::SeqCst),
+            EngineOrderAction::LoadWeights { weights } => self.load_weights(weights).await?,
+            EngineOrderAction::LoadAdapter { adapter } => {
+                let adapter = AdapterId::parse(&adapter).ok_or_else(|| Box::new(bad_adapter()))?;
                 let loaded = self.load_adapter(&adapter).await;
                 loaded.map_err(|refusal| refused_order(&refusal, &format!("{adapter} is not loaded")))?;
             }
-            OrderWish::UnloadAdapter { adapter } => {
-                let adapter = AdapterId::read(&adapter).ok_or_else(|| Box::new(bad_adapter()))?;
+            EngineOrderAction::UnloadAdapter { adapter } => {
+                let adapter = AdapterId::parse(&adapter).ok_or_else(|| Box::new(bad_adapter()))?;
                 let unloaded = held(&self.adapters).unload(&adapter);
                 unloaded.map_err(|refusal| refused_order(&refusal, &format!("{adapter} is not unloaded")))?;
             }
--- a/crates/engine/src/running.rs
+++ b/crates/engine/src/running.rs
@@ -69,7 +69,7 @@
     fn drop(&mut self) {
         self.site.running.fetch_sub(1, Ordering::SeqCst);
         held(&self.site.allowed).remove(&self.attempt);
-        self.site.log_line(&EngineLine::End {
+        self.site.log_line(&EngineLogLine::End {
             at: now_millis(),
             engine: self.site.name.clone(),
             attempt: self.attempt.clone(),
@@ -108,14 +108,14 @@
     /// Begins to count an attempt's run and its time.
     pub(crate) fn begin(&self, admitted: Admitted) -> (Running<'_>, tokio::sync::watch::Receiver<Instant>) {
         let Admitted { name, adapter, limit } = admitted;
-        let (allowed, time_over) = tokio::sync::watch::channel(boot_now() + Span::of(limit));
+        let (allowed, time_over) = tokio::sync::watch::channel(boot_now() + Span::from_duration(limit));
         held(&self.allowed).insert(name.clone(), allowed);
         (Running::new(self, name, adapter), time_over)
     }
 
     /// Gives an attempt under way more time; less is never taken.
     pub(crate) fn allow(&self, attempt: &str, asked: &Asked) -> WebOutcome {
-        let until = boot_now() + Span::of(limit_of(asked));
+        let until = boot_now() + Span::from_duration(limit_of(asked));
         let is_running = held(&self.allowed).get(attempt).map(|allowed| {
             allowed.send_modify(|allowed_until| *allowed_until = until.max(*allowed_until));
         });
--- a/crates/engine/src/site.rs
+++ b/crates/engine/src/site.rs
@@ -184,7 +184,7 @@
     }
 
     /// Appends a line to the file of starts, if there is one.
-    pub(crate) fn log_line(&self, line: &EngineLine) {
+    pub(crate) fn log_line(&self, line: &EngineLogLine) {
         if let Some(file) = held(&self.starts).as_mut() {
             let _ = file.write_all(format!("{}\n", json!(line)).as_bytes());
         }
--- a/crates/figures/src/telling.rs
+++ b/crates/figures/src/exposition.rs
@@ -6,10 +6,10 @@
 pub const FORMAT: u64 = 1;
 const FORMAT_LINE: &str = "haremount_policy_format";
 
-impl PolicyBook {
-    pub fn tell(&self) -> String {
+impl PolicyMetrics {
+    pub fn to_prometheus(&self) -> String {
         let mut text = format!("{FORMAT_LINE} {FORMAT}\n");
-        for ((policy, tenant), figures) in &self.by_place {
+        for ((policy, tenant), figures) in &self.by_policy_and_tenant {
             let labels = format!("policy=\"{policy}\",tenant=\"{tenant}\"");
             for (name, sum) in figures.sums() {
                 let _ = writeln!(text, "haremount_policy_{name}_total{{{labels}}} {sum}");
@@ -20,7 +20,7 @@
                     so_far += count;
                     let is_last = bucket + 1 == BUCKETS;
                     if *count > 0 && !is_last {
-                        let le = bound(bucket);
+                        let le = bucket_upper_bound(bucket);
                         let _ = writeln!(text, "haremount_policy_{name}_bucket{{{labels},le=\"{le:.4}\"}} {so_far}");
                     }
                 }
@@ -34,13 +34,13 @@
     }
 
     /// Reads what a router told among its other metrics.
-    pub fn read(text: &str) -> Result<PolicyBook, String> {
+    pub fn from_prometheus(text: &str) -> Result<PolicyMetrics, String> {
         let told_format = text.lines().find_map(|line| line.strip_prefix(FORMAT_LINE)).map(str::trim);
         if told_format != Some(FORMAT.to_string().as_str()) {
             let theirs = told_format.unwrap_or("none");
             return Err(format!("its figures have format {theirs}, this program reads format {FORMAT}"));
         }
-        let mut book = PolicyBook::default();
+        let mut book = PolicyMetrics::default();
         let mut so_far: BTreeMap<(String, String), u64> = BTreeMap::new();
         for line in text.lines().filter_map(|line| line.strip_prefix("haremount_policy_")) {
             let Some((name, labels, value)) = take_apart(line) else { continue };
@@ -59,7 +59,7 @@
                 let bucket = match le {
                     "+Inf" => Some(BUCKETS - 1),
                     text => text.parse::<f64>().ok().and_then(|le| {
-                        (0..BUCKETS - 1).find(|bucket| (bound(*bucket) - le).abs() < 0.001 + le * 0.0001)
+                        (0..BUCKETS - 1).find(|bucket| (bucket_upper_bound(*bucket) - le).abs() < 0.001 + le * 0.0001)
                     }),
                 };
                 let (Some(place), Some(bucket)) = (place, bucket) else {
@@ -95,7 +95,7 @@
 
     #[test]
     fn what_was_told_is_read_again_and_sums_over_routers() {
-        let mut book = PolicyBook::default();
+        let mut book = PolicyMetrics::default();
         for place in 0..300u64 {
             let figures = book.of(if place % 3 == 0 { "trial" } else { "default" }, &format!("t{}", place % 2));
             figures.requests += 1;
@@ -107,8 +107,8 @@
             *figures.engines.entry(format!("e{}", place % 4)).or_default() += 1;
         }
         let other_metrics = "haremount_router_requests_total 5\n";
-        let told = format!("{other_metrics}{}", book.tell());
-        assert_eq!(PolicyBook::read(&told).unwrap(), book);
+        let told = format!("{other_metrics}{}", book.to_prometheus());
+        assert_eq!(PolicyMetrics::from_prometheus(&told).unwrap(), book);
         let mut doubled = book.clone();
         doubled.merge(&book);
         assert_eq!(doubled.by_policy()["default"].requests, 400);
@@ -119,14 +119,14 @@
 
     #[test]
     fn another_format_is_refused_by_name() {
-        let other = PolicyBook::default().tell().replace("format 1", "format 7");
-        let refused = PolicyBook::read(&other).unwrap_err();
+        let other = PolicyMetrics::default().to_prometheus().replace("format 1", "format 7");
+        let refused = PolicyMetrics::from_prometheus(&other).unwrap_err();
         assert!(refused.contains('7') && refused.contains('1'), "{refused}");
-        assert!(PolicyBook::read("haremount_router_requests_total 5\n").unwrap_err().contains("none"));
+        assert!(PolicyMetrics::from_prometheus("haremount_router_requests_total 5\n").unwrap_err().contains("none"));
         let torn = format!(
             "{}haremount_policy_first_ms_bucket{{policy=\"p\",tenant=\"t\",le=\"777\"}} 4\n",
-            PolicyBook::default().tell()
+            PolicyMetrics::default().to_prometheus()
         );
-        assert!(PolicyBook::read(&torn).is_err());
+        assert!(PolicyMetrics::from_prometheus(&torn).is_err());
     }
 }
--- a/crates/figures/src/histogram.rs
+++ b/crates/figures/src/histogram.rs
@@ -34,13 +34,13 @@
 }
 
 /// The upper bound of a bucket; the last one has none.
-pub fn bound(bucket: usize) -> f64 {
+pub fn bucket_upper_bound(bucket: usize) -> f64 {
     GROWTH.powi(bucket as i32)
 }
 
 impl Histogram {
     pub fn add(&mut self, value: f64) {
-        let bucket = (0..BUCKETS - 1).find(|bucket| value <= bound(*bucket)).unwrap_or(BUCKETS - 1);
+        let bucket = (0..BUCKETS - 1).find(|bucket| value <= bucket_upper_bound(*bucket)).unwrap_or(BUCKETS - 1);
         self.counts[bucket] += 1;
     }
 
@@ -69,13 +69,13 @@
         for (bucket, count) in self.counts.iter().enumerate() {
             let count = *count as f64;
             if count > 0.0 && before + count >= rank {
-                let lower = if bucket == 0 { 0.0 } else { bound(bucket - 1) };
+                let lower = if bucket == 0 { 0.0 } else { bucket_upper_bound(bucket - 1) };
                 let share = ((rank - before) / count).clamp(0.0, 1.0);
-                return lower + (bound(bucket) - lower) * share;
+                return lower + (bucket_upper_bound(bucket) - lower) * share;
             }
             before += count;
         }
-        bound(BUCKETS - 1)
+        bucket_upper_bound(BUCKETS - 1)
     }
 
     /// A quantile, if enough was seen: at least ten values must lie beyond it on its thinner side.
--- a/crates/figures/src/lib.rs
+++ b/crates/figures/src/lib.rs
@@ -4,6 +4,6 @@
 
 pub mod prelude;
 
+mod exposition;
 mod histogram;
-mod policies;
-mod telling;
+mod policy_metrics;
--- a/crates/figures/src/policies.rs
+++ b/crates/figures/src/policy_metrics.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct TrafficMetrics {
     pub requests: u64,
     pub faults: u64,
     pub prompt_blocks: u64,
@@ -21,8 +21,8 @@
     pub engines: BTreeMap<String, u64>,
 }
 
-impl Figures {
-    pub fn merge(&mut self, other: &Figures) {
+impl TrafficMetrics {
+    pub fn merge(&mut self, other: &TrafficMetrics) {
         for (own, theirs) in self.sums_mut().into_iter().zip(other.sums()) {
             *own += theirs.1;
         }
@@ -74,46 +74,46 @@
 
 /// Figures of every policy and tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PolicyBook {
-    pub by_place: BTreeMap<(String, String), Figures>,
+pub struct PolicyMetrics {
+    pub by_policy_and_tenant: BTreeMap<(String, String), TrafficMetrics>,
 }
 
-impl PolicyBook {
-    pub fn of(&mut self, policy: &str, tenant: &str) -> &mut Figures {
-        self.by_place.entry((policy.to_owned(), tenant.to_owned())).or_default()
+impl PolicyMetrics {
+    pub fn of(&mut self, policy: &str, tenant: &str) -> &mut TrafficMetrics {
+        self.by_policy_and_tenant.entry((policy.to_owned(), tenant.to_owned())).or_default()
     }
 
     /// A policy was changed: what was seen of it before says nothing of it now.
     pub fn forget(&mut self, policy: &str) {
-        self.by_place.retain(|(known, _), _| known != policy);
+        self.by_policy_and_tenant.retain(|(known, _), _| known != policy);
     }
 
     /// A tenant's trial was changed: what was seen of it before is of another time.
     pub fn forget_tenant(&mut self, tenant: &str) {
-        self.by_place.retain(|(_, known), _| known != tenant);
+        self.by_policy_and_tenant.retain(|(_, known), _| known != tenant);
     }
 
     /// The default's figures of those tenants alone that also ran under a policy.
-    pub fn default_beside(&self, policy: &str) -> Option<Figures> {
-        let mut beside: Option<Figures> = None;
-        for (_, tenant) in self.by_place.keys().filter(|(known, _)| known == policy) {
-            if let Some(figures) = self.by_place.get(&("default".to_owned(), tenant.clone())) {
+    pub fn default_for_tenants_of(&self, policy: &str) -> Option<TrafficMetrics> {
+        let mut beside: Option<TrafficMetrics> = None;
+        for (_, tenant) in self.by_policy_and_tenant.keys().filter(|(known, _)| known == policy) {
+            if let Some(figures) = self.by_policy_and_tenant.get(&("default".to_owned(), tenant.clone())) {
                 beside.get_or_insert_default().merge(figures);
             }
         }
         beside
     }
 
-    pub fn merge(&mut self, other: &PolicyBook) {
-        for ((policy, tenant), figures) in &other.by_place {
+    pub fn merge(&mut self, other: &PolicyMetrics) {
+        for ((policy, tenant), figures) in &other.by_policy_and_tenant {
             self.of(policy, tenant).merge(figures);
         }
     }
 
     /// The sums over all tenants of each policy.
-    pub fn by_policy(&self) -> BTreeMap<&str, Figures> {
-        let mut sums: BTreeMap<&str, Figures> = BTreeMap::new();
-        for ((policy, _), figures) in &self.by_place {
+    pub fn by_policy(&self) -> BTreeMap<&str, TrafficMetrics> {
+        let mut sums: BTreeMap<&str, TrafficMetrics> = BTreeMap::new();
+        for ((policy, _), figures) in &self.by_policy_and_tenant {
             sums.entry(policy).or_default().merge(figures);
         }
         sums
@@ -126,12 +126,12 @@
 
     #[test]
     fn a_trial_is_held_against_its_own_tenants_alone() {
-        let mut book = PolicyBook::default();
+        let mut book = PolicyMetrics::default();
         book.of("trial", "a").requests = 10;
-        assert_eq!(book.default_beside("trial"), None, "nothing of theirs went by the default");
+        assert_eq!(book.default_for_tenants_of("trial"), None, "nothing of theirs went by the default");
         book.of("default", "a").requests = 9;
         book.of("default", "b").requests = 500;
-        assert_eq!(book.default_beside("trial").map(|figures| figures.requests), Some(9));
+        assert_eq!(book.default_for_tenants_of("trial").map(|figures| figures.requests), Some(9));
         book.forget_tenant("a");
         assert_eq!(book.by_policy().len(), 1);
     }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -48,7 +48,7 @@
         let unknown = TenantName::default();
         let tenant = ground.tenant.as_ref().map_or(&unknown, |(tenant, _)| tenant);
         let wall = sight.state.wall_of(tenant);
-        if Salt::of(model, ground.weights, wall.id, wall.edition) != *salt {
+        if Salt::for_model(model, ground.weights, wall.id, wall.edition) != *salt {
             return Err(Bar::WallMoved);
         }
     }
--- a/crates/gateway/src/grant_news.rs
+++ b/crates/gateway/src/grant_news.rs
@@ -24,17 +24,17 @@
 impl GrantInquiry {
     /// Goes on for the life of the process.
     pub async fn keep(self) {
-        let mut draw = Draw::new(self.node.0);
+        let mut draw = SeededRng::new(self.node.0);
         let mut was_passed_over = false;
         loop {
             let now = boot_now();
-            let (asks_from, is_passed_over) =
-                self.shared.watch_grants(|grants| (grants.asks_from(), grants.is_passed_over()));
+            let (ask_peers_from, is_passed_over) =
+                self.shared.watch_grants(|grants| (grants.ask_peers_from(), grants.is_passed_over()));
             if is_passed_over != was_passed_over {
                 self.note(is_passed_over);
                 was_passed_over = is_passed_over;
             }
-            let rest = asks_from.map_or(IDLE_PAUSE, |asks_from| asks_from.since(now).min(IDLE_PAUSE));
+            let rest = ask_peers_from.map_or(IDLE_PAUSE, |ask_peers_from| ask_peers_from.since(now).min(IDLE_PAUSE));
             if rest > Span(0) {
                 tokio::time::sleep(rest.max(SHORTEST_PAUSE).as_duration()).await;
                 continue;
@@ -53,12 +53,12 @@
     }
 
     /// Asks a few routers, drawn anew each time; answers are taken as they come.
-    fn ask_some(&self, draw: &mut Draw) {
+    fn ask_some(&self, draw: &mut SeededRng) {
         let routers = self.shared.routers();
         let is_other = |router: &&RouterAddress| router.router != self.node && router.relay.is_some();
         let mut others: Vec<&RouterAddress> = routers.iter().filter(is_other).collect();
         if others.is_empty() {
-            self.shared.watch_grants(|grants| grants.stands_alone(boot_now()));
+            self.shared.watch_grants(|grants| grants.confirm_without_peers(boot_now()));
             return;
         }
         for _ in 0..ASKED_AT_ONCE.min(others.len()) {
@@ -73,6 +73,6 @@
     let asked = boot_now();
     let answer = ask_whole(&address, Question::get(GRANT_PAGE), QUESTION_LIMIT, MOST_ANSWER_BYTES).await;
     let Ok((StatusCode::OK, _, body)) = answer else { return };
-    let Ok(news) = rmp_serde::from_slice::<GrantNews>(&body) else { return };
-    shared.watch_grants(|grants| grants.hear(news, asked, boot_now()));
+    let Ok(news) = rmp_serde::from_slice::<GrantReport>(&body) else { return };
+    shared.watch_grants(|grants| grants.record_peer_report(news, asked, boot_now()));
 }
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -28,10 +28,10 @@
 pub(crate) use queues::prelude::*;
 pub use router::prelude::RouterAddress;
 pub use router::prelude::Timing;
-pub(crate) use router::prelude::{CoreLine, FeedPlan, GrantNews, SharedState, keep_feed};
+pub(crate) use router::prelude::{CoreLine, FeedPlan, GrantReport, SharedState, keep_feed};
 pub(crate) use routes::prelude::{NamedRoute, Variant};
 pub use selection::prelude::{
-    Band, Candidate, Chosen, FaultKind, FollowOutcome, OwnWork, Selection, SelectionRequest, SelectionSettings,
+    Candidate, Chosen, FaultKind, FollowOutcome, LoadBand, OwnWork, Selection, SelectionRequest, SelectionSettings,
     Selector, StorePlace, store_source,
 };
 pub(crate) use serde::{Deserialize, Serialize};
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -50,7 +50,7 @@
         let unknown = TenantName::default();
         let tenant = self.tenant.as_ref().map_or(&unknown, |(tenant, _)| tenant);
         let wall = sight.state.wall_of(tenant);
-        Some(Salt::of(model, weights, wall.id, wall.edition))
+        Some(Salt::for_model(model, weights, wall.id, wall.edition))
     }
 
     /// The parts of the prompt by the names under which they are kept on these weights.
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -186,9 +186,9 @@
     bounds: RetryBounds,
     disabled: Disabled,
 ) -> (TableHandle, tokio::sync::watch::Receiver<u64>) {
-    let (queue, commands) = ring::<TableCommand>(TABLE_PLACES);
+    let (queue, commands) = bounded_queue::<TableCommand>(TABLE_PLACES);
     let (changes, changes_seen) = tokio::sync::watch::channel(0);
-    duty("table", move || {
+    spawn_thread("table", move || {
         let settings = SelectionSettings {
             fetch_share: FETCH_SHARE,
             home_share: HOME_SHARE,
--- a/crates/keeper/src/census.rs
+++ b/crates/keeper/src/census.rs
@@ -58,7 +58,7 @@
         }
         event!(info, "listing_submitted", number = listing.number, engines = listing.engines.len());
         let naming = [listing.boot.as_bytes(), &listing.number.0.to_le_bytes()];
-        let request = RequestId(BlockHash::over(&[b"listing", naming[0], naming[1]]).0);
+        let request = RequestId(BlockHash::of_parts(&[b"listing", naming[0], naming[1]]).0);
         let submitting = executor.submit(request, Command::List(listing.clone()), Span::millis(3000));
         let _ = tokio::time::timeout(Duration::from_millis(700), submitting).await;
     }
--- a/crates/keeper/src/conducting.rs
+++ b/crates/keeper/src/conducting.rs
@@ -70,7 +70,7 @@
                     submit_once(&executor, &mut ordering, naming, Command::Stand { term, engine, standing });
                 }
                 Act::Load { engine, address, weights } => {
-                    let wish = OrderWish::LoadWeights { weights: weights.0 };
+                    let wish = EngineOrderAction::LoadWeights { weights: weights.0 };
                     give_order(&shelf, &mut ordering, engine, address, term, me, wish);
                 }
                 Act::DoStep { plan, .. }
@@ -88,7 +88,7 @@
                     submit_once(&executor, &mut ordering, naming, Command::EndPlan { term, plan, halted });
                 }
                 Act::Open { engine, address } => {
-                    give_order(&shelf, &mut ordering, engine, address, term, me, OrderWish::Open);
+                    give_order(&shelf, &mut ordering, engine, address, term, me, EngineOrderAction::Open);
                 }
             }
         }
@@ -119,11 +119,11 @@
             submit_once(executor, ordering, naming, Command::UseRevision { term, adapter });
         }
         WarmingAct::Load { engine, address, adapter } => {
-            let wish = OrderWish::LoadAdapter { adapter: adapter.to_string() };
+            let wish = EngineOrderAction::LoadAdapter { adapter: adapter.to_string() };
             give_order(shelf, ordering, engine, address, term, me, wish);
         }
         WarmingAct::Unload { engine, address, adapter } => {
-            let wish = OrderWish::UnloadAdapter { adapter: adapter.to_string() };
+            let wish = EngineOrderAction::UnloadAdapter { adapter: adapter.to_string() };
             give_order(shelf, ordering, engine, address, term, me, wish);
         }
     }
@@ -153,7 +153,7 @@
     address: String,
     term: Term,
     me: NodeId,
-    wish: OrderWish,
+    wish: EngineOrderAction,
 ) {
     if ordering.contains_key(&engine) {
         return;
@@ -207,7 +207,7 @@
 fn seen_engine(told: &EngineState, at: Instant) -> SeenEngine {
     SeenEngine {
         boot: told.boot.clone(),
-        resident: told.adapters.iter().filter_map(|text| AdapterId::read(text)).collect(),
+        resident: told.adapters.iter().filter_map(|text| AdapterId::parse(text)).collect(),
         places: told.adapter_places,
         at,
     }
--- a/crates/keeper/src/filing.rs
+++ b/crates/keeper/src/filing.rs
@@ -32,7 +32,7 @@
     }
 
     pub fn load(&mut self) -> Result<Kept, DiskFault> {
-        let (mark, state): (Mark, FleetState) = self.folder.plain("snapshot")?.unwrap_or_default();
+        let (mark, state): (LogPosition, FleetState) = self.folder.plain("snapshot")?.unwrap_or_default();
         let records: Vec<Record> = self.folder.numbered_after(mark.edition.0)?;
         self.snapshot_edition = mark.edition;
         self.record_bytes = self.folder.numbered_bytes()?;
@@ -64,7 +64,7 @@
 
     /// Stores a batch, synced; `mark` and `state` are where the log stands after it. A batch that failed may
     /// be stored again.
-    pub fn store(&mut self, batch: &[Stored], mark: Mark, state: &FleetState) -> Result<(), DiskFault> {
+    pub fn store(&mut self, batch: &[Stored], mark: LogPosition, state: &FleetState) -> Result<(), DiskFault> {
         self.folder.mend()?;
         let mut rows = Vec::new();
         let mut snapshot_edition = self.snapshot_edition;
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -174,7 +174,7 @@
     fn ready(&self) -> WebOutcome {
         let seen = look(&self.shelf);
         let tail_lives = seen.view.tail().is_some_and(|tail| seen.alive.contains(&tail));
-        if seen.view.takes_writes() && tail_lives {
+        if seen.view.accepts_writes() && tail_lives {
             outcome_bytes(StatusCode::OK, "text/plain", "ready\n")
         } else {
             outcome_bytes(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
@@ -294,7 +294,7 @@
     let mut rows = Vec::new();
     for tenant in &tenants {
         for kind in &state.desired.kinds {
-            let weights = Band::ALL.map(|band| table.weight(tenant, kind, band));
+            let weights = LoadBand::ALL.map(|band| table.weight(tenant, kind, band));
             rows.push(json!({"tenant": tenant.as_str(), "kind": kind, "calm": weights[0], "steady": weights[1], "busy": weights[2]}));
         }
     }
--- a/crates/keeper/src/patience.rs
+++ b/crates/keeper/src/patience.rs
@@ -26,7 +26,7 @@
     /// The next commands, after waiting at most so long for one; nothing if all senders left.
     pub fn next(&mut self, span: Duration, most: usize) -> Option<Vec<ExecutorCommand>> {
         match self.held.is_empty() {
-            true => drain(&self.queue, span, most),
+            true => receive_batch(&self.queue, span, most),
             false => Some(std::mem::take(&mut self.held)),
         }
     }
@@ -70,7 +70,9 @@
         let until = boot_now() + pause;
         loop {
             let now = boot_now();
-            let Some(commands) = drain(&self.queue, until.since(now).as_duration(), MOST_HELD) else { return false };
+            let Some(commands) = receive_batch(&self.queue, until.since(now).as_duration(), MOST_HELD) else {
+                return false;
+            };
             if commands.iter().any(|command| matches!(command, ExecutorCommand::Stop)) {
                 return false;
             }
--- a/crates/keeper/src/prelude.rs
+++ b/crates/keeper/src/prelude.rs
@@ -21,9 +21,9 @@
 pub(crate) use contract::prelude::*;
 pub(crate) use coordinator::prelude::*;
 pub(crate) use desired::prelude::{
-    Band, Bounds as TextBounds, ConfigurationChange, CopyStage, DOCUMENT_BOUNDS, DesiredState, JsonValue, Listed,
-    ListedEngine, Plan, PlanStatus, Policy, Revision, Role, merge, parse_bounded, read_document, read_intent,
-    write_sorted,
+    Bounds as TextBounds, ConfigurationChange, CopyStage, DOCUMENT_BOUNDS, DesiredState, JsonValue, Listed,
+    ListedEngine, LoadBand, Plan, PlanStatus, Policy, Revision, Role, merge, parse_bounded, read_document,
+    read_intent, write_sorted,
 };
 pub(crate) use ledger::prelude::{DiskFault, Folder, Row};
 pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, Post, Purpose, accept_links};
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -164,7 +164,7 @@
 /// Equal for the very same change, whichever way it came and however its text was laid out.
 fn fingerprint_of(page: OperatorPage, base: Revision, canonical: &str) -> BlockHash {
     let kind: &[u8] = if page == OperatorPage::Patch { b"patch" } else { b"replace" };
-    BlockHash::over(&[kind, &base.0.to_le_bytes(), canonical.as_bytes()])
+    BlockHash::of_parts(&[kind, &base.0.to_le_bytes(), canonical.as_bytes()])
 }
 
 fn not_known() -> WebOutcome {
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -81,7 +81,7 @@
     begun: impl FnOnce(NodeId),
 ) -> Result<(), Report> {
     let shown_folder = plan.data_folder.display().to_string();
-    let (queue, commands) = ring::<ExecutorCommand>(4096);
+    let (queue, commands) = bounded_queue::<ExecutorCommand>(4096);
     tended(KeeperHandle { queue: queue.clone() })?;
     let mut patience = Patience::new(commands);
     let mut filing = Filing::of(data_folder(&plan));
@@ -209,7 +209,11 @@
 }
 
 /// What a fleet founded in an empty folder begins with, unless a seed answers that there is one.
-fn founded(plan: &KeeperPlan, me: &Member, kept: &Kept) -> Result<Option<(Vec<Stored>, Mark, FleetState)>, String> {
+fn founded(
+    plan: &KeeperPlan,
+    me: &Member,
+    kept: &Kept,
+) -> Result<Option<(Vec<Stored>, LogPosition, FleetState)>, String> {
     let Founding::Founds { document, tolerance, or_joins } = &plan.founding else { return Ok(None) };
     if kept.view.is_some() {
         return if *or_joins { Ok(None) } else { Err("the data folder already belongs to a fleet".into()) };
@@ -223,7 +227,7 @@
     let command = Command::Replace { base: None, text: document.clone() };
     let outcome = founding_state.apply(&Submission { request: RequestId::random(), command });
     let Settled::Taken(_) = outcome else { return Err("the founding document was refused".into()) };
-    let mark = Mark { edition: founding_state.edition, view: ViewNumber(1) };
+    let mark = LogPosition { edition: founding_state.edition, view: ViewNumber(1) };
     let stored = Coordinator::founding_for(me, FleetId::random(), founding_state.clone(), *tolerance);
     Ok(Some((stored, mark, founding_state)))
 }
--- a/crates/keeper/tests/filing.rs
+++ b/crates/keeper/tests/filing.rs
@@ -26,7 +26,7 @@
         let mut log = Log::default();
         for number in 1..=700 {
             let command = Command::Merge { base: None, patch: "{}".into() };
-            let record = log.number(ViewNumber(1), Submission { request: RequestId(number), command });
+            let record = log.append_submission(ViewNumber(1), Submission { request: RequestId(number), command });
             filing.store(&[Stored::Record(record)], log.last(), log.state()).unwrap();
         }
         filing.store(&[Stored::Aligned(ViewNumber(4))], log.last(), log.state()).unwrap();
@@ -59,7 +59,7 @@
     Command::Configure(Box::new(ConfigurationChange {
         base: Revision(number - 1),
         revision: Revision(number),
-        fingerprint: BlockHash::over(&[&number.to_le_bytes()]),
+        fingerprint: BlockHash::of_parts(&[&number.to_le_bytes()]),
         source: document.replace("tenant", "source"),
         document,
     }))
@@ -73,7 +73,7 @@
     let mut most = 0;
     for number in 1..=changes {
         let submission = Submission { request: RequestId(number), command: large_change(number) };
-        let record = log.number(ViewNumber(1), submission);
+        let record = log.append_submission(ViewNumber(1), submission);
         filing.store(&[Stored::Record(record)], log.last(), log.state()).unwrap();
         most = most.max(folder_bytes(&path));
         if number % restart_every == 0 {
@@ -110,7 +110,7 @@
         let numbers = round * 75 + 1..=(round + 1) * 75;
         let records = numbers.map(|number| {
             let submission = Submission { request: RequestId(number), command: large_change(number) };
-            Stored::Record(log.number(ViewNumber(1), submission))
+            Stored::Record(log.append_submission(ViewNumber(1), submission))
         });
         let batch: Vec<Stored> = records.collect();
         filing.store(&batch, log.last(), log.state()).unwrap();
--- a/crates/keeper/tests/patience.rs
+++ b/crates/keeper/tests/patience.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_short_refusal_loses_nothing_that_was_said() {
-    let (queue, commands) = ring::<ExecutorCommand>(64);
+    let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut patience = Patience::new(commands);
     let (first, _first_answer) = ask();
     queue.send(first).unwrap();
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_long_refusal_blocks_nobody_and_keeps_little() {
-    let (queue, commands) = ring::<ExecutorCommand>(64);
+    let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut patience = Patience::new(commands);
     let is_all_said = Arc::new(AtomicBool::new(false));
     let all_said = Arc::clone(&is_all_said);
@@ -77,7 +77,7 @@
 
 #[test]
 fn it_ends_when_told_to_and_where_the_folder_is_damaged() {
-    let (queue, commands) = ring::<ExecutorCommand>(64);
+    let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut patience = Patience::new(commands);
     let damage = || Err::<(), _>(DiskFault { reason: "damaged".into(), may_pass: false });
     assert!(patience.insist(damage, |_| ()).is_err());
@@ -105,7 +105,7 @@
 
 #[test]
 fn links_of_keepers_are_kept_and_agents_sent_to_another() {
-    let (queue, commands) = ring::<ExecutorCommand>(64);
+    let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut patience = Patience::new(commands);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
--- a/crates/keeper/tests/rebuilt.rs
+++ b/crates/keeper/tests/rebuilt.rs
@@ -120,7 +120,7 @@
         let place = if number < KINDS { number } else { draw.number() % KINDS };
         let command = command(place, draw.number(), log.state());
         let request = RequestId(1 + number - u64::from(draw.number().is_multiple_of(11)).min(number));
-        log.number(VIEW, Submission { request, command });
+        log.append_submission(VIEW, Submission { request, command });
     }
     log
 }
@@ -129,7 +129,7 @@
 fn rebuilt(records: &[Record], snapshot_after: usize) -> FleetState {
     let path = std::env::temp_dir().join(format!("rebuilt-{}", NodeId::random()));
     let (mut filing, _) = Filing::open(&path).expect("a new folder opens");
-    let before = Log::restore(Mark::default(), FleetState::default(), records[..snapshot_after].to_vec());
+    let before = Log::restore(LogPosition::default(), FleetState::default(), records[..snapshot_after].to_vec());
     let snapshot = Stored::Snapshot { mark: before.last(), state: Box::new(before.state().clone()) };
     filing.store(&[snapshot], before.last(), before.state()).expect("the folder takes a snapshot");
     let rest: Vec<Stored> = records[snapshot_after..].iter().cloned().map(Stored::Record).collect();
@@ -148,7 +148,7 @@
     let mut taken = BTreeSet::new();
     for seed in 0..SEEDS {
         let log = history(seed);
-        let records = log.after(Edition(0)).expect("all are kept");
+        let records = log.records_after(Edition(0)).expect("all are kept");
         kinds_met.extend(records.iter().map(|record| kind(&record.submission.command)));
         let mut replayed = FleetState::default();
         for record in &records {
--- a/crates/lease/src/grant_watch.rs
+++ b/crates/lease/src/grant_tracker.rs
@@ -12,14 +12,14 @@
 /// What a node tells another one that asks: how long ago the latest grant was asked that it knows of, its own or
 /// another node's. Nothing if it knows of none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GrantNews {
+pub struct GrantReport {
     /// Since the renewal was sent that was granted.
     pub age: Option<Span>,
 }
 
 /// A node's own lease, and what it knows of those of others.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct GrantWatch {
+pub struct GrantTracker {
     timing: Timing,
     lease_until: Instant,
     /// When the renewal was sent that was granted last.
@@ -29,10 +29,10 @@
     confirmed_until: Instant,
 }
 
-impl GrantWatch {
+impl GrantTracker {
     /// A node that holds no lease yet.
-    pub fn new(timing: Timing) -> GrantWatch {
-        GrantWatch { timing, ..GrantWatch::default() }
+    pub fn new(timing: Timing) -> GrantTracker {
+        GrantTracker { timing, ..GrantTracker::default() }
     }
 
     /// A renewal sent at `asked` was granted.
@@ -54,15 +54,15 @@
     }
 
     /// From when on others are to be asked; never, if the lease ends with the node's own word.
-    pub fn asks_from(&self) -> Option<Instant> {
+    pub fn ask_peers_from(&self) -> Option<Instant> {
         let own_word = self.granted + self.timing.unconfirmed_span;
-        let asks_from = Instant(own_word.0.saturating_sub(ASKING_LEAD.0));
-        (self.lease_until > own_word && !self.is_passed_over()).then_some(asks_from)
+        let ask_peers_from = Instant(own_word.0.saturating_sub(ASKING_LEAD.0));
+        (self.lease_until > own_word && !self.is_passed_over()).then_some(ask_peers_from)
     }
 
     /// Takes another node's answer to a question sent at `asked`. The grant it tells of was asked no earlier than
     /// its age before the question; an answer that came late may hide a newer one, and confirms nothing.
-    pub fn hear(&mut self, news: GrantNews, asked: Instant, now: Instant) {
+    pub fn record_peer_report(&mut self, news: GrantReport, asked: Instant, now: Instant) {
         let Some(age) = news.age else { return };
         self.latest_granted = self.latest_granted.max(Instant(asked.0.saturating_sub(age.0)));
         if now.since(asked) <= PEER_ANSWER_LIMIT {
@@ -71,7 +71,7 @@
     }
 
     /// There is no other node that could be granted a lease.
-    pub fn stands_alone(&mut self, now: Instant) {
+    pub fn confirm_without_peers(&mut self, now: Instant) {
         self.confirm(now);
     }
 
@@ -82,8 +82,8 @@
     }
 
     /// What this node tells others.
-    pub fn news(&self, now: Instant) -> GrantNews {
+    pub fn report(&self, now: Instant) -> GrantReport {
         let has_any = self.latest_granted > Instant(0);
-        GrantNews { age: has_any.then(|| now.since(self.latest_granted)) }
+        GrantReport { age: has_any.then(|| now.since(self.latest_granted)) }
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod prelude;
 
-mod grant_watch;
+mod grant_tracker;
 mod held;
 mod nodes;
 mod read;
--- a/crates/lease/src/nodes.rs
+++ b/crates/lease/src/nodes.rs
@@ -20,11 +20,11 @@
 
 impl NodeLeases {
     /// A tail that begins at `now` with everything up to `committed` possibly acknowledged before.
-    pub fn begin(committed: Edition, now: Instant) -> NodeLeases {
-        NodeLeases::begin_under(Timing::USUAL, committed, now)
+    pub fn new(committed: Edition, now: Instant) -> NodeLeases {
+        NodeLeases::with_timing(Timing::DEFAULT, committed, now)
     }
 
-    pub fn begin_under(timing: Timing, committed: Edition, now: Instant) -> NodeLeases {
+    pub fn with_timing(timing: Timing, committed: Edition, now: Instant) -> NodeLeases {
         NodeLeases { timing, nodes: BTreeMap::new(), in_force: committed, embargo_until: now + timing.embargo() }
     }
 
@@ -52,7 +52,7 @@
 
     /// Raises what is in force as far as the leased nodes allow: those with little of their lease left do
     /// not count.
-    pub fn raise(&mut self, committed: Edition, now: Instant) -> Edition {
+    pub fn advance_in_force(&mut self, committed: Edition, now: Instant) -> Edition {
         self.nodes.retain(|_, entry| now < entry.until);
         if now >= self.embargo_until {
             let slack_until = now + self.timing.revoke_slack;
@@ -64,13 +64,13 @@
     }
 
     /// Nodes whose leases run on, and which have not applied what is in force: they were silent for too long.
-    pub fn left_behind(&self) -> Vec<NodeId> {
+    pub fn nodes_behind(&self) -> Vec<NodeId> {
         let behind = self.nodes.iter().filter(|(_, entry)| entry.applied < self.in_force);
         behind.map(|(node, _)| *node).collect()
     }
 
     /// Whether anything may be acknowledged yet.
-    pub fn settled(&self, now: Instant) -> bool {
+    pub fn may_acknowledge(&self, now: Instant) -> bool {
         now >= self.embargo_until
     }
 
@@ -90,19 +90,19 @@
     #[test]
     fn a_change_is_in_force_once_applied_or_run_out() {
         let after_embargo = Instant(0) + NODE_LEASE + LEASE_MARGIN;
-        let mut leases = NodeLeases::begin(Edition(5), Instant(0));
+        let mut leases = NodeLeases::new(Edition(5), Instant(0));
         assert!(!leases.renew(NodeId(1), Edition(4), Edition(0), Instant(1)), "older than what may be acked");
         assert!(leases.renew(NodeId(1), Edition(5), Edition(0), Instant(1)));
-        assert_eq!(leases.raise(Edition(7), Instant(2)), Edition(5), "embargo");
+        assert_eq!(leases.advance_in_force(Edition(7), Instant(2)), Edition(5), "embargo");
         assert!(leases.renew(NodeId(1), Edition(5), Edition(0), after_embargo));
         assert!(leases.renew(NodeId(2), Edition(7), Edition(0), after_embargo));
-        assert_eq!(leases.raise(Edition(7), after_embargo), Edition(5));
+        assert_eq!(leases.advance_in_force(Edition(7), after_embargo), Edition(5));
         leases.note_applied(NodeId(1), Edition(6));
-        assert_eq!(leases.raise(Edition(7), after_embargo), Edition(6));
+        assert_eq!(leases.advance_in_force(Edition(7), after_embargo), Edition(6));
         assert!(!leases.renew(NodeId(1), Edition(6), Edition(7), after_embargo), "lags too long");
         let run_out = after_embargo + NODE_LEASE + LEASE_MARGIN;
         assert!(leases.renew(NodeId(2), Edition(7), Edition(7), run_out));
-        assert_eq!(leases.raise(Edition(7), run_out), Edition(7));
+        assert_eq!(leases.advance_in_force(Edition(7), run_out), Edition(7));
         assert!(!leases.renew(NodeId(1), Edition(6), Edition(0), run_out), "older than what is in force");
     }
 }
--- a/crates/lease/src/prelude.rs
+++ b/crates/lease/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The one import of this package's files.
 
-pub use crate::grant_watch::*;
+pub use crate::grant_tracker::*;
 pub use crate::held::*;
 pub use crate::nodes::*;
 pub use crate::read::*;
@@ -12,4 +12,4 @@
 
 pub const READ_LEASE: Span = Span::millis(700);
 /// A node's lease where no bounds are stated.
-pub const NODE_LEASE: Span = Timing::USUAL.node_lease;
+pub const NODE_LEASE: Span = Timing::DEFAULT.node_lease;
--- a/crates/lease/tests/passed_over.rs
+++ b/crates/lease/tests/passed_over.rs
@@ -13,7 +13,7 @@
 const SEEDS: u64 = 300;
 
 struct Node {
-    watch: GrantWatch,
+    watch: GrantTracker,
     applied: Edition,
     next_renewal: Instant,
     next_round: Instant,
@@ -33,7 +33,7 @@
 struct Fleet {
     timing: Timing,
     bounds: Bounds,
-    draw: Draw,
+    draw: SeededRng,
     now: Instant,
     nodes: Vec<Node>,
     leases: NodeLeases,
@@ -48,17 +48,17 @@
     fn form(seed: u64, strict_revoke: bool) -> Fleet {
         let bounds = Bounds { strict_revoke, ..Bounds::default() };
         let timing = Timing::derive(&bounds).expect("the usual bounds can be kept to");
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         let start = Instant(0) + Span::seconds(1);
-        let node = |draw: &mut Draw| Node {
-            watch: GrantWatch::new(timing),
+        let node = |draw: &mut SeededRng| Node {
+            watch: GrantTracker::new(timing),
             applied: Edition(1),
             next_renewal: start + Span::millis(draw.below(600)),
             next_round: start,
             starved: None,
         };
         let nodes = (0..NODES).map(|_| node(&mut draw)).collect();
-        let leases = NodeLeases::begin_under(timing, Edition(1), start);
+        let leases = NodeLeases::with_timing(timing, Edition(1), start);
         let hears_peers = draw.chance(50);
         Fleet {
             timing,
@@ -95,7 +95,7 @@
         if self.draw.chance(2) {
             self.committed = self.committed.next();
         }
-        let in_force = self.leases.raise(self.committed, self.now);
+        let in_force = self.leases.advance_in_force(self.committed, self.now);
         if self.acknowledged.last().is_none_or(|(edition, _)| *edition < in_force) {
             self.acknowledged.push((in_force, self.now));
         }
@@ -125,7 +125,7 @@
     fn ask_peers(&mut self) {
         let now = self.now;
         for number in 0..NODES {
-            let asks = self.nodes[number].watch.asks_from().is_some_and(|from| now >= from);
+            let asks = self.nodes[number].watch.ask_peers_from().is_some_and(|from| now >= from);
             if !asks || now < self.nodes[number].next_round {
                 continue;
             }
@@ -143,9 +143,9 @@
             return;
         }
         let asked = Instant(self.now.0 - self.draw.below(PEER_ANSWER_LIMIT.0));
-        let news = self.nodes[other].watch.news(self.now);
+        let news = self.nodes[other].watch.report(self.now);
         let now = self.now;
-        self.nodes[number].watch.hear(news, asked, now);
+        self.nodes[number].watch.record_peer_report(news, asked, now);
     }
 
     /// How long an acknowledged edition has not been in force at a node that starts requests.
@@ -215,27 +215,27 @@
 #[test]
 fn a_node_that_reaches_nobody_stops() {
     let timing = Timing::derive(&Bounds { strict_revoke: false, ..Bounds::default() }).unwrap();
-    let mut watch = GrantWatch::new(timing);
+    let mut watch = GrantTracker::new(timing);
     let granted = Instant(0) + Span::seconds(10);
     watch.renew(granted, granted + timing.node_lease);
     assert_eq!(watch.until(), granted + timing.unconfirmed_span);
-    assert!(watch.asks_from().is_some_and(|from| from < watch.until()));
+    assert!(watch.ask_peers_from().is_some_and(|from| from < watch.until()));
 }
 
 #[test]
 fn an_answer_that_came_late_confirms_nothing_and_a_grant_it_tells_of_counts() {
     let timing = Timing::derive(&Bounds { strict_revoke: false, ..Bounds::default() }).unwrap();
     let granted = Instant(0) + Span::seconds(10);
-    let mut watch = GrantWatch::new(timing);
+    let mut watch = GrantTracker::new(timing);
     watch.renew(granted, granted + timing.node_lease);
     let before = watch.until();
-    let late = GrantNews { age: Some(Span::seconds(3)) };
-    watch.hear(late, granted + Span::seconds(3), granted + Span::seconds(4));
+    let late = GrantReport { age: Some(Span::seconds(3)) };
+    watch.record_peer_report(late, granted + Span::seconds(3), granted + Span::seconds(4));
     assert_eq!((watch.until(), watch.is_passed_over()), (before, false));
-    let newer = GrantNews { age: Some(Span::millis(100)) };
-    watch.hear(newer, granted + Span::seconds(3), granted + Span::seconds(4));
+    let newer = GrantReport { age: Some(Span::millis(100)) };
+    watch.record_peer_report(newer, granted + Span::seconds(3), granted + Span::seconds(4));
     assert!(watch.is_passed_over());
-    watch.hear(late, granted + Span::seconds(4), granted + Span::seconds(4));
+    watch.record_peer_report(late, granted + Span::seconds(4), granted + Span::seconds(4));
     assert_eq!(watch.until(), before, "who is passed over is confirmed by nobody");
     watch.renew(granted + Span::seconds(4), granted + Span::seconds(4) + timing.node_lease);
     assert!(!watch.is_passed_over());
@@ -243,8 +243,8 @@
 
 #[test]
 fn a_lease_that_ends_with_the_nodes_own_word_asks_nobody() {
-    let mut watch = GrantWatch::default();
+    let mut watch = GrantTracker::default();
     let granted = Instant(0) + Span::seconds(10);
-    watch.renew(granted, granted + Timing::USUAL.node_lease);
-    assert_eq!((watch.until(), watch.asks_from()), (granted + Timing::USUAL.node_lease, None));
+    watch.renew(granted, granted + Timing::DEFAULT.node_lease);
+    assert_eq!((watch.until(), watch.ask_peers_from()), (granted + Timing::DEFAULT.node_lease, None));
 }
--- a/crates/lease/tests/slack.rs
+++ b/crates/lease/tests/slack.rs
@@ -4,7 +4,7 @@
 use units::prelude::*;
 
 fn timing() -> Timing {
-    Timing { node_lease: Span::millis(7000), revoke_slack: Span::millis(4000), ..Timing::USUAL }
+    Timing { node_lease: Span::millis(7000), revoke_slack: Span::millis(4000), ..Timing::DEFAULT }
 }
 
 fn at(millis: u64) -> Instant {
@@ -13,24 +13,24 @@
 
 #[test]
 fn a_node_with_little_of_its_lease_left_holds_up_no_change() {
-    let mut leases = NodeLeases::begin_under(timing(), Edition(1), at(0));
+    let mut leases = NodeLeases::with_timing(timing(), Edition(1), at(0));
     let embargo = timing().embargo().as_millis();
     assert_eq!(embargo, 3100);
-    assert!(!leases.settled(at(embargo - 1)) && leases.settled(at(embargo)));
+    assert!(!leases.may_acknowledge(at(embargo - 1)) && leases.may_acknowledge(at(embargo)));
     assert!(leases.renew(NodeId(1), Edition(1), Edition(0), at(4000)));
-    assert_eq!(leases.raise(Edition(2), at(7099)), Edition(1), "it may still start requests for too long");
-    assert!(leases.left_behind().is_empty());
-    assert_eq!(leases.raise(Edition(2), at(7100)), Edition(2));
-    assert_eq!(leases.left_behind(), [NodeId(1)]);
+    assert_eq!(leases.advance_in_force(Edition(2), at(7099)), Edition(1), "it may still start requests for too long");
+    assert!(leases.nodes_behind().is_empty());
+    assert_eq!(leases.advance_in_force(Edition(2), at(7100)), Edition(2));
+    assert_eq!(leases.nodes_behind(), [NodeId(1)]);
     assert!(!leases.renew(NodeId(1), Edition(1), Edition(0), at(7200)), "it must apply first");
     assert!(leases.renew(NodeId(1), Edition(2), Edition(0), at(7200)));
 }
 
 #[test]
 fn a_node_that_surely_ended_holds_up_nothing() {
-    let mut leases = NodeLeases::begin_under(timing(), Edition(1), at(0));
+    let mut leases = NodeLeases::with_timing(timing(), Edition(1), at(0));
     assert!(leases.renew(NodeId(1), Edition(1), Edition(0), at(4000)));
-    assert_eq!(leases.raise(Edition(2), at(4001)), Edition(1));
+    assert_eq!(leases.advance_in_force(Edition(2), at(4001)), Edition(1));
     leases.forget(NodeId(1));
-    assert_eq!(leases.raise(Edition(2), at(4002)), Edition(2));
+    assert_eq!(leases.advance_in_force(Edition(2), at(4002)), Edition(2));
 }
--- a/crates/ledger/tests/disks.rs
+++ b/crates/ledger/tests/disks.rs
@@ -2,7 +2,7 @@
 
 use ledger::prelude::*;
 use std::sync::atomic::Ordering;
-use units::prelude::Draw;
+use units::prelude::SeededRng;
 
 fn store(folder: &mut Folder, number: u64) -> Result<(), DiskFault> {
     folder.store(&[Row::numbered(number, &format!("record {number}"))?, Row::plain("last", &number)?])
@@ -198,7 +198,7 @@
 fn names_lost_one_by_one_cost_no_batch() {
     let (mut losses, mut names) = (0, std::collections::BTreeMap::new());
     for seed in 1..=400 {
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         let disk = PretendedDisk::default();
         let mut identity = None;
         let mut stored = 0;
--- a/crates/links/src/held.rs
+++ b/crates/links/src/held.rs
@@ -54,7 +54,7 @@
 {
     let own_hello = Arc::new(own_hello);
     let open_count = Arc::new(AtomicUsize::new(0));
-    duty("links-accept", move || {
+    spawn_thread("links-accept", move || {
         loop {
             let Ok((stream, _)) = listener.accept() else {
                 std::thread::yield_now();
@@ -66,7 +66,7 @@
             }
             open_count.fetch_add(1, Ordering::Relaxed);
             let (own_hello, tell, open_count) = (Arc::clone(&own_hello), tell.clone(), Arc::clone(&open_count));
-            duty("link-read", move || {
+            spawn_thread("link-read", move || {
                 if let Err(reason) = hold(stream, own_hello(), &tell) {
                     log::warn!(target: "haremount", "event=link_refused reason=\"{reason}\"");
                 }
@@ -114,9 +114,9 @@
     stream.set_read_timeout(None).map_err(|fault| fault.to_string())?;
     let id = LinkId(NEXT_LINK.fetch_add(1, Ordering::Relaxed));
     let mut writing_end = stream.try_clone().map_err(|fault| fault.to_string())?;
-    let (frames, queued_frames) = ring::<Vec<u8>>(OUT_PLACES);
+    let (frames, queued_frames) = bounded_queue::<Vec<u8>>(OUT_PLACES);
     let link = Link { id, frames, stream: Arc::new(stream.try_clone().map_err(|fault| fault.to_string())?) };
-    duty("link-write", move || {
+    spawn_thread("link-write", move || {
         while let Ok(mut frame) = queued_frames.recv() {
             gather(&queued_frames, &mut frame);
             if std::io::Write::write_all(&mut writing_end, &frame).is_err() {
--- a/crates/links/src/post.rs
+++ b/crates/links/src/post.rs
@@ -24,9 +24,9 @@
             if self.boxes.len() >= MOST_ADDRESSES {
                 self.boxes.clear();
             }
-            let (posted, queued) = ring(POST_PLACES);
+            let (posted, queued) = bounded_queue(POST_PLACES);
             let (address_text, own_hello) = (address.to_owned(), Arc::clone(&self.own_hello));
-            duty("post", move || carry_post(&address_text, &*own_hello, &queued));
+            spawn_thread("post", move || carry_post(&address_text, &*own_hello, &queued));
             self.boxes.insert(address.to_owned(), posted);
         }
         if let Some(letter_box) = self.boxes.get(address) {
--- a/crates/measure/src/picks.rs
+++ b/crates/measure/src/picks.rs
@@ -41,8 +41,8 @@
 
 /// A prompt of so many blocks for that fleet.
 pub fn prompt_of(blocks: usize) -> Prompt {
-    let salt = Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0));
-    let names = cut(&salt, "x".repeat(blocks * 64).as_bytes());
+    let salt = Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0));
+    let names = hash_blocks(&salt, "x".repeat(blocks * 64).as_bytes());
     Prompt {
         tenant: "t".into(),
         kind: "k".into(),
@@ -73,7 +73,7 @@
                     &EngineName(format!("e{engine}")),
                     "x",
                     1,
-                    &[KeptEvent::Stored(Vec::new())],
+                    &[CacheEvent::Stored(Vec::new())],
                     boot_now(),
                 );
             }
--- a/crates/measure/src/trials.rs
+++ b/crates/measure/src/trials.rs
@@ -20,7 +20,7 @@
             calling.join().map_err(|_| "the caller's thread failed")??;
             let book = gather(&fleet)?;
             let own = book.by_policy().remove(policy).unwrap_or_default();
-            let beside = book.default_beside(policy).unwrap_or_default();
+            let beside = book.default_for_tenants_of(policy).unwrap_or_default();
             let record = fleet.record(&[calls]);
             let others = record.callers.iter().filter(|caller| caller.tenant != tenant);
             let mut firsts: Vec<u64> = others.filter_map(|caller| caller.first_ms).collect();
@@ -32,15 +32,15 @@
     Ok(())
 }
 
-fn gather(fleet: &Fleet) -> Result<PolicyBook, String> {
-    let mut book = PolicyBook::default();
+fn gather(fleet: &Fleet) -> Result<PolicyMetrics, String> {
+    let mut book = PolicyMetrics::default();
     for node in 0..fleet.nodes.len() {
-        book.merge(&PolicyBook::read(&fleet.metrics(&fleet.router_address(node))?)?);
+        book.merge(&PolicyMetrics::from_prometheus(&fleet.metrics(&fleet.router_address(node))?)?);
     }
     Ok(book)
 }
 
-fn told(figures: &Figures) -> String {
+fn told(figures: &TrafficMetrics) -> String {
     let quantiles: Vec<String> = [("p50", 0.5), ("p90", 0.9)]
         .iter()
         .map(|(name, share)| match figures.first.quantile(*share) {
--- a/crates/placement/src/fetch.rs
+++ b/crates/placement/src/fetch.rs
@@ -50,7 +50,8 @@
             let best = sources
                 .iter()
                 .filter_map(|source| {
-                    let run_length = lacking.iter().take_while(|name| self.tree.keeps(source.index, **name)).count();
+                    let run_length =
+                        lacking.iter().take_while(|name| self.tree.contains(source.index, **name)).count();
                     let prefill_cost = routing.prefill_block.times(run_length as u64);
                     let fetch_cost = routing.fetch.setup + source.block_span.times(run_length as u64);
                     let saved = prefill_cost.0.checked_sub(fetch_cost.0).filter(|saved| *saved > 0)?;
--- a/crates/placement/src/known_engine.rs
+++ b/crates/placement/src/known_engine.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct KnownEngine {
     pub(crate) index: u32,
-    pub(crate) place: Option<SourcePlace>,
+    pub(crate) place: Option<EventCursor>,
     /// When a poll that was answered was asked.
     pub(crate) heard: Instant,
     /// Blocks whose storing was to be told, and since when.
--- a/crates/placement/src/pick.rs
+++ b/crates/placement/src/pick.rs
@@ -71,7 +71,7 @@
     }
 
     /// The scores of all engines that pass; those that rest count only if all do.
-    fn score(&self, sight: &FleetSight, prompt: &Prompt, table: &Table, now: Instant) -> Vec<Score> {
+    fn score(&self, sight: &FleetSight, prompt: &Prompt, table: &WeightTable, now: Instant) -> Vec<Score> {
         let overlaps = prompt
             .names
             .iter()
@@ -106,7 +106,7 @@
     picker: &'a Picker,
     sight: &'a FleetSight,
     prompt: &'a Prompt,
-    table: &'a Table,
+    table: &'a WeightTable,
     /// Leading blocks that each source keeps, under each edition in use.
     overlaps: BTreeMap<WeightsEdition, HashMap<SourceIndex, BlockCount>>,
     now: Instant,
@@ -130,7 +130,7 @@
         let overlap = self.overlap(known, listed.role, by_events, weights, names);
         let decode_blocks = known.decode_blocks(self.picker.usual_blocks, self.now);
         let prefill_blocks = BlockCount(prompt.blocks.0 - overlap.0.min(prompt.blocks.0));
-        let weight = self.table.weight(&prompt.tenant, &prompt.kind, Band::of(decode_blocks));
+        let weight = self.table.weight(&prompt.tenant, &prompt.kind, LoadBand::of(decode_blocks));
         let cost = match listed.role {
             Role::Decode => (decode_blocks.0 + prompt.blocks.0 + prompt.outcome_blocks.0) as f64,
             _ => cost(weight, prefill_blocks, decode_blocks),
@@ -193,7 +193,7 @@
 }
 
 /// The policy that a prompt is placed by, and its table: the trial's for a share of a tenant's prompts.
-fn table_for<'a>(sight: &'a FleetSight, prompt: &Prompt) -> (&'a str, &'a Table) {
+fn table_for<'a>(sight: &'a FleetSight, prompt: &Prompt) -> (&'a str, &'a WeightTable) {
     let is_drawn = prompt.lot < sight.state.desired.routing.trial_percent;
     match sight.trial_tables.get(&prompt.tenant).filter(|_| is_drawn) {
         Some((name, table)) => (name, table),
@@ -208,5 +208,5 @@
 
 /// The order among equal costs.
 pub fn spread_of(prefix: BlockHash, router: NodeId, engine: &EngineName) -> BlockHash {
-    BlockHash::over(&[&prefix.0.to_le_bytes(), &router.0.to_le_bytes(), engine.as_str().as_bytes()])
+    BlockHash::of_parts(&[&prefix.0.to_le_bytes(), &router.0.to_le_bytes(), engine.as_str().as_bytes()])
 }
--- a/crates/placement/src/picker.rs
+++ b/crates/placement/src/picker.rs
@@ -13,7 +13,7 @@
 pub struct Picker {
     pub(crate) router: NodeId,
     pub(crate) zone: Zone,
-    pub(crate) tree: PrefixTree,
+    pub(crate) tree: PrefixIndex,
     pub(crate) history: SentHistory,
     pub(crate) engines: BTreeMap<EngineName, KnownEngine>,
     next_index: u32,
@@ -27,7 +27,7 @@
         Picker {
             router,
             zone,
-            tree: PrefixTree::default(),
+            tree: PrefixIndex::default(),
             history: SentHistory::new(HISTORY_BLOCKS),
             engines: BTreeMap::new(),
             next_index: 0,
@@ -63,7 +63,7 @@
     }
 
     /// The place from which an engine's events are to be asked; nothing if its snapshot is needed.
-    pub fn place_of(&mut self, engine: &EngineName) -> Option<SourcePlace> {
+    pub fn place_of(&mut self, engine: &EngineName) -> Option<EventCursor> {
         self.engine(engine).place.clone()
     }
 
@@ -77,12 +77,12 @@
         asked: Instant,
     ) {
         let known = self.engine(engine);
-        known.place = Some(SourcePlace { boot: boot.to_owned(), next_number });
+        known.place = Some(EventCursor { boot: boot.to_owned(), next_number });
         known.heard = asked;
         known.awaited.clear();
         let index = SourceIndex(known.index);
         self.tree.drop_source(index);
-        self.tree.apply(index, &KeptEvent::Stored(names));
+        self.tree.apply(index, &CacheEvent::Stored(names));
     }
 
     /// Takes a batch of events; answers whether the source is still followed. On a gap or another
@@ -92,14 +92,14 @@
         engine: &EngineName,
         boot: &str,
         first: u64,
-        batch: &[KeptEvent],
+        batch: &[CacheEvent],
         asked: Instant,
     ) -> bool {
         let known = self.engine(engine);
         let index = SourceIndex(known.index);
         let Some(place) = known.place.as_mut() else { return false };
         let boot_changed = place.boot != boot;
-        let Some(new_events) = place.follow(boot, first, batch) else {
+        let Some(new_events) = place.accept_batch(boot, first, batch) else {
             known.place = None;
             known.awaited.clear();
             self.tree.drop_source(index);
@@ -110,7 +110,7 @@
         };
         known.heard = known.heard.max(asked);
         for event in new_events {
-            if let KeptEvent::Stored(names) = event {
+            if let CacheEvent::Stored(names) = event {
                 for name in names {
                     known.awaited.remove(name);
                 }
@@ -144,7 +144,7 @@
     pub fn note_kept(&mut self, engine: &EngineName, names: &[BlockHash], now: Instant) {
         let index = SourceIndex(self.engine(engine).index);
         self.history.record(index, names);
-        let Some(last_name) = names.last().copied().filter(|name| !self.tree.keeps(index, *name)) else { return };
+        let Some(last_name) = names.last().copied().filter(|name| !self.tree.contains(index, *name)) else { return };
         self.engine(engine).awaited.entry(last_name).or_insert(now);
     }
 
--- a/crates/placement/src/sight.rs
+++ b/crates/placement/src/sight.rs
@@ -25,9 +25,9 @@
     /// The state in force here.
     pub state: Arc<FleetState>,
     /// The default policy, compiled.
-    pub default_table: Table,
+    pub default_table: WeightTable,
     /// For each tenant on trial, its policy's name and that policy compiled.
-    pub trial_tables: BTreeMap<TenantName, (String, Table)>,
+    pub trial_tables: BTreeMap<TenantName, (String, WeightTable)>,
     /// Tenants by the hashes of their keys.
     pub tenants_by_key: HashMap<String, TenantName>,
     /// Until when an edition that is no longer wanted may still be used: from when the first newer one
--- a/crates/placement/tests/picker.rs
+++ b/crates/placement/tests/picker.rs
@@ -1,6 +1,6 @@
 //! Picks on small fleets: the formula, late events, passing, trials, old weights, fetches, split pools.
 
-use blocks::prelude::{Salt, cut};
+use blocks::prelude::{Salt, hash_blocks};
 use desired::prelude::{
     AdapterCopy, Command, CopyStage, FleetState, Listed, ListedEngine, Listing, Settled, Standing, Submission,
 };
@@ -36,8 +36,8 @@
 }
 
 fn prompt(text: &str) -> Prompt {
-    let salt = Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0));
-    let names = cut(&salt, text.as_bytes());
+    let salt = Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0));
+    let names = hash_blocks(&salt, text.as_bytes());
     Prompt {
         tenant: "t".into(),
         kind: "k".into(),
@@ -91,7 +91,7 @@
     let placement = picker.pick(&sight, &asked_prompt, later).unwrap();
     assert_eq!(placement.chosen.engine, "two".into(), "a storing that was never told makes events late");
     assert!(!placement.chosen.by_events);
-    let stored = KeptEvent::Stored(names.clone());
+    let stored = CacheEvent::Stored(names.clone());
     assert!(picker.take_events(&"two".into(), "x", 1, &[stored], later));
     let placement = picker.pick(&sight, &asked_prompt, later).unwrap();
     assert!(placement.chosen.by_events);
--- a/crates/policy/src/table.rs
+++ b/crates/policy/src/table.rs
@@ -6,28 +6,28 @@
 
 /// How much an engine has in work, in three bands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Band {
+pub enum LoadBand {
     Calm,
     Steady,
     Busy,
 }
 
-impl Band {
-    pub const ALL: [Band; 3] = [Band::Calm, Band::Steady, Band::Busy];
+impl LoadBand {
+    pub const ALL: [LoadBand; 3] = [LoadBand::Calm, LoadBand::Steady, LoadBand::Busy];
 
-    pub fn of(decode_blocks: BlockCount) -> Band {
+    pub fn of(decode_blocks: BlockCount) -> LoadBand {
         match decode_blocks.0 {
-            0..=63 => Band::Calm,
-            64..=255 => Band::Steady,
-            _ => Band::Busy,
+            0..=63 => LoadBand::Calm,
+            64..=255 => LoadBand::Steady,
+            _ => LoadBand::Busy,
         }
     }
 
-    pub fn read(text: &str) -> Option<Band> {
+    pub fn parse(text: &str) -> Option<LoadBand> {
         match text {
-            "calm" => Some(Band::Calm),
-            "steady" => Some(Band::Steady),
-            "busy" => Some(Band::Busy),
+            "calm" => Some(LoadBand::Calm),
+            "steady" => Some(LoadBand::Steady),
+            "busy" => Some(LoadBand::Busy),
             _ => None,
         }
     }
@@ -37,7 +37,7 @@
 pub struct Rule {
     pub tenant: Option<TenantName>,
     pub kind: Option<String>,
-    pub band: Option<Band>,
+    pub band: Option<LoadBand>,
     pub weight: f64,
 }
 
@@ -55,24 +55,24 @@
 
 /// The fixed table: tenant x kind x band -> weight.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Table {
+pub struct WeightTable {
     fallback_weight: f64,
     weights: BTreeMap<(TenantName, String), [f64; 3]>,
 }
 
 impl Policy {
-    pub fn compile(&self, tenants: &[TenantName], kinds: &[String]) -> Table {
+    pub fn compile(&self, tenants: &[TenantName], kinds: &[String]) -> WeightTable {
         let mut weights = BTreeMap::new();
         for tenant in tenants {
             for kind in kinds {
-                let row = Band::ALL.map(|band| self.weigh(tenant, kind, band));
+                let row = LoadBand::ALL.map(|band| self.weigh(tenant, kind, band));
                 weights.insert((tenant.clone(), kind.clone()), row);
             }
         }
-        Table { fallback_weight: self.weight, weights }
+        WeightTable { fallback_weight: self.weight, weights }
     }
 
-    fn weigh(&self, tenant: &TenantName, kind: &str, band: Band) -> f64 {
+    fn weigh(&self, tenant: &TenantName, kind: &str, band: LoadBand) -> f64 {
         self.rules
             .iter()
             .rev()
@@ -85,8 +85,8 @@
     }
 }
 
-impl Table {
-    pub fn weight(&self, tenant: &TenantName, kind: &str, band: Band) -> f64 {
+impl WeightTable {
+    pub fn weight(&self, tenant: &TenantName, kind: &str, band: LoadBand) -> f64 {
         self.weights.get(&(tenant.clone(), kind.to_owned())).map_or(self.fallback_weight, |row| row[band as usize])
     }
 }
@@ -97,15 +97,15 @@
 
     #[test]
     fn last_matching_rule_wins_and_the_rest_keep_the_policy_weight() {
-        let busy_rule = Rule { band: Some(Band::Busy), weight: 0.5, ..Rule::default() };
+        let busy_rule = Rule { band: Some(LoadBand::Busy), weight: 0.5, ..Rule::default() };
         let tenant_rule =
             Rule { tenant: Some("opera".into()), kind: Some("layout".into()), weight: 4.0, ..Rule::default() };
         let tested_policy = Policy { weight: 2.0, rules: vec![busy_rule, tenant_rule] };
         let tenants = ["opera".into(), "choir".into()];
         let table = tested_policy.compile(&tenants, &["layout".into(), "check".into()]);
-        assert_eq!(table.weight(&"opera".into(), "layout", Band::Busy), 4.0);
-        assert_eq!(table.weight(&"opera".into(), "check", Band::Busy), 0.5);
-        assert_eq!(table.weight(&"choir".into(), "layout", Band::Calm), 2.0);
-        assert_eq!(table.weight(&"unknown".into(), "layout", Band::Busy), 2.0);
+        assert_eq!(table.weight(&"opera".into(), "layout", LoadBand::Busy), 4.0);
+        assert_eq!(table.weight(&"opera".into(), "check", LoadBand::Busy), 0.5);
+        assert_eq!(table.weight(&"choir".into(), "layout", LoadBand::Calm), 2.0);
+        assert_eq!(table.weight(&"unknown".into(), "layout", LoadBand::Busy), 2.0);
     }
 }
--- a/crates/process/src/logs.rs
+++ b/crates/process/src/logs.rs
@@ -33,7 +33,7 @@
 fn write_line(out: &mut dyn Write, _: &mut DeferredNow, record: &log::Record) -> std::io::Result<()> {
     let level_text = record.level().as_str().to_ascii_lowercase();
     let program = PROGRAM.get().copied().unwrap_or("");
-    write!(out, "at={} level={level_text} program={program} ", wall_millis())?;
+    write!(out, "at={} level={level_text} program={program} ", unix_millis())?;
     match record.target() {
         "haremount" => write!(out, "{}", record.args()),
         from => write!(out, "event=library from={from} text={}", plain(&record.args().to_string())),
--- a/crates/queues/src/lib.rs
+++ b/crates/queues/src/lib.rs
@@ -5,4 +5,4 @@
 
 pub mod prelude;
 
-mod duty;
+mod threads;
--- a/crates/queues/src/duty.rs
+++ b/crates/queues/src/threads.rs
@@ -3,12 +3,12 @@
 use crate::prelude::*;
 
 /// A bounded ring.
-pub fn ring<T>(places: usize) -> (Sender<T>, Receiver<T>) {
+pub fn bounded_queue<T>(places: usize) -> (Sender<T>, Receiver<T>) {
     crossbeam_channel::bounded(places)
 }
 
 /// Starts a named thread for a duty.
-pub fn duty(name: &str, work: impl FnOnce() + Send + 'static) {
+pub fn spawn_thread(name: &str, work: impl FnOnce() + Send + 'static) {
     let thread_name = name.to_owned();
     let guarded_work = move || {
         if std::panic::catch_unwind(std::panic::AssertUnwindSafe(work)).is_err() {
@@ -23,7 +23,7 @@
 }
 
 /// Drains what is waiting, after waiting at most `span` for the first; nothing if all senders left.
-pub fn drain<T>(source: &Receiver<T>, span: std::time::Duration, most: usize) -> Option<Vec<T>> {
+pub fn receive_batch<T>(source: &Receiver<T>, span: std::time::Duration, most: usize) -> Option<Vec<T>> {
     let first_item = match source.recv_timeout(span) {
         Ok(item) => item,
         Err(RecvTimeoutError::Timeout) => return Some(Vec::new()),
--- a/crates/replay/src/offline.rs
+++ b/crates/replay/src/offline.rs
@@ -41,7 +41,7 @@
 }
 
 /// The table another policy compiles to for the recorded tenants and kinds.
-pub fn read_policy(path: &str, days: &[Day]) -> Result<Table, Report> {
+pub fn read_policy(path: &str, days: &[Day]) -> Result<WeightTable, Report> {
     let text = std::fs::read_to_string(path).map_err(|fault| miette!("{path}: {fault}"))?;
     let policy_value = parse_bounded(&text, DOCUMENT_BOUNDS).map_err(|complaint| miette!("{path}: {complaint}"))?;
     let runs = || days.iter().flat_map(|day| &day.runs);
@@ -62,7 +62,7 @@
     Ok(policy.compile(&tenants, &desired.kinds))
 }
 
-pub fn compare(days: &[Day], table: Option<&Table>) -> Comparison {
+pub fn compare(days: &[Day], table: Option<&WeightTable>) -> Comparison {
     let mut comparison = Comparison::default();
     for day in days {
         let router: NodeId = day.head.router.parse().unwrap_or_default();
@@ -83,9 +83,9 @@
     comparison
 }
 
-fn new_cost(run: &RecordedRun, score: &RecordedScore, table: Option<&Table>) -> f64 {
+fn new_cost(run: &RecordedRun, score: &RecordedScore, table: Option<&WeightTable>) -> f64 {
     let Some(table) = table.filter(|_| !score.decodes) else { return score.cost };
-    let band = Band::of(BlockCount(score.decode_blocks));
+    let band = LoadBand::of(BlockCount(score.decode_blocks));
     let weight = table.weight(&TenantName(run.tenant.clone()), &run.kind, band);
     cost(weight, BlockCount(score.prefill_blocks), BlockCount(score.decode_blocks)) + score.distance_blocks as f64
 }
@@ -94,7 +94,7 @@
     router: NodeId,
     run: &RecordedRun,
     pick: &'a RecordedPick,
-    table: Option<&Table>,
+    table: Option<&WeightTable>,
 ) -> Option<&'a RecordedScore> {
     let tie_name: BlockHash = pick.tie_name.parse().unwrap_or(BlockHash(0));
     let spread = |score: &RecordedScore| spread_of(tie_name, router, &EngineName(score.engine.clone()));
@@ -106,7 +106,12 @@
     })
 }
 
-fn explain(run: &RecordedRun, recorded: &RecordedScore, replayed: &RecordedScore, table: Option<&Table>) -> String {
+fn explain(
+    run: &RecordedRun,
+    recorded: &RecordedScore,
+    replayed: &RecordedScore,
+    table: Option<&WeightTable>,
+) -> String {
     let (old_cost, other_cost) = (new_cost(run, recorded, table), new_cost(run, replayed, table));
     let why = match table {
         Some(_) if old_cost > other_cost => "the other policy's weights",
--- a/crates/replay/src/prelude.rs
+++ b/crates/replay/src/prelude.rs
@@ -5,7 +5,7 @@
 pub(crate) use crate::words::*;
 pub(crate) use desired::prelude::{DOCUMENT_BOUNDS, JsonValue, parse_bounded, read_document};
 pub(crate) use placement::prelude::spread_of;
-pub(crate) use policy::prelude::{Band, Policy, Table, cost};
+pub(crate) use policy::prelude::{LoadBand, Policy, WeightTable, cost};
 pub(crate) use process::prelude::*;
 pub(crate) use recording::prelude::{Day, RecordedPick, RecordedRun, RecordedScore, read_day};
 pub(crate) use serde_json::json;
--- a/crates/router/src/allowing.rs
+++ b/crates/router/src/allowing.rs
@@ -22,7 +22,7 @@
         limit: Instant,
         mut allowance: Allowance,
     ) -> Allowing {
-        let (shared, address, page) = (Arc::clone(shared), address.to_owned(), limit_page(attempt));
+        let (shared, address, page) = (Arc::clone(shared), address.to_owned(), attempt_limit_path(attempt));
         let allowing = tokio::spawn(async move {
             while let Some(due) = allowance.due(limit) {
                 let now = boot_now();
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -64,8 +64,8 @@
 }
 
 pub fn keep_feed(plan: FeedPlan) {
-    duty("feed", move || {
-        let (_pause_end, pause) = ring::<()>(1);
+    spawn_thread("feed", move || {
+        let (_pause_end, pause) = bounded_queue::<()>(1);
         let (agent_address, router) = (plan.agent_address.clone(), plan.router);
         let feed = Mutex::new(Feed { plan, link: None });
         let tell = |link_event| {
--- a/crates/router/src/followers.rs
+++ b/crates/router/src/followers.rs
@@ -81,7 +81,7 @@
     let (_, _, body) = stream.ask_again(Question::get(&path), POLL_LIMIT, MOST_BYTES).await?;
     let answered = boot_now();
     let batch: EventBatch = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
-    let events: Option<Vec<KeptEvent>> = batch.events.iter().map(EngineEvent::read).collect();
+    let events: Option<Vec<CacheEvent>> = batch.events.iter().map(EngineEvent::read).collect();
     let events = events.ok_or("an event is unreadable")?;
     // A long poll that answers has looked at the very end.
     let heard = if answered.since(asked) < Span::millis(POLL_WAIT_MS + 500) { answered } else { asked };
@@ -96,8 +96,8 @@
 async fn take_snapshot(engine: &EngineName, stream: &mut OpenStream, table: &TableAsker) -> Result<(), String> {
     let asked = boot_now();
     let (_, _, body) = stream.ask_again(Question::get("/v1/kept/snapshot"), POLL_LIMIT, MOST_BYTES).await?;
-    let snapshot: KeptSnapshot = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
-    let names = read_hashes(&snapshot.block_hashes).ok_or("a block name is unreadable")?;
+    let snapshot: CacheSnapshot = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
+    let names = parse_hashes(&snapshot.block_hashes).ok_or("a block name is unreadable")?;
     event!(debug, "snapshot_taken", engine = engine, blocks = names.len());
     table.tell(TableCommand::Snapshot { engine: engine.clone(), snapshot, names, asked });
     Ok(())
--- a/crates/router/src/forward/answer.rs
+++ b/crates/router/src/forward/answer.rs
@@ -19,7 +19,7 @@
         if let Some(attempt) = &self.attempt {
             let chosen = &attempt.placement.chosen;
             let salt = self.run.plan.salt(&attempt.sight, chosen.weights);
-            let names = cut(&salt, self.run.plan.prompt_text.as_bytes());
+            let names = hash_blocks(&salt, self.run.plan.prompt_text.as_bytes());
             self.run.table.tell(TableCommand::Kept { engine: chosen.engine.clone(), names });
             self.run.count_blocks(&attempt.placement);
             if attempt.adapter.is_some() {
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -188,11 +188,11 @@
         let told: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let told_kind = told["error"]["type"].as_str().unwrap_or("");
         let head = match told_kind {
-            "not_accepting" | "other_weights" | NOT_RESIDENT => Head::NotStarted,
+            "not_accepting" | "other_weights" | ADAPTER_NOT_RESIDENT => Head::NotStarted,
             "limit_passed" => Head::OutOfTime,
             _ => Head::Refused,
         };
-        if told_kind == NOT_RESIDENT {
+        if told_kind == ADAPTER_NOT_RESIDENT {
             self.note_cold();
         }
         Input::Head { head, told: format!("engine answered {} {told_kind}", replied.status.as_u16()) }
@@ -270,6 +270,6 @@
 fn fetch_orders(fetches: &[FetchRun]) -> Vec<FetchOrder> {
     fetches
         .iter()
-        .map(|run| FetchOrder { address: run.address.clone(), block_hashes: write_hashes(&run.names) })
+        .map(|run| FetchOrder { address: run.address.clone(), block_hashes: format_hashes(&run.names) })
         .collect()
 }
--- a/crates/router/src/forward/run.rs
+++ b/crates/router/src/forward/run.rs
@@ -27,17 +27,17 @@
         let sight = self.shared.sight();
         let weights = self.draft.as_ref().map(|draft| WeightsEdition(draft.weights));
         let names = weights
-            .map(|weights| cut(&self.plan.salt(&sight, weights), self.plan.prompt_text.as_bytes()))
+            .map(|weights| hash_blocks(&self.plan.salt(&sight, weights), self.plan.prompt_text.as_bytes()))
             .unwrap_or_default();
         self.recorder.write(RecordedRun {
-            at: wall_millis(),
+            at: unix_millis(),
             began: self.plan.began.0 / 1_000_000,
             run: self.plan.run.clone(),
             tenant: self.plan.tenant.0.clone(),
             kind: self.plan.kind.clone(),
             model: self.plan.model.0.clone(),
-            block_hashes: write_hashes(&names),
-            prompt_blocks: blocks_of(self.plan.prompt_text.len()).0,
+            block_hashes: format_hashes(&names),
+            prompt_blocks: blocks_needed(self.plan.prompt_text.len()).0,
             max_tokens: self.plan.max_tokens,
             streams: self.plan.streams,
             repeatable: self.plan.repeatable,
@@ -80,7 +80,7 @@
 
     /// The first piece came: what the pick was worth.
     pub(super) fn count_blocks(&self, placement: &Placement) {
-        let prompt_blocks = blocks_of(self.plan.prompt_text.len()).0;
+        let prompt_blocks = blocks_needed(self.plan.prompt_text.len()).0;
         Counts::add(&self.shared.counts.prompt_blocks, prompt_blocks);
         let reused_blocks = prompt_blocks.saturating_sub(placement.chosen.prefill_blocks.0);
         Counts::add(&self.shared.counts.reused_blocks, reused_blocks);
--- a/crates/router/src/plan.rs
+++ b/crates/router/src/plan.rs
@@ -109,7 +109,7 @@
             .idempotency_key
             .as_ref()
             .filter(|_| !repeatable)
-            .map(|key| BlockHash::over(&[b"claim", tenant.as_str().as_bytes(), key.as_bytes()]));
+            .map(|key| BlockHash::of_parts(&[b"claim", tenant.as_str().as_bytes(), key.as_bytes()]));
         let share = sight.state.desired.tenants.get(&tenant).map_or(0, |wish| wish.share);
         Ok(Plan {
             run: run.0,
@@ -139,7 +139,7 @@
     /// The salt of this tenant's memory under an edition of the weights and its adapter.
     pub fn salt(&self, sight: &FleetSight, weights: WeightsEdition) -> Salt {
         let wall = sight.state.wall_of(&self.tenant);
-        Salt::of(&self.model, weights, wall.id, wall.edition).under(self.adapter(sight).as_ref())
+        Salt::for_model(&self.model, weights, wall.id, wall.edition).with_adapter(self.adapter(sight).as_ref())
     }
 
     /// What the picker is asked: block names under every edition in use.
@@ -147,7 +147,7 @@
         let names = sight
             .editions_in_use(&self.model, now)
             .into_iter()
-            .map(|weights| (weights, cut(&self.salt(sight, weights), self.prompt_text.as_bytes())))
+            .map(|weights| (weights, hash_blocks(&self.salt(sight, weights), self.prompt_text.as_bytes())))
             .collect();
         Prompt {
             tenant: self.tenant.clone(),
@@ -155,9 +155,9 @@
             model: self.model.clone(),
             adapter: self.adapter(sight),
             names,
-            blocks: blocks_of(self.prompt_text.len()),
+            blocks: blocks_needed(self.prompt_text.len()),
             outcome_blocks: BlockCount(self.max_tokens.div_ceil(BLOCK_TOKENS as u64)),
-            lot: BlockHash::over(&[b"lot", self.run.as_bytes()]).0 % 100,
+            lot: BlockHash::of_parts(&[b"lot", self.run.as_bytes()]).0 % 100,
             tried: tried.to_vec(),
         }
     }
--- a/crates/router/src/recorder.rs
+++ b/crates/router/src/recorder.rs
@@ -13,9 +13,9 @@
     pub fn start(folder: &str, router: NodeId, most_bytes: u64) -> Result<Recorder, Report> {
         let mut writer = DayWriter::create(std::path::Path::new(folder), &router.to_string(), most_bytes)
             .map_err(|fault| miette!("record: {folder}: {fault}"))?;
-        let (queue, runs) = ring::<RecordedRun>(4096);
-        duty("recorder", move || {
-            while let Some(batch) = drain(&runs, Duration::from_millis(500), 256) {
+        let (queue, runs) = bounded_queue::<RecordedRun>(4096);
+        spawn_thread("recorder", move || {
+            while let Some(batch) = receive_batch(&runs, Duration::from_millis(500), 256) {
                 let written = batch.iter().try_for_each(|run| writer.write(run)).and_then(|()| writer.flush());
                 if let Err(fault) = written {
                     event!(error, "recording_ended", reason = fault);
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/request_site.rs
@@ -126,9 +126,9 @@
             return Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_lease", reason).retry_after(1));
         }
         let headers = HeaderFields::read(asked)?;
-        let body = asked.read_body(MOST_REQUEST_BYTES).await.map_err(|fault| match fault {
+        let body = asked.read_body(MAX_REQUEST_BYTES).await.map_err(|fault| match fault {
             BodyFault::TooLarge => {
-                let reason = format!("at most {MOST_REQUEST_BYTES} bytes");
+                let reason = format!("at most {MAX_REQUEST_BYTES} bytes");
                 Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large", reason)
             }
             BodyFault::TooSlow => Refusal::new(StatusCode::REQUEST_TIMEOUT, "too_slow", "the body came too slowly"),
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -13,13 +13,13 @@
     sight: RwLock<Arc<FleetSight>>,
     /// The end of the lease as the watch tells it, for those who only look at it.
     lease_until: AtomicU64,
-    grants: Mutex<GrantWatch>,
+    grants: Mutex<GrantTracker>,
     pub draining: AtomicBool,
     pub counts: Counts,
     routers: Mutex<RouterRoster>,
     /// Where the bound on old weights is counted in undisturbed time: when the core was last disturbed.
     disturbed: std::sync::OnceLock<Arc<AtomicU64>>,
-    policies: Mutex<PolicyBook>,
+    policies: Mutex<PolicyMetrics>,
     demand: Mutex<DemandMeter>,
 }
 
@@ -70,7 +70,7 @@
 impl SharedState {
     /// The state of a router that has heard of nothing yet.
     pub fn under(timing: Timing) -> SharedState {
-        SharedState { grants: Mutex::new(GrantWatch::new(timing)), ..SharedState::default() }
+        SharedState { grants: Mutex::new(GrantTracker::new(timing)), ..SharedState::default() }
     }
 
     pub fn sight(&self) -> Arc<FleetSight> {
@@ -97,16 +97,16 @@
         self.news.send_modify(|count| *count += 1);
     }
 
-    fn policies(&self) -> std::sync::MutexGuard<'_, PolicyBook> {
+    fn policies(&self) -> std::sync::MutexGuard<'_, PolicyMetrics> {
         self.policies.lock().expect("no holder of this lock panics")
     }
 
-    pub fn note_policy(&self, policy: &str, tenant: &TenantName, note: impl FnOnce(&mut Figures)) {
+    pub fn note_policy(&self, policy: &str, tenant: &TenantName, note: impl FnOnce(&mut TrafficMetrics)) {
         note(self.policies().of(policy, tenant.as_str()));
     }
 
     pub fn policy_metrics(&self) -> String {
-        self.policies().tell()
+        self.policies().to_prometheus()
     }
 
     /// Counts a request for the adapter it runs on, whether it is served or not.
@@ -146,7 +146,7 @@
     }
 
     /// Looks at the watch over grants, or tells it something; the end of the lease follows.
-    pub fn watch_grants<T>(&self, look: impl FnOnce(&mut GrantWatch) -> T) -> T {
+    pub fn watch_grants<T>(&self, look: impl FnOnce(&mut GrantTracker) -> T) -> T {
         let mut grants = self.grants.lock().expect("no holder of this lock panics");
         let told = look(&mut grants);
         self.lease_until.fetch_max(grants.until().0, Ordering::SeqCst);
--- a/crates/router/src/table.rs
+++ b/crates/router/src/table.rs
@@ -38,18 +38,18 @@
     },
     Place {
         engine: EngineName,
-        reply: oneshot::Sender<Option<SourcePlace>>,
+        reply: oneshot::Sender<Option<EventCursor>>,
     },
     Snapshot {
         engine: EngineName,
-        snapshot: KeptSnapshot,
+        snapshot: CacheSnapshot,
         names: Vec<BlockHash>,
         asked: Instant,
     },
     Events {
         engine: EngineName,
         batch: EventBatch,
-        events: Vec<KeptEvent>,
+        events: Vec<CacheEvent>,
         asked: Instant,
         reply: oneshot::Sender<bool>,
     },
@@ -133,8 +133,8 @@
 }
 
 pub fn start_table(router: NodeId, zone: Zone, shared: Arc<SharedState>) -> TableAsker {
-    let (queue, commands) = ring::<TableCommand>(8192);
-    duty("table", move || {
+    let (queue, commands) = bounded_queue::<TableCommand>(8192);
+    spawn_thread("table", move || {
         let mut table = Table {
             picker: Picker::new(router, zone),
             shares: Shares::default(),
--- a/crates/selection/src/choice.rs
+++ b/crates/selection/src/choice.rs
@@ -49,7 +49,7 @@
         &self,
         candidates: &[Candidate],
         request: &SelectionRequest,
-        weigh: impl Fn(Band) -> f64,
+        weigh: impl Fn(LoadBand) -> f64,
         now: Instant,
     ) -> Selection {
         let unknown = Known::default();
@@ -171,7 +171,12 @@
         (average * factor) as u64 + self.settings.crowd_base
     }
 
-    fn score<'a>(&self, passing: &Passing<'a>, weighing: &Weighing<'_>, weigh: &impl Fn(Band) -> f64) -> Score<'a> {
+    fn score<'a>(
+        &self,
+        passing: &Passing<'a>,
+        weighing: &Weighing<'_>,
+        weigh: &impl Fn(LoadBand) -> f64,
+    ) -> Score<'a> {
         let Passing { candidate, known, others, bearing } = passing;
         let (request, now) = (weighing.request, weighing.now);
         let by_events = !known.events_are_late(self.settings.events_late, now);
@@ -183,7 +188,7 @@
         let decode_blocks = BlockCount(known.own_tokens.saturating_add(others.tokens).div_ceil(block_tokens));
         let zone_blocks = if candidate.zone == self.zone { 0.0 } else { request.zone_penalty_blocks };
         let trouble = known.trouble(now) * self.settings.trouble_cost;
-        let cost = cost(weigh(Band::of(decode_blocks)), prefill_blocks, decode_blocks) + zone_blocks + trouble;
+        let cost = cost(weigh(LoadBand::of(decode_blocks)), prefill_blocks, decode_blocks) + zone_blocks + trouble;
         Score { candidate, bearing: *bearing, kept, prefill_blocks, decode_blocks, cost, by_events }
     }
 
--- a/crates/selection/src/prelude.rs
+++ b/crates/selection/src/prelude.rs
@@ -9,7 +9,7 @@
 pub(crate) use estimates::prelude::ReadingSpeed;
 pub use parts::prelude::{FollowOutcome, PartBatch, PartEvent, PartName, SourcePosition};
 pub(crate) use parts::prelude::{PartIndex, SentParts, stable_hash};
-pub use policy::prelude::Band;
+pub use policy::prelude::LoadBand;
 pub(crate) use policy::prelude::cost;
 pub(crate) use std::collections::{BTreeMap, BTreeSet, HashMap};
 pub(crate) use units::prelude::*;
--- a/crates/selection/tests/overload.rs
+++ b/crates/selection/tests/overload.rs
@@ -26,7 +26,7 @@
 
 struct Pool {
     selector: Selector,
-    draw: Draw,
+    draw: SeededRng,
     queues: Vec<VecDeque<Attempt>>,
     /// Requests that come again, and when.
     again: Vec<u64>,
@@ -54,7 +54,7 @@
         let seconds = (DAY_MS / 1000) as usize + 1;
         Pool {
             selector: Selector::with_settings(NodeId(1), "a".into(), settings),
-            draw: Draw::new(seed),
+            draw: SeededRng::new(seed),
             queues: (0..ENGINES).map(|_| VecDeque::new()).collect(),
             again: Vec::new(),
             asked: vec![0; seconds],
@@ -76,7 +76,7 @@
     }
 
     fn request(&mut self) -> SelectionRequest {
-        let own_part = PartName::of("s", &self.draw.number().to_string());
+        let own_part = PartName::of("s", &self.draw.next_u64().to_string());
         SelectionRequest {
             parts_by_weights: BTreeMap::from([(WeightsEdition(1), vec![(own_part, PROMPT_TOKENS)])]),
             prompt_tokens: PROMPT_TOKENS,
@@ -85,8 +85,8 @@
             priority: 0,
             target: TARGET,
             block_tokens: 16,
-            tie: self.draw.number(),
-            lot: self.draw.number(),
+            tie: self.draw.next_u64(),
+            lot: self.draw.next_u64(),
             zone_penalty_blocks: 0.0,
             token_bytes: 1,
             link_mbps: 1.0,
--- a/crates/selection/tests/selection.rs
+++ b/crates/selection/tests/selection.rs
@@ -105,7 +105,7 @@
     selector.begin(&"keeper".into(), 150 * 16);
     let mut listed = candidates(&["keeper", "other"]);
     let mut asked = request(&[("p", 1600)]);
-    let weigh = |band| if band == Band::Calm { 2.0 } else { 1.0 };
+    let weigh = |band| if band == LoadBand::Calm { 2.0 } else { 1.0 };
     assert_eq!(chosen(selector.select(&listed, &asked, weigh, NOW)).engine, "keeper".into());
     assert_eq!(pick(&selector, &listed, &asked, NOW).engine, "other".into());
     listed[1].zone = "b".into();
--- a/crates/simulator/src/adapted.rs
+++ b/crates/simulator/src/adapted.rs
@@ -130,7 +130,7 @@
         let (first, second) = if is_in_north { (stayed, moved) } else { (moved, stayed) };
         let shares = [first * 4, second * 4, 200, 100, 100];
         let tenants = ["t1", "t2", "t3", "t0", "t4"];
-        let tenant = tenants[self.draw.by_shares(shares.into_iter())];
+        let tenant = tenants[self.draw.weighted_index(shares.into_iter())];
         let Some((key_hash, _)) = self.keys.iter().find(|(_, owner)| owner == tenant).cloned() else { return };
         let drawn = self.draw_request();
         let repeatable = self.draw.chance(60);
@@ -274,7 +274,7 @@
             return;
         }
         self.keepers[number].submitted.insert(naming.clone(), self.now + Span::seconds(5));
-        let request = RequestId(self.draw.number());
+        let request = RequestId(self.draw.next_u64());
         let means = Meaning::Stands { keeper: number, engine: naming };
         self.ask(number, Submission { request, command }, Some(means));
     }
--- a/crates/simulator/src/callers.rs
+++ b/crates/simulator/src/callers.rs
@@ -88,13 +88,13 @@
         };
         let (key_hash, tenant) = self.keys[place].clone();
         let shared_prefix = self.draw.below(4);
-        let own_number = if self.draw.chance(40) { self.draw.below(4) } else { self.draw.number() };
+        let own_number = if self.draw.chance(40) { self.draw.below(4) } else { self.draw.next_u64() };
         let text = format!("{:-<192}{:-<64}", format!("prefix {shared_prefix} "), format!("own {own_number} "));
         let streams = self.draw.chance(70);
         let repeatable = self.draw.chance(30);
         let tokens = if is_long { self.draw.between(60, 165) } else { self.draw.between(1, 8) };
         let resumes = streams && self.draw.chance(30);
-        let idempotency_key = (!repeatable && self.draw.chance(12)).then(|| self.draw.number());
+        let idempotency_key = (!repeatable && self.draw.chance(12)).then(|| self.draw.next_u64());
         let limit = Span::millis(if is_long { 10_000 } else { self.draw.between(5_000, 10_000) });
         SimRequest {
             tenant: TenantName(tenant),
--- a/crates/simulator/src/claims.rs
+++ b/crates/simulator/src/claims.rs
@@ -9,7 +9,7 @@
     pub(crate) fn ask_core(&mut self, node: usize, router: NodeId, run: u64, command: Command, is_claim: bool) {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        let submission = Submission { request: RequestId(self.draw.number() | 1), command };
+        let submission = Submission { request: RequestId(self.draw.next_u64() | 1), command };
         if is_claim {
             self.tickets.insert(ticket, (node, router, run));
         }
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -26,7 +26,7 @@
 }
 
 struct Core {
-    draw: Draw,
+    draw: SeededRng,
     /// Half of the seeds lose and restart keepers much more often, most of all in a vote.
     hasty: bool,
     now: Instant,
@@ -78,7 +78,7 @@
 impl Core {
     fn new(seed: u64) -> Core {
         let mut core = Core {
-            draw: Draw::new(seed ^ 0x00d1_50d3),
+            draw: SeededRng::new(seed ^ 0x00d1_50d3),
             hasty: seed % 2 == 1,
             now: Instant(1_000_000_000),
             keepers: (1..=KEEPERS as u64).map(|id| CoreKeeper::empty(NodeId(id))).collect(),
@@ -144,7 +144,7 @@
         let number = self.draw.below(KEEPERS as u64) as usize;
         let other = (number + 1 + self.draw.below(KEEPERS as u64 - 1) as usize) % KEEPERS;
         let acts = if self.hasty { HASTY } else { STEADY };
-        match self.draw.by_shares(acts.into_iter()) {
+        match self.draw.weighted_index(acts.into_iter()) {
             0 => {
                 let ways = self.open_ways();
                 if !ways.is_empty() {
@@ -188,7 +188,7 @@
         }
         self.end(number);
         // A life of an empty folder is none that anybody has met.
-        self.keepers[number] = CoreKeeper::empty(NodeId(self.draw.number() | 1 << 60));
+        self.keepers[number] = CoreKeeper::empty(NodeId(self.draw.next_u64() | 1 << 60));
         self.start(number);
     }
 
@@ -248,7 +248,7 @@
         self.next_ticket += 1;
         self.operators.call_change(self.next_ticket, &change);
         let command = Command::Configure(Box::new(change));
-        let submission = Submission { request: RequestId(self.draw.number()), command };
+        let submission = Submission { request: RequestId(self.draw.next_u64()), command };
         self.ask(number, Question::Submit(submission));
     }
 
@@ -263,7 +263,7 @@
         self.next_ticket += 1;
         let patch = format!(r#"{{"kinds":["k","x{}"]}}"#, self.next_ticket);
         let submission =
-            Submission { request: RequestId(self.draw.number()), command: Command::Merge { base: None, patch } };
+            Submission { request: RequestId(self.draw.next_u64()), command: Command::Merge { base: None, patch } };
         self.ask(number, Question::Submit(submission));
     }
 
--- a/crates/simulator/src/engine_work.rs
+++ b/crates/simulator/src/engine_work.rs
@@ -22,12 +22,12 @@
             return self.tell_run(&ask.to, answer_at, head(Head::NotStarted, "other_weights"));
         }
         if !engine.holds(ask.adapter.as_ref()) {
-            return self.tell_run(&ask.to, answer_at, head(Head::NotStarted, NOT_RESIDENT));
+            return self.tell_run(&ask.to, answer_at, head(Head::NotStarted, ADAPTER_NOT_RESIDENT));
         }
         let (at, manner) = (self.millis(), if engine.manner_until > now { engine.manner } else { Manner::Good });
         let own_count = engine.memory.overlap(&ask.names);
         let line = start_line(at, engine, &ask, own_count);
-        self.record.engines.push(EngineLine::Start(line));
+        self.record.engines.push(EngineLogLine::Start(line));
         self.use_memory(number, &ask, own_count);
         let lacking = (ask.names.len() - own_count) as u64;
         let slow_span = if manner == Manner::Late { self.draw.between(2_000, 9_000) } else { 0 };
@@ -62,7 +62,7 @@
         }
         let own_count = engine.memory.overlap(&ask.names);
         let line = start_line(at, engine, &ask, own_count);
-        self.record.engines.push(EngineLine::Prefill(line));
+        self.record.engines.push(EngineLogLine::Prefill(line));
         self.use_memory(number, &ask, own_count);
         let lacking = (ask.names.len() - own_count) as u64;
         let span = Span::millis(self.draw.between(1, 20) + lacking * 4);
@@ -90,7 +90,7 @@
             }
             if let FetchFrom::Peer(peer) = &run.from {
                 let (at, engine) = (self.now.0 / 1_000_000, peer.0.clone());
-                self.record.engines.push(EngineLine::Asked { at, engine });
+                self.record.engines.push(EngineLogLine::Asked { at, engine });
             }
             let fetched: Vec<(BlockHash, Made)> =
                 run.names.iter().map_while(|name| Some((*name, source.made(name)?.clone()))).collect();
@@ -226,7 +226,13 @@
     pub(crate) fn end_engine_attempt(&mut self, number: usize, attempt: &EngineAttempt, whole: bool) {
         let at = self.millis();
         let (engine, attempt_name) = (self.engines[number].name.0.clone(), attempt.to.attempt.clone());
-        self.record.engines.push(EngineLine::End { at, engine, attempt: attempt_name, pieces: attempt.place, whole });
+        self.record.engines.push(EngineLogLine::End {
+            at,
+            engine,
+            attempt: attempt_name,
+            pieces: attempt.place,
+            whole,
+        });
     }
 
     pub(crate) fn tell_run(&mut self, to: &AttemptPlaceName, at: Instant, input: CarriageInput<SimPiece>) {
--- a/crates/simulator/src/engines.rs
+++ b/crates/simulator/src/engines.rs
@@ -168,7 +168,7 @@
         engine.highest_term = engine.highest_term.max(order.term.0);
         let taken = order.term.0 >= engine.highest_term;
         let named = order.wish.name();
-        self.record.engines.push(EngineLine::Order {
+        self.record.engines.push(EngineLogLine::Order {
             at,
             engine: engine.name.0.clone(),
             holder: order.holder,
@@ -195,7 +195,7 @@
     /// Who gave the latest order.
     fn record_holder(&self) -> &str {
         match self.record.engines.last() {
-            Some(EngineLine::Order { holder, .. }) => holder,
+            Some(EngineLogLine::Order { holder, .. }) => holder,
             _ => "",
         }
     }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -102,7 +102,7 @@
     }
 
     /// Draws a fault: half of them meet the core, half the edge and the engines.
-    pub fn draw(draw: &mut Draw, keepers: usize, nodes: usize, engines: usize) -> Fault {
+    pub fn draw(draw: &mut SeededRng, keepers: usize, nodes: usize, engines: usize) -> Fault {
         let keeper = draw.below(keepers as u64) as usize;
         let node = draw.below(nodes as u64) as usize;
         let engine = draw.below(engines as u64) as usize;
@@ -158,7 +158,7 @@
 }
 
 impl Manner {
-    fn draw(draw: &mut Draw) -> Manner {
+    fn draw(draw: &mut SeededRng) -> Manner {
         let after = draw.below(4);
         match draw.below(9) {
             0 => Manner::Breaks(after),
--- a/crates/simulator/src/foreign.rs
+++ b/crates/simulator/src/foreign.rs
@@ -17,7 +17,7 @@
 impl World {
     /// Draws when the binding moves, and when engines name foreign adapters, until the trouble ends.
     pub(crate) fn schedule_foreign(&mut self, seed: u64, trouble_end: Instant) {
-        let mut draw = Draw::new(seed ^ FOREIGN_DRAW);
+        let mut draw = SeededRng::new(seed ^ FOREIGN_DRAW);
         let mut rebound_at = self.now;
         while rebound_at < trouble_end {
             rebound_at = rebound_at + Span::millis(draw.between(200, 1200));
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -54,7 +54,7 @@
     /// An empty machine in the place of a lost one.
     pub fn replace_keeper(&mut self, number: usize, moves: bool) {
         self.kill_keeper(number);
-        let new_id = NodeId(self.draw.number() | 1 << 60);
+        let new_id = NodeId(self.draw.next_u64() | 1 << 60);
         let keeper = &mut self.keepers[number];
         keeper.id = new_id;
         keeper.disk = Kept::default();
@@ -269,7 +269,7 @@
                     }
                     self.keepers[number].submitted.insert(engine.clone(), now + Span::seconds(5));
                     let means = Meaning::Stands { keeper: number, engine: engine.clone() };
-                    let request = RequestId(self.draw.number());
+                    let request = RequestId(self.draw.next_u64());
                     self.ask(
                         number,
                         Submission { request, command: Command::Stand { term, engine, standing } },
@@ -326,7 +326,7 @@
             return;
         }
         self.keepers[number].submitted.insert(naming.clone(), self.now + Span::seconds(5));
-        let request = RequestId(self.draw.number());
+        let request = RequestId(self.draw.next_u64());
         let means = Meaning::Stands { keeper: number, engine: naming };
         self.ask(number, Submission { request, command }, Some(means));
     }
@@ -352,7 +352,7 @@
             .iter()
             .filter(|other| other.id != id && view.in_chain(other.id) && other.disk.whole == view.number)
             .count();
-        let voters_left = self.keepers.iter().filter(|other| other.id != id && view.votes(other.id)).count();
+        let voters_left = self.keepers.iter().filter(|other| other.id != id && view.is_voter(other.id)).count();
         others_aligned >= 1 && voters_left >= view.majority() && view.voters.len() == KEEPERS
     }
 }
--- a/crates/simulator/src/leaving.rs
+++ b/crates/simulator/src/leaving.rs
@@ -56,7 +56,7 @@
     fn intend_plan(&mut self, intent: Intent) {
         let keeper = self.draw.below(KEEPERS as u64) as usize;
         self.note(format!("operator via k{keeper} intends {intent:?}"));
-        let request = RequestId(self.draw.number());
+        let request = RequestId(self.draw.next_u64());
         self.ask(keeper, Submission { request, command: Command::Intend(intent) }, Some(Meaning::Intended));
     }
 }
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    pub fn drawn(draw: &mut Draw) -> Clock {
+    pub fn drawn(draw: &mut SeededRng) -> Clock {
         Clock { offset: draw.between(1_000, 1_000_000) * 1_000_000_000, rate: draw.between(99_500, 100_500) }
     }
 
--- a/crates/simulator/src/memory.rs
+++ b/crates/simulator/src/memory.rs
@@ -20,7 +20,7 @@
     pub boot: u64,
     kept: BTreeMap<BlockHash, Made>,
     order: VecDeque<BlockHash>,
-    news: VecDeque<KeptEvent>,
+    news: VecDeque<CacheEvent>,
     first_number: u64,
 }
 
@@ -47,8 +47,8 @@
             self.kept.remove(&oldest);
             removed.push(oldest);
         }
-        for event in [KeptEvent::Stored(stored), KeptEvent::Removed(removed)] {
-            if !matches!(&event, KeptEvent::Stored(names) | KeptEvent::Removed(names) if names.is_empty()) {
+        for event in [CacheEvent::Stored(stored), CacheEvent::Removed(removed)] {
+            if !matches!(&event, CacheEvent::Stored(names) | CacheEvent::Removed(names) if names.is_empty()) {
                 self.tell(event);
             }
         }
@@ -57,10 +57,10 @@
     pub fn clear(&mut self) {
         self.kept.clear();
         self.order.clear();
-        self.tell(KeptEvent::AllCleared);
+        self.tell(CacheEvent::AllCleared);
     }
 
-    fn tell(&mut self, event: KeptEvent) {
+    fn tell(&mut self, event: CacheEvent) {
         self.news.push_back(event);
         if self.news.len() > KEPT_NEWS {
             self.news.pop_front();
@@ -77,7 +77,7 @@
         self.first_number + self.news.len() as u64
     }
 
-    pub fn news_from(&self, number: u64) -> (u64, Vec<KeptEvent>) {
+    pub fn news_from(&self, number: u64) -> (u64, Vec<CacheEvent>) {
         let first = number.clamp(self.first_number, self.next_number());
         (first, self.news.iter().skip((first - self.first_number) as usize).cloned().collect())
     }
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -32,7 +32,7 @@
         self.slow = false;
     }
 
-    pub fn delay(&self, draw: &mut Draw) -> Span {
+    pub fn delay(&self, draw: &mut SeededRng) -> Span {
         let micros = match (self.slow, draw.chance(2)) {
             (true, _) => draw.between(20_000, 120_000),
             (false, true) => draw.between(5_000, 60_000),
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -22,7 +22,7 @@
         if self.nodes[number].router.is_some() {
             return;
         }
-        let router = NodeId(self.draw.number() | 1);
+        let router = NodeId(self.draw.next_u64() | 1);
         let zone = Zone(ZONES[number % 4].into());
         self.nodes[number].router = Some(SimRouter::new(router, zone));
         let life = self.nodes[number].life;
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -36,7 +36,7 @@
             }
             Meaning::Intended => {
                 let keeper = self.draw.below(KEEPERS as u64) as usize;
-                let request = RequestId(self.draw.number());
+                let request = RequestId(self.draw.next_u64());
                 let command = Command::Confirm { plan: edition };
                 self.ask(keeper, Submission { request, command }, Some(Meaning::Plain));
             }
@@ -131,7 +131,7 @@
 
     pub fn change(&mut self, keeper: usize, patch: String, means: Meaning) {
         self.note(format!("operator via k{keeper}: {patch}"));
-        let request = RequestId(self.draw.number());
+        let request = RequestId(self.draw.next_u64());
         self.ask(keeper, Submission { request, command: Command::Merge { base: None, patch } }, Some(means));
     }
 
@@ -139,10 +139,10 @@
     fn race(&mut self) {
         let newest = self.keepers.iter().filter_map(|keeper| keeper.coordinator.as_ref()).map(Coordinator::state);
         let Some(base) = newest.map(|state| state.desired_edition).max() else { return };
-        let race = self.draw.number();
+        let race = self.draw.next_u64();
         for operator in 0..2 {
             let keeper = self.draw.below(KEEPERS as u64) as usize;
-            let request = RequestId(self.draw.number());
+            let request = RequestId(self.draw.next_u64());
             let patch = format!(r#"{{"kinds":["k","race{operator}"]}}"#);
             let command = Command::Merge { base: Some(base), patch };
             self.ask(keeper, Submission { request, command }, Some(Meaning::Raced(race)));
@@ -161,7 +161,7 @@
             }
         };
         self.note(format!("operator via k{keeper} intends {intent:?}"));
-        let request = RequestId(self.draw.number());
+        let request = RequestId(self.draw.next_u64());
         self.ask(keeper, Submission { request, command: Command::Intend(intent) }, Some(Meaning::Intended));
     }
 
--- a/crates/simulator/src/placing.rs
+++ b/crates/simulator/src/placing.rs
@@ -16,11 +16,12 @@
         let model = ModelName(MODEL.into());
         let wall = sight.state.wall_of(&run.request.tenant);
         let adapter = sight.state.adapter_for(&run.request.tenant, &model);
-        let salt_on = |weights| Salt::of(&model, weights, wall.id, wall.edition).under(adapter.as_ref());
+        let salt_on =
+            |weights| Salt::for_model(&model, weights, wall.id, wall.edition).with_adapter(adapter.as_ref());
         let names: BTreeMap<WeightsEdition, Vec<BlockHash>> = sight
             .editions_in_use(&model, local_now)
             .into_iter()
-            .map(|weights| (weights, cut(&salt_on(weights), run.request.text.as_bytes())))
+            .map(|weights| (weights, hash_blocks(&salt_on(weights), run.request.text.as_bytes())))
             .collect();
         let prompt = Prompt {
             tenant: run.request.tenant.clone(),
@@ -28,7 +29,7 @@
             model: model.clone(),
             adapter: adapter.clone(),
             names,
-            blocks: blocks_of(run.request.text.len()),
+            blocks: blocks_needed(run.request.text.len()),
             outcome_blocks: BlockCount(run.request.tokens.div_ceil(16)),
             lot: 0,
             tried,
--- a/crates/simulator/src/prelude.rs
+++ b/crates/simulator/src/prelude.rs
@@ -20,13 +20,13 @@
 pub(crate) use adapters::prelude::{DemandMeter, DemandReport, SeenEngine, WarmingAct, WarmingPlanner};
 pub(crate) use admission::prelude::RetryBudget;
 pub(crate) use attempts::prelude::*;
-pub(crate) use blocks::prelude::{Salt, blocks_of, cut};
+pub(crate) use blocks::prelude::{Salt, blocks_needed, hash_blocks};
 pub(crate) use conductor::prelude::{Act, Conductor, Observed};
-pub(crate) use contract::prelude::{EngineLine, NOT_RESIDENT, StartLine};
+pub(crate) use contract::prelude::{ADAPTER_NOT_RESIDENT, EngineLogLine, StartLine};
 pub(crate) use coordinator::prelude::*;
 pub(crate) use desired::prelude::{ConfigurationChange, Intent, Listed, ListedEngine, Role};
 pub(crate) use placement::prelude::{
-    FetchFrom, FetchRun, FleetSight, KeptEvent, Picker, Placement, Prompt, STORE_SOURCE,
+    CacheEvent, FetchFrom, FetchRun, FleetSight, Picker, Placement, Prompt, STORE_SOURCE,
 };
 pub(crate) use std::cmp::Reverse;
 pub(crate) use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
--- a/crates/simulator/src/register_operators.rs
+++ b/crates/simulator/src/register_operators.rs
@@ -21,7 +21,7 @@
 
 impl RegisterOperators {
     /// A change on the newest revision known, or on one that is not known to be taken.
-    pub(crate) fn draw_change(&mut self, draw: &mut Draw) -> ConfigurationChange {
+    pub(crate) fn draw_change(&mut self, draw: &mut SeededRng) -> ConfigurationChange {
         let base = match draw.below(10) {
             0 => self.sent.back().map_or(self.known, |last| last.revision.0),
             _ => self.known,
@@ -30,12 +30,12 @@
     }
 
     /// Another change on the base of the one sent last.
-    pub(crate) fn draw_rival(&mut self, draw: &mut Draw) -> ConfigurationChange {
+    pub(crate) fn draw_rival(&mut self, draw: &mut SeededRng) -> ConfigurationChange {
         let base = self.sent.back().map_or(self.known, |last| last.base.0);
         self.change_on(base, draw)
     }
 
-    fn change_on(&mut self, base: u64, draw: &mut Draw) -> ConfigurationChange {
+    fn change_on(&mut self, base: u64, draw: &mut SeededRng) -> ConfigurationChange {
         self.last_change += 1;
         let revision = base + draw.between(1, 3);
         let change = ConfigurationChange {
@@ -53,7 +53,7 @@
     }
 
     /// A change that was sent before, whatever became of it.
-    pub(crate) fn draw_again(&self, draw: &mut Draw) -> Option<ConfigurationChange> {
+    pub(crate) fn draw_again(&self, draw: &mut SeededRng) -> Option<ConfigurationChange> {
         let place = draw.below(self.sent.len().max(1) as u64) as usize;
         self.sent.get(place).cloned()
     }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -138,7 +138,7 @@
     world.keeps_notes = plan.keeps_notes;
     let formed_at = world.now + FORM_SPAN;
     world.run_until(formed_at);
-    let mut draw = Draw::new(plan.seed ^ 0x5eed);
+    let mut draw = SeededRng::new(plan.seed ^ 0x5eed);
     let mut fault_at = world.now;
     let trouble_end = world.now + plan.trouble;
     loop {
@@ -174,7 +174,7 @@
     finish(world, recovery)
 }
 
-fn schedule_changes(world: &mut World, draw: &mut Draw, trouble_end: Instant, lasting: Lasting) {
+fn schedule_changes(world: &mut World, draw: &mut SeededRng, trouble_end: Instant, lasting: Lasting) {
     let filling = if lasting == Lasting::Nothing { Span(0) } else { Span::seconds(16) };
     let calm_end = trouble_end + filling + CALM_SPAN;
     let mut change_at = world.now;
@@ -190,7 +190,7 @@
 }
 
 /// Once lost seats are filled again, makes the cut that stays.
-fn cut_lastingly(world: &mut World, draw: &mut Draw, lasting: Lasting) {
+fn cut_lastingly(world: &mut World, draw: &mut SeededRng, lasting: Lasting) {
     if lasting == Lasting::Nothing {
         return;
     }
--- a/crates/simulator/src/runs.rs
+++ b/crates/simulator/src/runs.rs
@@ -95,7 +95,7 @@
         let claim = request
             .idempotency_key
             .filter(|_| !request.repeatable)
-            .map(|key| BlockHash::over(&[b"claim", tenant.as_str().as_bytes(), &key.to_le_bytes()]));
+            .map(|key| BlockHash::of_parts(&[b"claim", tenant.as_str().as_bytes(), &key.to_le_bytes()]));
         let terms = Terms {
             run: run_name,
             repeatable: request.repeatable,
@@ -136,7 +136,7 @@
             Err(bar) => CarriageInput::WorkBarred(bar),
             Ok(()) => own_answer(run, input),
         };
-        let is_cold = matches!(&input, CarriageInput::Head { told, .. } if told == NOT_RESIDENT);
+        let is_cold = matches!(&input, CarriageInput::Head { told, .. } if told == ADAPTER_NOT_RESIDENT);
         let adapter = run
             .attempt
             .as_ref()
--- a/crates/simulator/src/shift.rs
+++ b/crates/simulator/src/shift.rs
@@ -9,7 +9,7 @@
 /// Plays one seed: a shift of the load between the regions, and the losses of the play at drawn moments
 /// around it.
 pub fn play_shift(plan: &RunPlan) -> RunOutcome {
-    let mut draw = Draw::new(plan.seed ^ 0xada9_7e55);
+    let mut draw = SeededRng::new(plan.seed ^ 0xada9_7e55);
     let start = Instant(1_000_000_000);
     let shift_at = start + FORM_SPAN;
     let shift_span = Span::millis(draw.between(500, 8_000));
@@ -39,7 +39,7 @@
 }
 
 /// What is lost around the shift, in the order in which the moments are drawn.
-fn losses(plan: &RunPlan, with_machine: bool, draw: &mut Draw) -> Vec<Loss> {
+fn losses(plan: &RunPlan, with_machine: bool, draw: &mut SeededRng) -> Vec<Loss> {
     match plan.adapters {
         AdapterPlay::Leave => {
             let first = draw.below(ADAPTED.len() as u64) as usize;
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -10,7 +10,7 @@
 pub const TENANTS: usize = 8;
 
 pub struct World {
-    pub draw: Draw,
+    pub draw: SeededRng,
     pub now: Instant,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     events: HashMap<u64, SimEvent>,
@@ -98,10 +98,10 @@
 impl World {
     /// A world that begins; its tenants run on adapters if there is a scenario for them.
     pub fn new(seed: u64, scenario: Option<Scenario>) -> World {
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         let keepers = (0..KEEPERS).map(|number| SimKeeper::new(number, Clock::drawn(&mut draw))).collect();
         let nodes = (0..NODES).map(|number| SimNode::new(number, Clock::drawn(&mut draw))).collect();
-        let is_split = Draw::new(seed ^ 0x0511_7000).chance(25);
+        let is_split = SeededRng::new(seed ^ 0x0511_7000).chance(25);
         let engines = (0..ENGINES).map(|number| SimEngine::new(number, is_split)).collect();
         let keys = (0..TENANTS).map(|tenant| (format!("{:064x}", tenant + 1), format!("t{tenant}"))).collect();
         let caller_distance = if draw.chance(50) { Span::millis(25) } else { Span::millis(2) };
--- a/crates/store/src/main.rs
+++ b/crates/store/src/main.rs
@@ -52,12 +52,12 @@
                 let Some(names) = read_names(&mut asked).await else { return bad_names() };
                 self.memory().keep(&names);
                 self.news.send_modify(|count| *count += 1);
-                outcome_json(StatusCode::OK, &json!(Found { found: names.len() as u64 }))
+                outcome_json(StatusCode::OK, &json!(FoundBlocks { found: names.len() as u64 }))
             }
             ("POST", ["v1", "kept", "blocks"]) => {
                 let Some(names) = read_names(&mut asked).await else { return bad_names() };
                 let found = self.memory().overlap(&names) as u64;
-                outcome_json(StatusCode::OK, &json!(Found { found }))
+                outcome_json(StatusCode::OK, &json!(FoundBlocks { found }))
             }
             _ => no_such_page(),
         }
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -73,7 +73,7 @@
 
     /// A schedule over the first part of a day; the last twenty seconds stay calm.
     pub fn draw(seed: u64, seconds: u64, plan: &FleetPlan) -> FaultSchedule {
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         let calm_at = (seconds * 1000).saturating_sub(20_000).max(3_000);
         let mut moments = vec![
             (2_000, Fault::Trial),
--- a/crates/testbed/src/prelude.rs
+++ b/crates/testbed/src/prelude.rs
@@ -8,7 +8,7 @@
 pub use crate::relay::*;
 pub use crate::report::*;
 pub(crate) use crate::starting::{QUICK_LINK_US, SLOW_LINK_US};
-pub use contract::prelude::EngineLine;
+pub use contract::prelude::EngineLogLine;
 pub(crate) use process::prelude::sha256_hex;
 pub use serde_json::{Value, json};
 pub(crate) use std::collections::BTreeMap;
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -4,7 +4,7 @@
 
 impl Fleet {
     /// What the engines wrote down.
-    pub fn engine_lines(&self) -> Vec<EngineLine> {
+    pub fn engine_lines(&self) -> Vec<EngineLogLine> {
         let mut lines = Vec::new();
         for engine in &self.engines {
             let path = self.folder.join(format!("{}.starts", engine.name));
--- a/crates/testbed/tests/adapters.rs
+++ b/crates/testbed/tests/adapters.rs
@@ -158,7 +158,7 @@
     line.first_ms = Some(boot_millis() - line.at);
     line.attempt = answer["shot"].as_str().unwrap_or("").to_owned();
     (line.pieces, line.last_at) = (1, boot_millis());
-    let piece = |place| contract::prelude::adapted_piece(&line.adapter, prompt, &line.attempt, place);
+    let piece = |place| contract::prelude::stand_in_piece_with_adapter(&line.adapter, prompt, &line.attempt, place);
     let expected: String = (0..TOKENS).map(piece).collect();
     check_text(answer["choices"][0]["text"].as_str().unwrap_or(""), &expected, line);
     true
@@ -193,7 +193,7 @@
     if named != line.adapter {
         line.wrong = format!("a piece of {named:?} in a stream of {:?}", line.adapter);
     }
-    let expected = contract::prelude::adapted_piece(&line.adapter, prompt, &line.attempt, line.pieces);
+    let expected = contract::prelude::stand_in_piece_with_adapter(&line.adapter, prompt, &line.attempt, line.pieces);
     check_text(piece["choices"][0]["text"].as_str().unwrap_or(""), &expected, line);
     line.pieces += 1;
     line.last_at = boot_millis();
@@ -322,7 +322,7 @@
     let mut outcomes: BTreeMap<&str, usize> = BTreeMap::new();
     record.callers.iter().for_each(|line| *outcomes.entry(&line.outcome).or_default() += 1);
     let loads = record.engines.iter().filter(
-        |line| matches!(line, EngineLine::Order { order, taken: true, .. } if order.starts_with("LoadAdapter")),
+        |line| matches!(line, EngineLogLine::Order { order, taken: true, .. } if order.starts_with("LoadAdapter")),
     );
     println!("adapters: outcomes {outcomes:?}, {} load orders", loads.count());
     println!(
--- a/crates/testbed/tests/strangers.rs
+++ b/crates/testbed/tests/strangers.rs
@@ -43,7 +43,7 @@
     assert!(record.starts().all(|start| start.engine != "engine0"), "the prefilling engine answers nobody");
     assert_eq!(record.starts().count(), 4);
     let prefills: Vec<_> =
-        record.engines.iter().filter(|line| matches!(line, testbed::prelude::EngineLine::Prefill(_))).collect();
+        record.engines.iter().filter(|line| matches!(line, testbed::prelude::EngineLogLine::Prefill(_))).collect();
     assert!(!prefills.is_empty() && prefills.len() <= 4, "prefills are told as work: {prefills:?}");
     let other_weights = web::prelude::Question::with_json(
         Method::POST,
