--- a/crates/testbed/tests/withdrawn.rs
+++ b/crates/testbed/tests/withdrawn.rs
@@ -97,7 +97,7 @@
 
 /// How many shots the engines have ended, by their own record; nobody else is asked, who might be frozen.
 fn ended_shots(fleet: &Fleet) -> usize {
-    fleet.engine_lines().iter().filter(|line| matches!(line, EngineLine::End { .. })).count()
+    fleet.engine_lines().iter().filter(|line| matches!(line, EngineLogLine::End { .. })).count()
 }
 
 /// What the engines still work on ends as soon as they can.
--- a/crates/timing/src/derive.rs
+++ b/crates/timing/src/derive.rs
@@ -69,7 +69,7 @@
 
 impl Default for Timing {
     fn default() -> Self {
-        Timing::USUAL
+        Timing::DEFAULT
     }
 }
 
@@ -89,7 +89,7 @@
 
 impl Timing {
     /// Where no bounds are stated.
-    pub const USUAL: Timing = Timing {
+    pub const DEFAULT: Timing = Timing {
         node_lease: Span::millis(2000),
         revoke_slack: Span(0),
         unconfirmed_span: Span::millis(2000),
@@ -140,7 +140,7 @@
             duty_gap: DUTY_LEASE + LEASE_MARGIN + bounds.lease + ORDER_MARGIN,
             replace_after: less(bounds.catch_up, REPLACE_MARGIN).max(SOONEST_REPLACEMENT),
             old_weights_span: less(bounds.version, VERSION_MARGIN),
-            lag_limit: Timing::USUAL.lag_limit.min(bounds.apply),
+            lag_limit: Timing::DEFAULT.lag_limit.min(bounds.apply),
             intake_span: ARRIVALS_WHILE_UNREADY.min(intake_within(bounds.grace)),
             drain_span: less(bounds.grace, GRACE_MARGIN),
         })
--- a/crates/units/src/adapter.rs
+++ b/crates/units/src/adapter.rs
@@ -15,10 +15,10 @@
     }
 
     /// Reads `name@revision`, which is how it is written.
-    pub fn read(text: &str) -> Option<AdapterId> {
+    pub fn parse(text: &str) -> Option<AdapterId> {
         let (name, revision) = text.rsplit_once('@')?;
         let revision = revision.parse().ok()?;
-        is_name(name).then(|| AdapterId::new(name, revision))
+        is_valid_name(name).then(|| AdapterId::new(name, revision))
     }
 }
 
--- a/crates/units/src/clock.rs
+++ b/crates/units/src/clock.rs
@@ -13,6 +13,6 @@
 }
 
 /// Wall time in milliseconds, for log lines and recordings only.
-pub fn wall_millis() -> u64 {
+pub fn unix_millis() -> u64 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/crates/units/src/hash.rs
+++ b/crates/units/src/hash.rs
@@ -7,7 +7,7 @@
 
 impl BlockHash {
     /// The first 64 bits of SHA-256 over the given parts, each preceded by its length.
-    pub fn over(hashed_parts: &[&[u8]]) -> BlockHash {
+    pub fn of_parts(hashed_parts: &[&[u8]]) -> BlockHash {
         let mut running_hash = Sha256::new();
         for part in hashed_parts {
             running_hash.update((part.len() as u64).to_le_bytes());
--- a/crates/units/src/names.rs
+++ b/crates/units/src/names.rs
@@ -21,6 +21,6 @@
 name_type!(TenantName, KeyName, ModelName, EngineName, ServiceName, RouteName, Zone, Region, AdapterName);
 
 /// Whether a text may serve as a name: 1 to 64 of letters, digits, `-`, `_`, `.`.
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     (1..=64).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
--- a/crates/units/src/numbers.rs
+++ b/crates/units/src/numbers.rs
@@ -82,7 +82,7 @@
     pub const fn seconds(count: u64) -> Span {
         Span::millis(count * 1000)
     }
-    pub const fn of(duration: std::time::Duration) -> Span {
+    pub const fn from_duration(duration: std::time::Duration) -> Span {
         Span(duration.as_nanos() as u64)
     }
     pub const fn as_millis(self) -> u64 {
--- a/crates/units/src/prelude.rs
+++ b/crates/units/src/prelude.rs
@@ -2,10 +2,10 @@
 
 pub use crate::adapter::*;
 pub use crate::clock::*;
-pub use crate::draw::*;
 pub use crate::hash::*;
 pub use crate::names::*;
 pub use crate::numbers::*;
+pub use crate::rng::*;
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use sha2::{Digest, Sha256};
 pub(crate) use std::fmt;
--- a/crates/units/src/draw.rs
+++ b/crates/units/src/rng.rs
@@ -3,14 +3,14 @@
 
 /// A small, fast generator of the same numbers for the same seed.
 #[derive(Clone, Debug)]
-pub struct Draw(u64);
+pub struct SeededRng(u64);
 
-impl Draw {
-    pub fn new(seed: u64) -> Draw {
-        Draw(seed ^ 0x9e37_79b9_7f4a_7c15)
+impl SeededRng {
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(seed ^ 0x9e37_79b9_7f4a_7c15)
     }
 
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -19,7 +19,7 @@
     }
 
     pub fn below(&mut self, bound: u64) -> u64 {
-        self.number() % bound.max(1)
+        self.next_u64() % bound.max(1)
     }
 
     pub fn between(&mut self, lowest: u64, highest: u64) -> u64 {
@@ -31,7 +31,7 @@
         self.below(100) < percent
     }
 
-    pub fn by_shares(&mut self, shares: impl Iterator<Item = u64> + Clone) -> usize {
+    pub fn weighted_index(&mut self, shares: impl Iterator<Item = u64> + Clone) -> usize {
         let mut drawn = self.below(shares.clone().sum());
         for (place, share) in shares.enumerate() {
             if drawn < share {
--- a/crates/verdict/src/adapted.rs
+++ b/crates/verdict/src/adapted.rs
@@ -129,8 +129,8 @@
 mod tests {
     use crate::prelude::*;
 
-    fn start(at: u64, attempt: &str, adapter: &str) -> EngineLine {
-        EngineLine::Start(StartLine {
+    fn start(at: u64, attempt: &str, adapter: &str) -> EngineLogLine {
+        EngineLogLine::Start(StartLine {
             at,
             engine: "e1".into(),
             attempt: attempt.into(),
--- a/crates/verdict/src/lines.rs
+++ b/crates/verdict/src/lines.rs
@@ -201,7 +201,7 @@
     /// What callers saw.
     pub callers: Vec<CallerLine>,
     /// What engines started and were ordered.
-    pub engines: Vec<EngineLine>,
+    pub engines: Vec<EngineLogLine>,
     /// What operators, the platform and the test did.
     pub world: Vec<WorldLine>,
     /// Attempts and second attempts as the routers counted them, if known.
@@ -214,18 +214,19 @@
     /// Every start of an attempt on an engine.
     pub fn starts(&self) -> impl Iterator<Item = &StartLine> {
         self.engines.iter().filter_map(|line| match line {
-            EngineLine::Start(start) => Some(start),
-            EngineLine::Prefill(_) | EngineLine::Asked { .. } | EngineLine::End { .. } | EngineLine::Order { .. } => {
-                None
-            }
+            EngineLogLine::Start(start) => Some(start),
+            EngineLogLine::Prefill(_)
+            | EngineLogLine::Asked { .. }
+            | EngineLogLine::End { .. }
+            | EngineLogLine::Order { .. } => None,
         })
     }
 
     /// Every beginning of work on a prompt: starts, and prefills for starts elsewhere.
     pub fn works(&self) -> impl Iterator<Item = &StartLine> {
         self.engines.iter().filter_map(|line| match line {
-            EngineLine::Start(start) | EngineLine::Prefill(start) => Some(start),
-            EngineLine::Asked { .. } | EngineLine::End { .. } | EngineLine::Order { .. } => None,
+            EngineLogLine::Start(start) | EngineLogLine::Prefill(start) => Some(start),
+            EngineLogLine::Asked { .. } | EngineLogLine::End { .. } | EngineLogLine::Order { .. } => None,
         })
     }
 
@@ -233,7 +234,7 @@
     pub fn requests_to<'a>(&'a self, engine_name: &'a str) -> impl Iterator<Item = u64> + 'a {
         let works = self.works().map(|start| (start.engine.as_str(), start.at));
         let fetches = self.engines.iter().filter_map(|line| match line {
-            EngineLine::Asked { at, engine } => Some((engine.as_str(), *at)),
+            EngineLogLine::Asked { at, engine } => Some((engine.as_str(), *at)),
             _ => None,
         });
         works.chain(fetches).filter(move |(engine, _)| *engine == engine_name).map(|(_, at)| at)
@@ -242,12 +243,13 @@
     /// How the work on each attempt ended, as its engine told: when, after how many pieces, whether whole.
     pub fn ends(&self) -> BTreeMap<&str, AttemptEnd> {
         let ends = self.engines.iter().filter_map(|line| match line {
-            EngineLine::End { at, attempt, pieces, whole, .. } => {
+            EngineLogLine::End { at, attempt, pieces, whole, .. } => {
                 Some((attempt.as_str(), AttemptEnd { at: *at, pieces: *pieces, whole: *whole }))
             }
-            EngineLine::Start(_) | EngineLine::Prefill(_) | EngineLine::Asked { .. } | EngineLine::Order { .. } => {
-                None
-            }
+            EngineLogLine::Start(_)
+            | EngineLogLine::Prefill(_)
+            | EngineLogLine::Asked { .. }
+            | EngineLogLine::Order { .. } => None,
         });
         ends.collect()
     }
--- a/crates/verdict/src/prelude.rs
+++ b/crates/verdict/src/prelude.rs
@@ -9,6 +9,6 @@
 pub use crate::service::*;
 pub use crate::states::*;
 pub use crate::withdrawn::*;
-pub(crate) use contract::prelude::{EngineLine, StartLine};
+pub(crate) use contract::prelude::{EngineLogLine, StartLine};
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::{BTreeMap, BTreeSet};
--- a/crates/verdict/src/states.rs
+++ b/crates/verdict/src/states.rs
@@ -53,7 +53,7 @@
 pub(crate) fn one_holder_orders(record: &Record) -> Vec<String> {
     let mut orders: BTreeMap<&str, Vec<(u64, u64, &str, bool)>> = BTreeMap::new();
     for line in &record.engines {
-        if let EngineLine::Order { at, engine, holder, term, taken, .. } = line {
+        if let EngineLogLine::Order { at, engine, holder, term, taken, .. } = line {
             orders.entry(engine).or_default().push((*at, *term, holder, *taken));
         }
     }
--- a/crates/verdict/tests/judge.rs
+++ b/crates/verdict/tests/judge.rs
@@ -1,10 +1,10 @@
 //! A clean record is clean; one change to it breaks just the rule it names.
 
-use contract::prelude::{EngineLine, StartLine};
+use contract::prelude::{EngineLogLine, StartLine};
 use verdict::prelude::*;
 
-fn start(at: u64, engine: &str, attempt: &str, weights: u64) -> EngineLine {
-    EngineLine::Start(StartLine {
+fn start(at: u64, engine: &str, attempt: &str, weights: u64) -> EngineLogLine {
+    EngineLogLine::Start(StartLine {
         at,
         engine: engine.into(),
         attempt: attempt.into(),
@@ -16,13 +16,13 @@
     })
 }
 
-fn order(at: u64, holder: &str) -> EngineLine {
+fn order(at: u64, holder: &str) -> EngineLogLine {
     let (engine, holder) = ("e1".into(), holder.into());
-    EngineLine::Order { at, engine, holder, term: at, taken: true, order: String::new() }
+    EngineLogLine::Order { at, engine, holder, term: at, taken: true, order: String::new() }
 }
 
-fn end(at: u64, attempt: &str, whole: bool) -> EngineLine {
-    EngineLine::End { at, engine: "e1".into(), attempt: attempt.into(), pieces: 3, whole }
+fn end(at: u64, attempt: &str, whole: bool) -> EngineLogLine {
+    EngineLogLine::End { at, engine: "e1".into(), attempt: attempt.into(), pieces: 3, whole }
 }
 
 fn used(at: u64, made_on: u64, tenant: &str, made_for: &str) -> WorldLine {
@@ -104,7 +104,7 @@
             record.callers[0].wrong = "piece lost".into();
         }),
         (4, |record| {
-            let EngineLine::Start(line) = &mut record.engines[0] else { panic!() };
+            let EngineLogLine::Start(line) = &mut record.engines[0] else { panic!() };
             line.salt = "w9.z".into();
         }),
         (1, |record| {
@@ -123,10 +123,10 @@
         (6, |record| record.engines[0] = start(5_001, "e2", "r.1.1", 1)),
         (7, |record| record.engines[0] = start(3_001, "e1", "r.1.1", 1)),
         (7, |record| {
-            let EngineLine::Start(line) = start(3_001, "e1", "r.3.1", 2) else { panic!() };
-            record.engines.push(EngineLine::Prefill(line));
+            let EngineLogLine::Start(line) = start(3_001, "e1", "r.3.1", 2) else { panic!() };
+            record.engines.push(EngineLogLine::Prefill(line));
         }),
-        (7, |record| record.engines.push(EngineLine::Asked { at: 3_001, engine: "e1".into() })),
+        (7, |record| record.engines.push(EngineLogLine::Asked { at: 3_001, engine: "e1".into() })),
         (6, |record| record.engines[2] = end(5_001, "r.1.1", true)),
         (6, |record| record.callers[0].last_at = 5_001),
         (8, |record| record.world.push(sample(9_000, "q", 3, true))),
@@ -135,7 +135,8 @@
         (10, |record| record.engines.push(order(4_500, "h1"))),
         (10, |record| {
             let (engine, holder) = ("e1".into(), "h2".into());
-            let order = EngineLine::Order { at: 9_000, engine, holder, term: 9, taken: true, order: String::new() };
+            let order =
+                EngineLogLine::Order { at: 9_000, engine, holder, term: 9, taken: true, order: String::new() };
             record.engines.push(order);
         }),
         (11, |record| record.retries = 300),
--- a/crates/view/src/campaign.rs
+++ b/crates/view/src/campaign.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 struct Promise {
     accepted: Option<(Ballot, View)>,
-    last: Mark,
+    last: LogPosition,
 }
 
 impl Campaign {
@@ -25,26 +25,26 @@
     }
 
     /// The voters that promised, and where their logs end.
-    pub fn promised(&self) -> BTreeMap<NodeId, Mark> {
+    pub fn promised(&self) -> BTreeMap<NodeId, LogPosition> {
         self.promises.iter().map(|(voter, promise)| (*voter, promise.last)).collect()
     }
 
     /// Whether a majority has promised and nothing was proposed yet.
-    pub fn take_promise(
+    pub fn record_promise(
         &mut self,
         present: &View,
         voter: NodeId,
         accepted: Option<(Ballot, View)>,
-        last: Mark,
+        last: LogPosition,
     ) -> bool {
-        if present.votes(voter) {
+        if present.is_voter(voter) {
             self.promises.insert(voter, Promise { accepted, last });
         }
         self.proposal.is_none() && self.promises.len() >= present.majority()
     }
 
     /// The view some voter already accepted under the highest ballot: it must be proposed again.
-    pub fn bound_view(&self) -> Option<View> {
+    pub fn highest_accepted_view(&self) -> Option<View> {
         self.promises
             .values()
             .filter_map(|promise| promise.accepted.as_ref())
@@ -57,8 +57,8 @@
     }
 
     /// The decided view, once a majority has accepted the proposal.
-    pub fn take_acceptance(&mut self, present: &View, voter: NodeId) -> Option<View> {
-        if present.votes(voter) {
+    pub fn record_acceptance(&mut self, present: &View, voter: NodeId) -> Option<View> {
+        if present.is_voter(voter) {
             self.acceptances.insert(voter);
         }
         if self.acceptances.len() < present.majority() {
@@ -76,14 +76,17 @@
     fn an_accepted_view_binds_later_proposers() {
         let voters = vec![NodeId(1), NodeId(2), NodeId(3), NodeId(4)];
         let present = View { voters: voters.clone(), chain: voters.clone(), ..View::default() };
-        assert_eq!((present.majority(), present.least_chain()), (3, 2));
-        let mut votes = vec![Vote::default(); 4];
+        assert_eq!((present.majority(), present.min_chain_length()), (3, 2));
+        let mut votes = vec![VoterState::default(); 4];
         let low_ballot = Ballot { round: 1, proposer: NodeId(1) };
         let first_view = View { number: ViewNumber(1), ..present.clone() };
         let mut first_campaign = Campaign::new(ViewNumber(1), low_ballot, Instant(0));
         for place in 0..3 {
             let accepted = votes[place].prepare(low_ballot).unwrap();
-            assert_eq!(first_campaign.take_promise(&present, voters[place], accepted, Mark::default()), place == 2);
+            assert_eq!(
+                first_campaign.record_promise(&present, voters[place], accepted, LogPosition::default()),
+                place == 2
+            );
         }
         first_campaign.propose(first_view.clone());
         votes[2].accept(low_ballot, first_view.clone()).unwrap();
@@ -91,10 +94,10 @@
         let mut second_campaign = Campaign::new(ViewNumber(1), high_ballot, Instant(0));
         for place in 1..4 {
             let accepted = votes[place].prepare(high_ballot).unwrap();
-            second_campaign.take_promise(&present, voters[place], accepted, Mark::default());
+            second_campaign.record_promise(&present, voters[place], accepted, LogPosition::default());
         }
-        assert_eq!(second_campaign.bound_view(), Some(first_view));
+        assert_eq!(second_campaign.highest_accepted_view(), Some(first_view));
         assert_eq!(votes[2].accept(low_ballot, View::default()), Err(high_ballot));
-        assert_eq!(second_campaign.take_acceptance(&present, NodeId(9)), None);
+        assert_eq!(second_campaign.record_acceptance(&present, NodeId(9)), None);
     }
 }
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub mod prelude;
 
-mod agreed;
 mod campaign;
-mod mark;
-mod vote;
+mod log_position;
+mod view;
+mod voter;
--- a/crates/view/src/mark.rs
+++ b/crates/view/src/log_position.rs
@@ -4,7 +4,7 @@
 
 /// A place in a log: equal marks mean equal logs up to there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Mark {
+pub struct LogPosition {
     pub edition: Edition,
     pub view: ViewNumber,
 }
--- a/crates/view/src/agreed.rs
+++ b/crates/view/src/view.rs
@@ -57,18 +57,18 @@
 
     /// Every majority that decides a view must hold a member of the chain, and as many lost disks as are
     /// tolerated must not lose a record.
-    pub fn least_chain(&self) -> usize {
+    pub fn min_chain_length(&self) -> usize {
         (self.voters.len() + 1 - self.majority()).max(self.tolerance as usize + 1)
     }
 
     /// How many members of the next chain must surely hold all that was committed: as many disks as may be lost, and
     /// one more. A chain that never had so many cannot be asked for them.
-    pub fn least_holders(&self) -> usize {
+    pub fn min_holders(&self) -> usize {
         (self.tolerance as usize + 1).min(self.chain.len())
     }
 
-    pub fn takes_writes(&self) -> bool {
-        self.chain.len() >= self.least_chain()
+    pub fn accepts_writes(&self) -> bool {
+        self.chain.len() >= self.min_chain_length()
     }
 
     /// The lineage that the next view carries.
@@ -91,12 +91,12 @@
         self.chain.last().copied()
     }
 
-    pub fn before(&self, node: NodeId) -> Option<NodeId> {
+    pub fn predecessor(&self, node: NodeId) -> Option<NodeId> {
         let place = self.chain.iter().position(|member| *member == node)?;
         self.chain.get(place.checked_sub(1)?).copied()
     }
 
-    pub fn after(&self, node: NodeId) -> Option<NodeId> {
+    pub fn successor(&self, node: NodeId) -> Option<NodeId> {
         let place = self.chain.iter().position(|member| *member == node)?;
         self.chain.get(place + 1).copied()
     }
@@ -105,7 +105,7 @@
         self.chain.contains(&node)
     }
 
-    pub fn votes(&self, node: NodeId) -> bool {
+    pub fn is_voter(&self, node: NodeId) -> bool {
         self.voters.contains(&node)
     }
 
--- a/crates/view/src/vote.rs
+++ b/crates/view/src/voter.rs
@@ -10,7 +10,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vote {
+pub struct VoterState {
     pub promised: Option<Ballot>,
     pub accepted: Option<(Ballot, View)>,
 }
@@ -26,7 +26,7 @@
         next: ViewNumber,
         ballot: Ballot,
         accepted: Option<(Ballot, View)>,
-        last: Mark,
+        last: LogPosition,
     },
     Accept {
         next: ViewNumber,
@@ -44,7 +44,7 @@
     Decided(View),
 }
 
-impl Vote {
+impl VoterState {
     /// A sealed voter has promised for the next view.
     pub fn sealed(&self) -> bool {
         self.promised.is_some()
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -4,7 +4,7 @@
 
 /// The number of this wire format; a process that speaks another is refused with both named.
 pub const FORMAT: u64 = 7;
-pub const MOST_FRAME_BYTES: usize = 64 << 20;
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
 const MAGIC: [u8; 4] = *b"HARE";
 
 /// The first frame on every stream, both ways.
@@ -50,8 +50,8 @@
 
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, String> {
     let body = rmp_serde::to_vec_named(message).map_err(|fault| fault.to_string())?;
-    if body.len() > MOST_FRAME_BYTES {
-        return Err(format!("frame of {} bytes, at most {MOST_FRAME_BYTES}", body.len()));
+    if body.len() > MAX_FRAME_BYTES {
+        return Err(format!("frame of {} bytes, at most {MAX_FRAME_BYTES}", body.len()));
     }
     let mut frame = Vec::with_capacity(body.len() + 4);
     frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -69,8 +69,8 @@
     let mut length_bytes = [0u8; 4];
     stream.read_exact(&mut length_bytes).map_err(|fault| fault.to_string())?;
     let length = u32::from_le_bytes(length_bytes) as usize;
-    if length > MOST_FRAME_BYTES {
-        return Err(format!("frame length {length}, at most {MOST_FRAME_BYTES}"));
+    if length > MAX_FRAME_BYTES {
+        return Err(format!("frame length {length}, at most {MAX_FRAME_BYTES}"));
     }
     let mut body = Vec::new();
     let read_count = stream.take(length as u64).read_to_end(&mut body).map_err(|fault| fault.to_string())?;
