--- a/crates/units/src/adapter.rs
+++ b/crates/units/src/adapter.rs
@@ -1,8 +1,8 @@
-//! One revision of a tuned adapter, which names exactly what an engine holds in a place for adapters.
+//! Identifies one revision of a fine-tuned adapter.
 
 use crate::prelude::*;
 
-/// An adapter and its revision; written `name@revision`.
+/// An adapter and its revision, displayed as `name@revision`. An engine loads adapters by this identifier.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AdapterId {
     pub name: AdapterName,
@@ -14,7 +14,7 @@
         AdapterId { name: name.into(), revision: AdapterRevision(revision) }
     }
 
-    /// Reads `name@revision`, which is how it is written.
+    /// Parses the displayed form, `name@revision`. Returns `None` if either part is malformed.
     pub fn parse(text: &str) -> Option<AdapterId> {
         let (name, revision) = text.rsplit_once('@')?;
         let revision = revision.parse().ok()?;
--- a/crates/units/src/hash.rs
+++ b/crates/units/src/hash.rs
@@ -1,19 +1,20 @@
-//! The name of a kept block: a hash over its salt, its parents and its own text.
+//! The hash that identifies a cached block.
 
 use crate::prelude::*;
 
+/// Identifies a KV-cache block: a hash over its salt, its parent's hash and its own text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BlockHash(pub u64);
 
 impl BlockHash {
-    /// The first 64 bits of SHA-256 over the given parts, each preceded by its length.
-    pub fn of_parts(hashed_parts: &[&[u8]]) -> BlockHash {
-        let mut running_hash = Sha256::new();
-        for part in hashed_parts {
-            running_hash.update((part.len() as u64).to_le_bytes());
-            running_hash.update(part);
+    /// Hashes the parts with SHA-256, each preceded by its length, and keeps the first 64 bits.
+    pub fn of_parts(parts: &[&[u8]]) -> BlockHash {
+        let mut hasher = Sha256::new();
+        for part in parts {
+            hasher.update((part.len() as u64).to_le_bytes());
+            hasher.update(part);
         }
-        let full_hash = running_hash.finalize();
+        let full_hash = hasher.finalize();
         let mut first_bytes = [0u8; 8];
         first_bytes.copy_from_slice(&full_hash[..8]);
         BlockHash(u64::from_le_bytes(first_bytes))
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small types for everything that is counted, named or timed in haremount: ids, editions, terms,
-//! instants and spans. An `Instant` is nanoseconds of a clock that also runs while the machine is
-//! suspended, so a process frozen and woken sees the time that passed. Nothing here reads the wall
-//! clock except `unix_millis`, which exists for log lines alone.
+//! Newtypes for the ids, names, version numbers, instants and durations used throughout haremount.
+//!
+//! An [`Instant`](prelude::Instant) counts nanoseconds of a clock that also runs while the machine is suspended, so a
+//! process that was suspended or frozen sees how much time passed. Only `unix_millis` reads the wall clock, and it is
+//! meant for log lines alone.
 
 pub mod prelude;
 
--- a/crates/units/src/names.rs
+++ b/crates/units/src/names.rs
@@ -1,4 +1,4 @@
-//! Names that operators and the platform give: tenants, keys, models, adapters, engines, zones, regions.
+//! Names assigned by operators and by the platform: tenants, keys, models, adapters, engines, zones, regions.
 
 use crate::prelude::*;
 
@@ -20,7 +20,7 @@
 
 name_type!(TenantName, KeyName, ModelName, EngineName, ServiceName, RouteName, Zone, Region, AdapterName);
 
-/// Whether a text may serve as a name: 1 to 64 of letters, digits, `-`, `_`, `.`.
+/// Whether `text` is a valid name: 1 to 64 ASCII letters, digits, `-`, `_` or `.`.
 pub fn is_valid_name(text: &str) -> bool {
     (1..=64).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
--- a/crates/units/src/numbers.rs
+++ b/crates/units/src/numbers.rs
@@ -1,13 +1,15 @@
-//! Counted things. Ids are random and printed as hex; editions and terms only ever grow.
+//! Counters, ids, and times. Ids are random and displayed as hex; editions and terms only ever increase.
 
 use crate::prelude::*;
 
+/// Defines newtypes of a `u64` counter, displayed in decimal.
 macro_rules! count_type {
     ($($(#[$note:meta])* $kind:ident),*) => {$(
         $(#[$note])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         pub struct $kind(pub u64);
         impl $kind {
+            /// The number that follows this one.
             pub fn next(self) -> Self { $kind(self.0 + 1) }
         }
         impl fmt::Display for $kind {
@@ -16,14 +18,16 @@
     )*};
 }
 
+/// Defines newtypes of a random, non-zero `u64` id, displayed as 16 hex digits.
 macro_rules! id_type {
     ($($(#[$note:meta])* $kind:ident),*) => {$(
         $(#[$note])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         pub struct $kind(pub u64);
         impl $kind {
+            /// Draws a new id from the system's random number generator.
             pub fn random() -> Self {
-                let drawn = getrandom::u64().expect("the system gives no random bytes");
+                let drawn = getrandom::u64().expect("the system's random number generator failed");
                 $kind(drawn.max(1))
             }
         }
@@ -40,35 +44,44 @@
 }
 
 count_type!(
-    /// The number of a record of the fleet state, and of the state it leads to.
+    /// The log index of a record, and the version of the fleet state after applying it.
     Edition,
+    /// The version of a model's weights.
     WeightsEdition,
+    /// The version of an adapter.
     AdapterRevision,
+    /// The version of a wall; raising it invalidates everything cached behind the wall.
     WallEdition,
+    /// A wall: a cache isolation domain. Cached blocks are never shared between two walls.
     WallId,
+    /// The fencing term of a duty's holder.
     Term,
+    /// The number of a view of the core's membership.
     ViewNumber,
+    /// A number of KV-cache blocks.
     BlockCount,
-    /// The platform's own number of its listing.
+    /// The sequence number that the platform gives its listing of engines.
     ListingNumber,
     RunNumber,
     Piece
 );
 
 id_type!(
-    /// A keeper or node; made with its data folder or at its start, never reused.
+    /// A keeper or node. Created with the data folder or at process start, and never reused.
     NodeId,
+    /// A fleet: one set of keepers and the nodes they serve.
     FleetId,
-    /// One life of a process.
+    /// One run of a process, from start to exit.
     Incarnation,
-    /// Names one submission, so that asking again answers the same outcome.
+    /// Identifies a submission, so that a retry receives the outcome of the first try.
     RequestId
 );
 
-/// Nanoseconds of the boot-time clock, or of the simulator's.
+/// A point in time, in nanoseconds of the boot-time clock or of the simulator's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Instant(pub u64);
 
+/// A duration in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Span(pub u64);
 
@@ -97,7 +110,7 @@
 }
 
 impl Instant {
-    /// How long from `earlier` to this; nothing if `earlier` is later.
+    /// The time elapsed since `earlier`; zero if `earlier` is in fact later.
     pub fn since(self, earlier: Instant) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
--- a/crates/units/src/prelude.rs
+++ b/crates/units/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of others that want all its types.
+//! Re-exports every type of this crate, together with the external items its modules use.
 
 pub use crate::adapter::*;
 pub use crate::clock::*;
