--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -225,7 +225,7 @@
     }
 
     pub(crate) fn sealed(&self) -> bool {
-        self.vote.sealed()
+        self.vote.is_sealed()
     }
 
     pub(crate) fn is_aligned(&self) -> bool {
--- a/crates/coordinator/src/tail/nodes.rs
+++ b/crates/coordinator/src/tail/nodes.rs
@@ -65,7 +65,7 @@
         let message = if !core_is_fresh {
             NodeDown::NotNow
         } else if node_is_fresh && tail.renew_lease(node, known_edition, now) {
-            same_address.into_iter().for_each(|earlier| tail.leases.forget(earlier));
+            same_address.into_iter().for_each(|earlier| tail.leases.remove(earlier));
             NodeDown::Granted { sent, span, life, undisturbed }
         } else {
             NodeDown::Behind
--- a/crates/coordinator/src/tail/read_lease.rs
+++ b/crates/coordinator/src/tail/read_lease.rs
@@ -35,7 +35,7 @@
         if view == self.view.number
             && let Some(tail) = &mut self.tail
         {
-            tail.read_lease.take(from, sent);
+            tail.read_lease.record_grant(from, sent);
         }
     }
 }
--- a/crates/figures/src/exposition.rs
+++ b/crates/figures/src/exposition.rs
@@ -46,7 +46,7 @@
             let Some((name, labels, value)) = take_apart(line) else { continue };
             let label = |wanted: &str| labels.iter().find(|(key, _)| *key == wanted).map(|(_, value)| *value);
             let (Some(policy), Some(tenant)) = (label("policy"), label("tenant")) else { continue };
-            let figures = book.of(policy, tenant);
+            let figures = book.entry(policy, tenant);
             if let Some(engine) = label("engine") {
                 *figures.engines.entry(engine.to_owned()).or_default() += value;
             } else if let Some(name) = name.strip_suffix("_total") {
@@ -97,7 +97,7 @@
     fn what_was_told_is_read_again_and_sums_over_routers() {
         let mut book = PolicyMetrics::default();
         for place in 0..300u64 {
-            let figures = book.of(if place % 3 == 0 { "trial" } else { "default" }, &format!("t{}", place % 2));
+            let figures = book.entry(if place % 3 == 0 { "trial" } else { "default" }, &format!("t{}", place % 2));
             figures.requests += 1;
             figures.prompt_blocks += 10;
             figures.reused_blocks += place % 10;
@@ -113,7 +113,7 @@
         doubled.merge(&book);
         assert_eq!(doubled.by_policy()["default"].requests, 400);
         assert_eq!(doubled.by_policy()["trial"].first.count(), 200);
-        doubled.forget("trial");
+        doubled.clear_policy("trial");
         assert!(!doubled.by_policy().contains_key("trial"));
     }
 
--- a/crates/figures/src/policy_metrics.rs
+++ b/crates/figures/src/policy_metrics.rs
@@ -79,17 +79,17 @@
 }
 
 impl PolicyMetrics {
-    pub fn of(&mut self, policy: &str, tenant: &str) -> &mut TrafficMetrics {
+    pub fn entry(&mut self, policy: &str, tenant: &str) -> &mut TrafficMetrics {
         self.by_policy_and_tenant.entry((policy.to_owned(), tenant.to_owned())).or_default()
     }
 
     /// A policy was changed: what was seen of it before says nothing of it now.
-    pub fn forget(&mut self, policy: &str) {
+    pub fn clear_policy(&mut self, policy: &str) {
         self.by_policy_and_tenant.retain(|(known, _), _| known != policy);
     }
 
     /// A tenant's trial was changed: what was seen of it before is of another time.
-    pub fn forget_tenant(&mut self, tenant: &str) {
+    pub fn clear_tenant(&mut self, tenant: &str) {
         self.by_policy_and_tenant.retain(|(_, known), _| known != tenant);
     }
 
@@ -106,7 +106,7 @@
 
     pub fn merge(&mut self, other: &PolicyMetrics) {
         for ((policy, tenant), figures) in &other.by_policy_and_tenant {
-            self.of(policy, tenant).merge(figures);
+            self.entry(policy, tenant).merge(figures);
         }
     }
 
@@ -127,12 +127,12 @@
     #[test]
     fn a_trial_is_held_against_its_own_tenants_alone() {
         let mut book = PolicyMetrics::default();
-        book.of("trial", "a").requests = 10;
+        book.entry("trial", "a").requests = 10;
         assert_eq!(book.default_for_tenants_of("trial"), None, "nothing of theirs went by the default");
-        book.of("default", "a").requests = 9;
-        book.of("default", "b").requests = 500;
+        book.entry("default", "a").requests = 9;
+        book.entry("default", "b").requests = 500;
         assert_eq!(book.default_for_tenants_of("trial").map(|figures| figures.requests), Some(9));
-        book.forget_tenant("a");
+        book.clear_tenant("a");
         assert_eq!(book.by_policy().len(), 1);
     }
 }
--- a/crates/lease/src/nodes.rs
+++ b/crates/lease/src/nodes.rs
@@ -46,7 +46,7 @@
     }
 
     /// A node that surely starts nothing any more.
-    pub fn forget(&mut self, node: NodeId) {
+    pub fn remove(&mut self, node: NodeId) {
         self.nodes.remove(&node);
     }
 
--- a/crates/lease/src/read.rs
+++ b/crates/lease/src/read.rs
@@ -9,7 +9,7 @@
 
 impl ReadLease {
     /// A voter agreed to an asking sent at `sent`.
-    pub fn take(&mut self, voter: NodeId, sent: Instant) {
+    pub fn record_grant(&mut self, voter: NodeId, sent: Instant) {
         let given = self.given.entry(voter).or_default();
         *given = (*given).max(sent);
     }
@@ -34,12 +34,12 @@
     fn the_read_lease_runs_from_the_majoritys_oldest_agreement() {
         let voters = [NodeId(1), NodeId(2), NodeId(3), NodeId(4)];
         let mut lease = ReadLease::default();
-        lease.take(NodeId(1), Instant(50));
-        lease.take(NodeId(2), Instant(40));
-        lease.take(NodeId(9), Instant(90));
+        lease.record_grant(NodeId(1), Instant(50));
+        lease.record_grant(NodeId(2), Instant(40));
+        lease.record_grant(NodeId(9), Instant(90));
         assert_eq!(lease.until(&voters, 3), Instant(0));
-        lease.take(NodeId(3), Instant(30));
-        lease.take(NodeId(3), Instant(20));
+        lease.record_grant(NodeId(3), Instant(30));
+        lease.record_grant(NodeId(3), Instant(20));
         assert_eq!(lease.until(&voters, 3), Instant(30) + READ_LEASE);
     }
 }
--- a/crates/lease/tests/passed_over.rs
+++ b/crates/lease/tests/passed_over.rs
@@ -2,7 +2,7 @@
 //! share an outage of the core must go on. Played with the tail's own table of leases, for both kinds of bounds.
 
 use lease::prelude::*;
-use timing::prelude::{Bounds, PEER_ANSWER_LIMIT, renewal_span};
+use timing::prelude::{Bounds, PEER_ANSWER_LIMIT, renewal_interval};
 use units::prelude::*;
 
 const NODES: usize = 9;
@@ -118,7 +118,7 @@
                 node.watch.renew(now, now + self.timing.node_lease);
             }
             let jitter = Span::millis(self.draw.below(60));
-            self.nodes[number].next_renewal = now + renewal_span(self.timing.node_lease) + jitter;
+            self.nodes[number].next_renewal = now + renewal_interval(self.timing.node_lease) + jitter;
         }
     }
 
--- a/crates/lease/tests/slack.rs
+++ b/crates/lease/tests/slack.rs
@@ -31,6 +31,6 @@
     let mut leases = NodeLeases::with_timing(timing(), Edition(1), at(0));
     assert!(leases.renew(NodeId(1), Edition(1), Edition(0), at(4000)));
     assert_eq!(leases.advance_in_force(Edition(2), at(4001)), Edition(1));
-    leases.forget(NodeId(1));
+    leases.remove(NodeId(1));
     assert_eq!(leases.advance_in_force(Edition(2), at(4002)), Edition(2));
 }
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -84,13 +84,13 @@
         let (old_policies, new_policies) = (&earlier.state.desired.policies, &sight.state.desired.policies);
         let names = old_policies.keys().chain(new_policies.keys());
         for name in names.filter(|name| old_policies.get(*name) != new_policies.get(*name)) {
-            self.policies().forget(name);
+            self.policies().clear_policy(name);
         }
         let (before, after) = (&earlier.state.desired, &sight.state.desired);
         let share_moved = before.routing.trial_percent != after.routing.trial_percent;
         for tenant in before.trials.keys().chain(after.trials.keys()) {
             if share_moved || before.trials.get(tenant) != after.trials.get(tenant) {
-                self.policies().forget_tenant(tenant.as_str());
+                self.policies().clear_tenant(tenant.as_str());
             }
         }
         *self.sight.write().expect("no holder of this lock panics") = Arc::new(sight);
@@ -102,7 +102,7 @@
     }
 
     pub fn note_policy(&self, policy: &str, tenant: &TenantName, note: impl FnOnce(&mut TrafficMetrics)) {
-        note(self.policies().of(policy, tenant.as_str()));
+        note(self.policies().entry(policy, tenant.as_str()));
     }
 
     pub fn policy_metrics(&self) -> String {
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -251,7 +251,7 @@
             NodeDown::Membership(view) => self.hear_membership(view, now),
             NodeDown::Granted { sent, span, life, undisturbed } => {
                 self.last_granted = now;
-                self.renew_span = renewal_span(span);
+                self.renew_span = renewal_interval(span);
                 self.said_since = self.said_since.max(sent);
                 self.behind_since = None;
                 self.redirect = None;
--- a/crates/subscription/src/prelude.rs
+++ b/crates/subscription/src/prelude.rs
@@ -6,5 +6,5 @@
     DemandReport, FleetState, NodeDown, NodeUp, RouterAddress, Settled, Submission, View,
 };
 pub(crate) use serde::{Deserialize, Serialize};
-pub(crate) use timing::prelude::renewal_span;
+pub(crate) use timing::prelude::renewal_interval;
 pub(crate) use units::prelude::*;
--- a/crates/timing/src/derive.rs
+++ b/crates/timing/src/derive.rs
@@ -78,7 +78,7 @@
 }
 
 /// Between two renewals of a lease of that span.
-pub fn renewal_span(lease: Span) -> Span {
+pub fn renewal_interval(lease: Span) -> Span {
     Span(lease.0 / RENEWALS).min(LONGEST_RENEWAL)
 }
 
@@ -135,7 +135,7 @@
             node_lease,
             revoke_slack,
             unconfirmed_span: node_lease.min(silence + less(bounds.apply, APPLY_MARGIN)),
-            passed_over_span: less(silence, renewal_span(node_lease) + PEER_ANSWER_LIMIT),
+            passed_over_span: less(silence, renewal_interval(node_lease) + PEER_ANSWER_LIMIT),
             duty_lease: DUTY_LEASE,
             duty_gap: DUTY_LEASE + LEASE_MARGIN + bounds.lease + ORDER_MARGIN,
             replace_after: less(bounds.catch_up, REPLACE_MARGIN).max(SOONEST_REPLACEMENT),
--- a/crates/timing/tests/derivation.rs
+++ b/crates/timing/tests/derivation.rs
@@ -38,7 +38,7 @@
         }
     }
     let usual = Timing::derive(&Bounds { strict_revoke: false, ..Bounds::default() }).unwrap();
-    let renewals = renewal_span(usual.node_lease);
+    let renewals = renewal_interval(usual.node_lease);
     assert!(usual.passed_over_span > renewals, "an outage of the core passes over nobody");
 }
 
--- a/crates/view/src/voter.rs
+++ b/crates/view/src/voter.rs
@@ -46,7 +46,7 @@
 
 impl VoterState {
     /// A sealed voter has promised for the next view.
-    pub fn sealed(&self) -> bool {
+    pub fn is_sealed(&self) -> bool {
         self.promised.is_some()
     }
 
