--- a/crates/blocks/src/chunking.rs
+++ b/crates/blocks/src/chunking.rs
@@ -1,17 +1,22 @@
-//! Cutting a prompt into blocks. A token is taken as four bytes and a block as sixteen tokens; only
-//! whole blocks are named, and each name covers all that came before it.
+//! Splits a prompt into blocks and hashes them. A token is taken as four bytes and a block as sixteen tokens. Only
+//! whole blocks are hashed, and each hash covers the whole prefix up to the end of its block.
 
 use crate::prelude::*;
 
+/// Bytes of prompt text per token.
 pub const TOKEN_BYTES: usize = 4;
+/// Tokens per KV-cache block.
 pub const BLOCK_TOKENS: usize = 16;
+/// Bytes of prompt text per KV-cache block.
 pub const BLOCK_BYTES: usize = TOKEN_BYTES * BLOCK_TOKENS;
 
-/// What every block name is chained from; also what engines get as `cache_salt`.
+/// The root of a chain of block hashes; engines receive it as `cache_salt`. Blocks hashed under different salts never
+/// match.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Salt(pub String);
 
 impl Salt {
+    /// The salt for a model at a version of its weights, behind a wall at a version of that wall.
     pub fn for_model(model: &ModelName, weights: WeightsEdition, wall: WallId, wall_edition: WallEdition) -> Salt {
         let numbers = [weights.0.to_le_bytes(), wall.0.to_le_bytes(), wall_edition.0.to_le_bytes()];
         let salt_hash =
@@ -19,8 +24,8 @@
         Salt(format!("w{weights}.{salt_hash}"))
     }
 
-    /// The salt of what is made under an adapter: neither that of the bare model nor of another adapter or
-    /// revision. Without an adapter it is that of the bare model.
+    /// Derives the salt for an adapter. It differs from the base model's and from that of any other adapter or
+    /// revision. Without an adapter, the base model's salt is returned unchanged.
     pub fn with_adapter(self, adapter: Option<&AdapterId>) -> Salt {
         let Some(adapter) = adapter else { return self };
         let revision = adapter.revision.0.to_le_bytes();
@@ -30,19 +35,19 @@
     }
 }
 
-/// The names of a prompt's whole blocks, first to last.
+/// Hashes the whole blocks of a prompt, first to last.
 pub fn hash_blocks(salt: &Salt, prompt: &[u8]) -> Vec<BlockHash> {
     let mut parent_hash = BlockHash::of_parts(&[b"root", salt.0.as_bytes()]);
     prompt
         .chunks_exact(BLOCK_BYTES)
-        .map(|block_text| {
-            parent_hash = BlockHash::of_parts(&[&parent_hash.0.to_le_bytes(), block_text]);
+        .map(|block| {
+            parent_hash = BlockHash::of_parts(&[&parent_hash.0.to_le_bytes(), block]);
             parent_hash
         })
         .collect()
 }
 
-/// Blocks a prompt takes up, the last, partial one included.
+/// The number of blocks that a prompt occupies, including a partial last one.
 pub fn blocks_needed(prompt_bytes: usize) -> BlockCount {
     BlockCount(prompt_bytes.div_ceil(BLOCK_BYTES) as u64)
 }
@@ -52,11 +57,11 @@
     use crate::prelude::*;
 
     #[test]
-    fn any_part_of_the_salt_changes_every_name() {
+    fn every_part_of_the_salt_changes_every_hash() {
         let prompt = [b'x'; 3 * BLOCK_BYTES + 5];
-        let base_names =
+        let base_hashes =
             hash_blocks(&Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)), &prompt);
-        assert_eq!(base_names.len(), 3);
+        assert_eq!(base_hashes.len(), 3);
         let other_salts = [
             Salt::for_model(&"n".into(), WeightsEdition(1), WallId(0), WallEdition(0)),
             Salt::for_model(&"m".into(), WeightsEdition(2), WallId(0), WallEdition(0)),
@@ -69,8 +74,8 @@
         let adapted_salts = adapted.map(|adapter| base_salt.clone().with_adapter(Some(&adapter)));
         assert!(adapted_salts[0] != adapted_salts[1] && adapted_salts[0] != adapted_salts[2]);
         for other_salt in other_salts.into_iter().chain(adapted_salts) {
-            let other_names = hash_blocks(&other_salt, &prompt);
-            assert!(other_names.iter().all(|name| !base_names.contains(name)), "{other_salt:?}");
+            let other_hashes = hash_blocks(&other_salt, &prompt);
+            assert!(other_hashes.iter().all(|hash| !base_hashes.contains(hash)), "{other_salt:?}");
         }
     }
 }
--- a/crates/blocks/src/events.rs
+++ b/crates/blocks/src/events.rs
@@ -1,8 +1,9 @@
-//! Numbered news of kept memory, and the rule for following a source: in order, of one boot, without
-//! a gap. Anything else drops what the source told and asks for its snapshot.
+//! Numbered events about an engine's KV cache, and the position up to which a source's events were applied. Events
+//! must be of one boot and without a gap; otherwise the source's state is dropped and its snapshot is requested.
 
 use crate::prelude::*;
 
+/// A change to the set of blocks that an engine caches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheEvent {
     Stored(Vec<BlockHash>),
@@ -10,15 +11,19 @@
     AllCleared,
 }
 
+/// The position reached in a source's sequence of events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventCursor {
+    /// The source's boot; numbering starts anew with each.
     pub boot: String,
+    /// The number of the next event expected.
     pub next_number: u64,
 }
 
 impl EventCursor {
-    /// Takes a batch that starts with number `first_number`; answers the part that is new, or nothing
-    /// on a gap or another boot: what the source told is to be dropped and its snapshot taken.
+    /// Advances past a batch whose first event has the number `first_number`, and returns the events not seen before.
+    /// Returns `None` on a gap or a different boot: the caller must then drop the source's state and fetch its
+    /// snapshot.
     pub fn accept_batch<'a>(
         &mut self,
         boot: &str,
--- a/crates/blocks/src/lib.rs
+++ b/crates/blocks/src/lib.rs
@@ -1,6 +1,7 @@
-//! Kept blocks: how a prompt is cut and named, and the prefix tree of which engine keeps what. A
-//! block's name is chained from a salt of model, weights edition and wall, so a name made under other
-//! weights or behind another wall never matches.
+//! KV-cache blocks: how a prompt is split and hashed, and the index of which engine caches which blocks.
+//!
+//! Block hashes are chained from a salt of the model, the version of its weights and the wall (the cache isolation
+//! domain), so a hash computed for other weights or behind another wall never matches.
 
 pub mod prelude;
 
