--- a/crates/figures/src/histogram.rs
+++ b/crates/figures/src/histogram.rs
@@ -1,12 +1,16 @@
-//! A histogram of fixed buckets, so that those of many routers can be summed. Its bounds grow by about
-//! a fifth each; a quantile is read inside its bucket as if that were filled evenly.
+//! A histogram with fixed buckets, so that the histograms of many routers can be summed. Bucket bounds grow
+//! geometrically; quantiles are interpolated linearly within a bucket.
 
+/// The number of buckets, including the last, unbounded one.
 pub const BUCKETS: usize = 56;
+/// The ratio of each bucket's upper bound to the one before it.
 const GROWTH: f64 = 1.2;
+/// Standard deviations on each side of the mean that make up a 95 % confidence interval.
+const CONFIDENCE_95: f64 = 1.96;
+/// A quantile is estimated only if at least this many samples are expected on either side of it.
+const MIN_TAIL_SAMPLES: f64 = 10.0;
 
-/// Nineteen in twenty.
-const SPREAD: f64 = 1.96;
-
+/// Counts of values by bucket.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Histogram {
     counts: [u64; BUCKETS],
@@ -18,7 +22,7 @@
     }
 }
 
-/// A quantile and the interval in which it lies nineteen times in twenty.
+/// An estimated quantile and its 95 % confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quantile {
     pub value: f64,
@@ -27,67 +31,74 @@
 }
 
 impl Quantile {
-    /// Whether two quantiles surely are not the same.
+    /// Whether two quantiles differ significantly: their confidence intervals do not overlap.
     pub fn differs(&self, other: &Quantile) -> bool {
         self.low > other.high || self.high < other.low
     }
 }
 
-/// The upper bound of a bucket; the last one has none.
+/// The inclusive upper bound of a bucket. The last bucket is unbounded; its nominal bound limits interpolation only.
 pub fn bucket_upper_bound(bucket: usize) -> f64 {
     GROWTH.powi(bucket as i32)
 }
 
 impl Histogram {
+    /// Counts one value.
     pub fn add(&mut self, value: f64) {
         let bucket = (0..BUCKETS - 1).find(|bucket| value <= bucket_upper_bound(*bucket)).unwrap_or(BUCKETS - 1);
         self.counts[bucket] += 1;
     }
 
+    /// Adds the counts of another histogram.
     pub fn merge(&mut self, other: &Histogram) {
         for (own, theirs) in self.counts.iter_mut().zip(&other.counts) {
             *own += theirs;
         }
     }
 
+    /// The number of values counted.
     pub fn count(&self) -> u64 {
         self.counts.iter().sum()
     }
 
+    /// The counts by bucket.
     pub fn counts(&self) -> &[u64] {
         &self.counts
     }
 
+    /// Adds `count` values to a bucket. A bucket out of range is ignored.
     pub fn add_count(&mut self, bucket: usize, count: u64) {
         if let Some(own) = self.counts.get_mut(bucket) {
             *own += count;
         }
     }
 
+    /// The value at a rank, interpolated within its bucket.
     fn at_rank(&self, rank: f64) -> f64 {
-        let mut before = 0.0;
+        let mut cumulative = 0.0;
         for (bucket, count) in self.counts.iter().enumerate() {
             let count = *count as f64;
-            if count > 0.0 && before + count >= rank {
+            if count > 0.0 && cumulative + count >= rank {
                 let lower = if bucket == 0 { 0.0 } else { bucket_upper_bound(bucket - 1) };
-                let share = ((rank - before) / count).clamp(0.0, 1.0);
+                let share = ((rank - cumulative) / count).clamp(0.0, 1.0);
                 return lower + (bucket_upper_bound(bucket) - lower) * share;
             }
-            before += count;
+            cumulative += count;
         }
         bucket_upper_bound(BUCKETS - 1)
     }
 
-    /// A quantile, if enough was seen: at least ten values must lie beyond it on its thinner side.
+    /// Estimates a quantile, with `share` between 0 and 1. Returns `None` with fewer than ten samples expected beyond
+    /// it on its thinner side.
     pub fn quantile(&self, share: f64) -> Option<Quantile> {
         let count = self.count() as f64;
-        if count * share.min(1.0 - share) < 10.0 {
+        if count * share.min(1.0 - share) < MIN_TAIL_SAMPLES {
             return None;
         }
         let rank = count * share;
-        let spread = SPREAD * (count * share * (1.0 - share)).sqrt();
-        let low_rank = (rank - spread).max(0.0);
-        let high_rank = (rank + spread).min(count);
+        let half_width = CONFIDENCE_95 * (count * share * (1.0 - share)).sqrt();
+        let low_rank = (rank - half_width).max(0.0);
+        let high_rank = (rank + half_width).min(count);
         Some(Quantile { value: self.at_rank(rank), low: self.at_rank(low_rank), high: self.at_rank(high_rank) })
     }
 }
@@ -96,8 +107,8 @@
 mod tests {
     use crate::prelude::*;
 
-    /// Values drawn evenly from a range, the same each time.
-    fn drawn(seed: u64, count: u64, lowest: f64, highest: f64) -> Histogram {
+    /// A histogram of uniformly distributed values, reproducible from the seed.
+    fn uniform(seed: u64, count: u64, lowest: f64, highest: f64) -> Histogram {
         let mut histogram = Histogram::default();
         let mut state = seed;
         for _ in 0..count {
@@ -108,28 +119,28 @@
     }
 
     #[test]
-    fn quantiles_come_close_and_say_when_too_little_was_seen() {
-        let histogram = drawn(1, 4000, 0.0, 1000.0);
+    fn quantiles_are_accurate_and_absent_with_too_few_samples() {
+        let histogram = uniform(1, 4000, 0.0, 1000.0);
         for (share, expected) in [(0.5, 500.0), (0.9, 900.0), (0.99, 990.0)] {
             let quantile = histogram.quantile(share).unwrap();
             assert!((quantile.value - expected).abs() < expected * 0.1, "{share}: {quantile:?}");
             assert!(quantile.low <= quantile.value && quantile.value <= quantile.high);
         }
-        let few = drawn(1, 99, 0.0, 1000.0);
+        let few = uniform(1, 99, 0.0, 1000.0);
         assert!(few.quantile(0.5).is_some() && few.quantile(0.9).is_none() && few.quantile(0.99).is_none());
         assert_eq!(Histogram::default().quantile(0.5), None);
     }
 
     #[test]
-    fn the_same_behaviour_shows_no_difference_and_another_does() {
+    fn equal_distributions_do_not_differ_and_unequal_ones_do() {
         let mut false_alarms = 0;
         for seed in 0..100 {
-            let (left, right) = (drawn(seed, 400, 20.0, 300.0), drawn(seed + 1000, 400, 20.0, 300.0));
+            let (left, right) = (uniform(seed, 400, 20.0, 300.0), uniform(seed + 1000, 400, 20.0, 300.0));
             let (left, right) = (left.quantile(0.5).unwrap(), right.quantile(0.5).unwrap());
             false_alarms += u32::from(left.differs(&right));
-            let slower = drawn(seed + 2000, 400, 60.0, 400.0).quantile(0.5).unwrap();
+            let slower = uniform(seed + 2000, 400, 60.0, 400.0).quantile(0.5).unwrap();
             assert!(left.differs(&slower), "seed {seed}: {left:?} {slower:?}");
         }
-        assert!(false_alarms <= 2, "{false_alarms} of 100 equal pairs seemed to differ");
+        assert!(false_alarms <= 2, "{false_alarms} of 100 equal pairs were reported as different");
     }
 }
--- a/crates/figures/src/lib.rs
+++ b/crates/figures/src/lib.rs
@@ -1,6 +1,7 @@
-//! What live traffic shows of each policy and tenant: counts and histograms of fixed buckets, kept by
-//! each router, told as Prometheus text, read again and summed over routers; quantiles come with an
-//! interval, and with "too few requests" where they would say more than was seen.
+//! Live-traffic metrics per policy and tenant: counters and fixed-bucket histograms.
+//!
+//! Each router collects them and exposes them as Prometheus text, which is parsed again and summed over routers.
+//! Quantiles are estimated with a confidence interval, and only where there are enough samples.
 
 pub mod prelude;
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,6 +1,8 @@
-//! Policies: short rules that weigh reuse of kept memory against an engine's occupancy, compiled
-//! into a fixed table of weights. The cost formula itself stays a live computation, because its
-//! inputs (blocks lacking, blocks in work) are live numbers; the table only settles the weight.
+//! Routing policies: rules that weigh reuse of cached blocks against an engine's load, compiled into a table of
+//! weights.
+//!
+//! The table supplies only the weight. The cost itself is computed for each request, because its inputs (blocks not
+//! cached, blocks in work) change all the time.
 
 pub mod prelude;
 
--- a/crates/queues/src/lib.rs
+++ b/crates/queues/src/lib.rs
@@ -1,5 +1,5 @@
-//! Bounded queues and duty threads. A duty is a named thread; one that panics has met a broken
-//! invariant, and takes the process with it.
+//! Bounded queues, and named threads that abort the process when they panic: a panic means a broken invariant, and
+//! the other threads must not go on without the failed one.
 
 #![warn(missing_docs)]
 
--- a/crates/queues/src/prelude.rs
+++ b/crates/queues/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of others for queues.
+//! Re-exports the public items of this crate and the channel types they use.
 
 pub use crate::threads::*;
 pub use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError};
--- a/crates/queues/src/threads.rs
+++ b/crates/queues/src/threads.rs
@@ -1,13 +1,13 @@
-//! Rings and the threads they join.
+//! Bounded queues and the threads that they connect.
 
 use crate::prelude::*;
 
-/// A bounded ring.
-pub fn bounded_queue<T>(places: usize) -> (Sender<T>, Receiver<T>) {
-    crossbeam_channel::bounded(places)
+/// Creates a queue that holds at most `capacity` items.
+pub fn bounded_queue<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
+    crossbeam_channel::bounded(capacity)
 }
 
-/// Starts a named thread for a duty.
+/// Spawns a named thread. The process aborts if the thread panics or cannot be started.
 pub fn spawn_thread(name: &str, work: impl FnOnce() + Send + 'static) {
     let thread_name = name.to_owned();
     let guarded_work = move || {
@@ -22,16 +22,17 @@
     }
 }
 
-/// Drains what is waiting, after waiting at most `span` for the first; nothing if all senders left.
-pub fn receive_batch<T>(source: &Receiver<T>, span: std::time::Duration, most: usize) -> Option<Vec<T>> {
-    let first_item = match source.recv_timeout(span) {
+/// Receives up to `max` queued items, waiting at most `timeout` for the first. Returns an empty batch on a timeout,
+/// and `None` once the queue is empty and all senders are gone.
+pub fn receive_batch<T>(receiver: &Receiver<T>, timeout: std::time::Duration, max: usize) -> Option<Vec<T>> {
+    let first_item = match receiver.recv_timeout(timeout) {
         Ok(item) => item,
         Err(RecvTimeoutError::Timeout) => return Some(Vec::new()),
         Err(RecvTimeoutError::Disconnected) => return None,
     };
     let mut items = vec![first_item];
-    while items.len() < most
-        && let Ok(item) = source.try_recv()
+    while items.len() < max
+        && let Ok(item) = receiver.try_recv()
     {
         items.push(item);
     }
