--- a/crates/contract/src/engines.rs
+++ b/crates/contract/src/engines.rs
@@ -1,24 +1,25 @@
-//! Engines: completions, kept-memory events, orders, state.
+//! The interface to engines: completions, cache events, orders, state.
 
 use crate::prelude::*;
 
 pub const SHOT_HEADER: &str = "x-haremount-shot";
 pub const WEIGHTS_HEADER: &str = "x-haremount-weights";
-/// The adapter that a request runs on, and that an answer was made on, as `name@revision`; without it the
-/// bare model.
+/// The adapter to run a request with, or that an answer was produced with, as `name@revision`. Without this header,
+/// the base model is used.
 pub const ADAPTER_HEADER: &str = "x-haremount-adapter";
-/// The error type with which an engine refuses a request, without having begun it, because it does not hold
-/// that adapter in that revision.
+/// The error type with which an engine rejects a request, before starting it, because it has not loaded that revision
+/// of the adapter.
 pub const ADAPTER_NOT_RESIDENT: &str = "adapter_not_resident";
-/// How long the attempt may be worked on, in milliseconds; the engine ends it then, unless more was allowed
-/// meanwhile by a `POST` to [`attempt_limit_path`].
+/// How long the engine may work on the attempt, in milliseconds. It aborts the attempt after that, unless the limit
+/// was extended by a `POST` to [`attempt_limit_path`].
 pub const LIMIT_HEADER: &str = "x-haremount-limit-ms";
 
-/// Where an attempt under way is allowed more time, from that call on.
+/// The path to `POST` to in order to extend the time limit of a running attempt, counted from that call.
 pub fn attempt_limit_path(attempt: &str) -> String {
     format!("/v1/shots/{attempt}/limit")
 }
 
+/// A completion request to an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineRequest {
     pub model: String,
@@ -26,50 +27,52 @@
     pub max_tokens: u64,
     pub stream: bool,
     pub cache_salt: String,
-    /// Kept blocks of this prompt to be fetched before prefill, run after run.
+    /// Cached blocks of this prompt to fetch before prefill, in order of their position in the prompt.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub fetch: Vec<FetchOrder>,
 }
 
+/// Consecutive blocks to fetch from one peer or from the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FetchOrder {
     pub address: String,
     pub block_hashes: Vec<String>,
 }
 
-/// What a peer or the store answers: how many of the asked blocks, from the first on, it keeps.
+/// The answer of a peer or of the store: how many of the requested blocks, counted from the first, it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FoundBlocks {
     pub found: u64,
 }
 
-/// Blocks asked for, or put into the store.
+/// The hashes of blocks that are requested, or put into the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BlockHashList {
     pub block_hashes: Vec<String>,
 }
 
-/// A prompt to be prefilled only, in a split pool.
+/// A prompt to be prefilled only, in a pool with separate prefill and decode engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PrefillRequest {
     pub prompt: String,
     pub cache_salt: String,
 }
 
-/// One streamed piece, or with `finish_reason` set the last; also the shape of a whole answer.
+/// One piece of a streamed answer, the last one with `finish_reason` set; also the format of an unstreamed answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Completion {
     pub id: String,
     pub object: String,
     pub model: String,
     pub choices: Vec<Choice>,
-    /// The adapter it was made on, as `name@revision`; none for the bare model.
+    /// The adapter that produced it, as `name@revision`; `None` for the base model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
+/// The text of a completion or of one streamed piece.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
     pub index: u64,
@@ -77,20 +80,22 @@
     pub finish_reason: Option<String>,
 }
 
+/// Token counts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     pub prompt_tokens: u64,
     pub completion_tokens: u64,
-    /// Prompt tokens served from kept memory.
+    /// Prompt tokens served from the cache.
     pub cached_tokens: u64,
     /// Of those, tokens fetched from a peer or the store for this request.
     #[serde(default)]
     pub fetched_tokens: u64,
 }
 
+/// The data of the event that ends a stream.
 pub const STREAM_END: &str = "[DONE]";
 
-/// A batch of numbered events.
+/// A batch of consecutively numbered cache events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EventBatch {
     pub boot: String,
@@ -99,6 +104,7 @@
     pub events: Vec<EngineEvent>,
 }
 
+/// A change to the blocks that an engine caches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type")]
 pub enum EngineEvent {
@@ -108,6 +114,7 @@
 }
 
 impl EngineEvent {
+    /// Converts from the internal form.
     pub fn from_cache_event(event: &CacheEvent) -> EngineEvent {
         match event {
             CacheEvent::Stored(names) => EngineEvent::BlockStored { block_hashes: format_hashes(names) },
@@ -116,6 +123,7 @@
         }
     }
 
+    /// Converts to the internal form. Returns `None` if a hash is malformed.
     pub fn read(&self) -> Option<CacheEvent> {
         match self {
             EngineEvent::BlockStored { block_hashes } => parse_hashes(block_hashes).map(CacheEvent::Stored),
@@ -125,14 +133,17 @@
     }
 }
 
+/// Formats block hashes as they are written in JSON.
 pub fn format_hashes(names: &[BlockHash]) -> Vec<String> {
     names.iter().map(BlockHash::to_string).collect()
 }
 
+/// Parses block hashes. Returns `None` if one is malformed.
 pub fn parse_hashes(texts: &[String]) -> Option<Vec<BlockHash>> {
     texts.iter().map(|text| text.parse().ok()).collect()
 }
 
+/// All blocks that an engine caches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CacheSnapshot {
     pub boot: String,
@@ -141,6 +152,7 @@
     pub block_hashes: Vec<String>,
 }
 
+/// An engine's report of its own state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineState {
     pub boot: String,
@@ -149,15 +161,15 @@
     pub running: u64,
     pub accepting: bool,
     pub highest_term: u64,
-    /// The adapters it holds, as `name@revision`.
+    /// The loaded adapters, as `name@revision`.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// How many adapters it can hold.
+    /// The maximum number of loaded adapters.
     #[serde(default)]
     pub adapter_places: u64,
 }
 
-/// An order of the conductor; an engine refuses a term lower than the highest it has seen.
+/// An order from the conductor. As fencing, an engine rejects a term lower than the highest it has seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineOrder {
     pub term: u64,
@@ -166,6 +178,7 @@
     pub wish: EngineOrderAction,
 }
 
+/// What an order asks the engine to do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum EngineOrderAction {
@@ -174,29 +187,27 @@
     LoadWeights {
         weights: u64,
     },
-    /// Hold this adapter, as `name@revision`, in a place that is free; the engine goes on serving.
+    /// Load this adapter, given as `name@revision`, into a free slot while the engine continues to serve.
     LoadAdapter {
         adapter: String,
     },
-    /// Hold this adapter no more; refused while a request runs on it.
+    /// Unload this adapter. Rejected while a request is using it.
     UnloadAdapter {
         adapter: String,
     },
 }
 
-/// What an engine logs for whoever judges a run; instants are boot-time milliseconds.
+/// A line of an engine's log, from which test runs are checked. Times are boot-time milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
 pub enum EngineLogLine {
+    /// An attempt was started.
     Start(StartLine),
-    /// A prompt is prefilled for an attempt that another engine decodes.
+    /// A prompt was prefilled for an attempt that another engine decodes.
     Prefill(StartLine),
-    /// Kept blocks were asked for, for a prompt that another engine serves.
-    Asked {
-        at: u64,
-        engine: String,
-    },
-    /// The work on an attempt is over: whole, or ended before that.
+    /// Cached blocks were requested for a prompt that another engine serves.
+    Asked { at: u64, engine: String },
+    /// Work on an attempt ended, either complete or aborted.
     End {
         at: u64,
         engine: String,
@@ -205,16 +216,11 @@
         pieces: u64,
         whole: bool,
     },
-    Order {
-        at: u64,
-        engine: String,
-        holder: String,
-        term: u64,
-        taken: bool,
-        order: String,
-    },
+    /// An order was received.
+    Order { at: u64, engine: String, holder: String, term: u64, taken: bool, order: String },
 }
 
+/// The start of an attempt, or of the prefill for one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartLine {
     pub at: u64,
@@ -223,14 +229,14 @@
     pub attempt: String,
     pub salt: String,
     pub weights: u64,
-    /// The adapter it runs on, as `name@revision`; empty for the bare model.
+    /// The adapter in use, as `name@revision`; empty for the base model.
     #[serde(default)]
     pub adapter: String,
     pub prompt_blocks: u64,
     pub cached_blocks: u64,
 }
 
-/// A completion request as it reached an engine, whether it ran or not, for tests that look at it.
+/// A completion request as received by an engine, whether or not it was run. For tests that inspect it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReceivedLine {
     pub engine: String,
@@ -239,17 +245,17 @@
     pub request: EngineRequest,
 }
 
-/// What the stand-in engine says as piece `place` of a run: any reader can tell whether a piece
-/// belongs to this prompt, this attempt and this place.
-pub fn stand_in_piece(prompt: &str, attempt: &str, place: u64) -> String {
-    let piece_hash = BlockHash::of_parts(&[b"piece", prompt.as_bytes(), attempt.as_bytes(), &place.to_le_bytes()]);
+/// The text that the stand-in engine generates as piece `index` of an answer. It is a function of prompt, attempt and
+/// index, so a test can verify that a piece belongs to all three.
+pub fn stand_in_piece(prompt: &str, attempt: &str, index: u64) -> String {
+    let piece_hash = BlockHash::of_parts(&[b"piece", prompt.as_bytes(), attempt.as_bytes(), &index.to_le_bytes()]);
     format!("{:06x} ", piece_hash.0 & 0xff_ffff)
 }
 
-/// The same under an adapter: any reader can tell which adapter and revision a piece was made on.
-pub fn stand_in_piece_with_adapter(adapter: &str, prompt: &str, attempt: &str, place: u64) -> String {
+/// Like [`stand_in_piece`], but the text also depends on the adapter and its revision (empty for the base model).
+pub fn stand_in_piece_with_adapter(adapter: &str, prompt: &str, attempt: &str, index: u64) -> String {
     match adapter {
-        "" => stand_in_piece(prompt, attempt, place),
-        adapter => stand_in_piece(&format!("{adapter}\n{prompt}"), attempt, place),
+        "" => stand_in_piece(prompt, attempt, index),
+        adapter => stand_in_piece(&format!("{adapter}\n{prompt}"), attempt, index),
     }
 }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,5 +1,5 @@
-//! The shapes met outside: callers' requests, engines' events and orders, the platform's listing. The
-//! stand-ins and the daemons read and write the same ones; docs/contract.md tells them in words.
+//! The types of the external interfaces: callers' requests, engines' events and orders, the platform's listing. The
+//! stand-ins and the daemons share them; docs/contract.md describes them.
 
 pub mod prelude;
 
--- a/crates/contract/src/requests.rs
+++ b/crates/contract/src/requests.rs
@@ -1,26 +1,28 @@
-//! Callers' requests: OpenAI's completion shapes with a few fields of our own, and bounds.
+//! Callers' requests: OpenAI's completion and chat formats with a few additional fields.
 
 use crate::prelude::*;
 
+/// The maximum size of a request body.
 pub const MAX_REQUEST_BYTES: usize = 4 << 20;
 pub const RUN_HEADER: &str = "x-haremount-run";
 pub const OUTCOME_HEADER: &str = "x-haremount-outcome";
 
+/// The body of a completion or chat request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerRequest {
     pub model: String,
-    /// Of the completion form.
+    /// Set in a completion request.
     pub prompt: Option<String>,
-    /// Of the chat form.
+    /// Set in a chat request.
     pub messages: Option<Vec<ChatMessage>>,
     pub max_tokens: Option<u64>,
     pub stream: bool,
-    /// What sort of request this is, one of the desired state's kinds.
+    /// The request kind, one of those declared in the desired state.
     pub kind: Option<String>,
     pub repeatable: bool,
     pub limit_ms: Option<u64>,
-    /// Taken and passed over: fields that common clients send.
+    // The fields from here on are accepted because common clients send them, and ignored.
     pub temperature: Option<f64>,
     pub top_p: Option<f64>,
     pub n: Option<u64>,
@@ -29,6 +31,7 @@
     pub seed: Option<i64>,
 }
 
+/// A message of a chat request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatMessage {
     pub role: String,
@@ -36,10 +39,10 @@
 }
 
 impl CallerRequest {
-    /// The prompt as engines get it.
+    /// The prompt text that is sent to engines. Chat messages are concatenated, each preceded by its role.
     pub fn prompt_text(&self) -> Result<String, String> {
         match (&self.prompt, &self.messages) {
-            (Some(_), Some(_)) => Err("prompt and messages exclude each other".into()),
+            (Some(_), Some(_)) => Err("prompt and messages are mutually exclusive".into()),
             (Some(prompt), None) => Ok(prompt.clone()),
             (None, Some(messages)) if !messages.is_empty() => {
                 Ok(messages.iter().map(|message| format!("<{}>{}\n", message.role, message.content)).collect())
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,23 +1,25 @@
-//! Frames: four bytes of length, little end first, then the body.
+//! Frames: a little-endian 32-bit length, then a MessagePack body.
 
 use crate::prelude::*;
 
-/// The number of this wire format; a process that speaks another is refused with both named.
+/// The number of this wire format. A peer with another format is rejected with an error that names both.
 pub const FORMAT: u64 = 7;
+/// The maximum length of a frame's body.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
 const MAGIC: [u8; 4] = *b"HARE";
 
-/// The first frame on every stream, both ways.
+/// The first frame in each direction of every stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     pub magic: [u8; 4],
     pub format: u64,
-    /// Zero while the speaker belongs to no fleet yet.
+    /// Zero while the sender belongs to no fleet yet.
     pub fleet: FleetId,
     pub speaker: NodeId,
     pub purpose: Purpose,
 }
 
+/// The kind of process that opened a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
     Keeper,
@@ -26,10 +28,12 @@
 }
 
 impl Hello {
+    /// A hello in this program's format.
     pub fn new(fleet: FleetId, speaker: NodeId, purpose: Purpose) -> Hello {
         Hello { magic: MAGIC, format: FORMAT, fleet, speaker, purpose }
     }
 
+    /// Verifies that the peer uses this protocol and format.
     pub fn check(&self) -> Result<(), String> {
         if self.magic != MAGIC {
             return Err("not a haremount stream".into());
@@ -41,17 +45,18 @@
     }
 }
 
-/// What a keeper is told: by other keepers and by agents.
+/// A message received by a keeper, from another keeper or from an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Inbound {
     Core(Envelope),
     Node(NodeUp),
 }
 
+/// Encodes a message as a frame. Fails if the body exceeds [`MAX_FRAME_BYTES`].
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, String> {
     let body = rmp_serde::to_vec_named(message).map_err(|fault| fault.to_string())?;
     if body.len() > MAX_FRAME_BYTES {
-        return Err(format!("frame of {} bytes, at most {MAX_FRAME_BYTES}", body.len()));
+        return Err(format!("frame body of {} bytes exceeds the maximum of {MAX_FRAME_BYTES}", body.len()));
     }
     let mut frame = Vec::with_capacity(body.len() + 4);
     frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -59,18 +64,20 @@
     Ok(frame)
 }
 
+/// Encodes a message and writes it to a stream.
 pub fn write_frame<T: Serialize>(stream: &mut impl Write, message: &T) -> Result<(), String> {
     let frame = encode(message)?;
     stream.write_all(&frame).map_err(|fault| fault.to_string())
 }
 
-/// Reads one frame. The body's buffer grows with what arrives, not with what the length claims.
+/// Reads one frame. The body's buffer grows with the bytes received, so a false length prefix cannot force a large
+/// allocation.
 pub fn read_frame<T: DeserializeOwned>(stream: &mut impl Read) -> Result<T, String> {
     let mut length_bytes = [0u8; 4];
     stream.read_exact(&mut length_bytes).map_err(|fault| fault.to_string())?;
     let length = u32::from_le_bytes(length_bytes) as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(format!("frame length {length}, at most {MAX_FRAME_BYTES}"));
+        return Err(format!("frame length {length} exceeds the maximum of {MAX_FRAME_BYTES}"));
     }
     let mut body = Vec::new();
     let read_count = stream.take(length as u64).read_to_end(&mut body).map_err(|fault| fault.to_string())?;
@@ -85,7 +92,7 @@
     use crate::prelude::*;
 
     #[test]
-    fn bad_frames_are_refused_by_name() {
+    fn malformed_frames_are_rejected_with_a_reason() {
         let huge_length = [0xffu8, 0xff, 0xff, 0x7f];
         assert!(read_frame::<Hello>(&mut &huge_length[..]).unwrap_err().starts_with("frame length"));
         let mut short_frame = encode(&Hello::new(FleetId(1), NodeId(2), Purpose::Agent)).unwrap();
@@ -98,7 +105,7 @@
     }
 
     #[test]
-    fn core_messages_survive_the_wire() {
+    fn core_messages_round_trip() {
         let message = CoreMessage::Retired { view: ViewNumber(3) };
         let frame = encode(&message).unwrap();
         assert_eq!(read_frame::<CoreMessage>(&mut &frame[..]).unwrap(), message);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What goes over haremount's own streams: a hello that names format and fleet, then frames of
-//! `rmp-serde`, each preceded by its length.
+//! The wire protocol between haremount's processes: a hello that states format and fleet, followed by length-prefixed
+//! MessagePack frames.
 
 pub mod prelude;
 
