--- a/crates/contract/src/engines.rs
+++ b/crates/contract/src/engines.rs
@@ -2,7 +2,9 @@
 
 use crate::prelude::*;
 
-pub const SHOT_HEADER: &str = "x-haremount-shot";
+/// The id of the attempt that a request makes.
+pub const ATTEMPT_HEADER: &str = "x-haremount-shot";
+/// The weights edition that a request must run on, or that an answer was produced with.
 pub const WEIGHTS_HEADER: &str = "x-haremount-weights";
 /// The adapter to run a request with, or that an answer was produced with, as `name@revision`. Without this header,
 /// the base model is used.
--- a/crates/engine/src/completion.rs
+++ b/crates/engine/src/completion.rs
@@ -39,7 +39,7 @@
 impl EngineSite {
     /// Completes a prompt, whole or as a stream of pieces.
     pub(crate) async fn complete(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
-        let attempt = asked.header(SHOT_HEADER).unwrap_or("").to_owned();
+        let attempt = asked.header(ATTEMPT_HEADER).unwrap_or("").to_owned();
         let limit = limit_of(&asked);
         let asked_weights = weights_of(&asked);
         let Ok(adapter) = adapter_of(&asked) else { return bad_adapter() };
@@ -83,7 +83,7 @@
 
     fn stream(self: Arc<Self>, work: Work, admitted: Admitted) -> WebOutcome {
         let (pieces, answered) = outcome_pieces(StatusCode::OK, "text/event-stream", PIECE_PLACES);
-        let answered = name_adapter(answered.with_header(SHOT_HEADER, &work.told_attempt), &work.told_adapter);
+        let answered = name_adapter(answered.with_header(ATTEMPT_HEADER, &work.told_attempt), &work.told_adapter);
         tokio::spawn(async move {
             let (running, time_over) = self.begin(admitted);
             tokio::select! {
@@ -109,7 +109,8 @@
         let whole_text: String = (0..work.request.max_tokens).map(|place| work.piece_text(place)).collect();
         drop(running);
         let completion = self.completion(&work, whole_text, Some(work.usage(fetched_blocks)));
-        let answered = outcome_json(StatusCode::OK, &json!(completion)).with_header(SHOT_HEADER, &work.told_attempt);
+        let answered =
+            outcome_json(StatusCode::OK, &json!(completion)).with_header(ATTEMPT_HEADER, &work.told_attempt);
         name_adapter(answered, &work.told_adapter)
     }
 
@@ -161,7 +162,7 @@
 
     /// Prefills a prompt and keeps its blocks, for another engine to fetch and decode.
     pub(crate) async fn prefill_only(&self, mut asked: Asked) -> WebOutcome {
-        let attempt = asked.header(SHOT_HEADER).unwrap_or("").to_owned();
+        let attempt = asked.header(ATTEMPT_HEADER).unwrap_or("").to_owned();
         let limit = limit_of(&asked);
         let asked_weights = weights_of(&asked);
         let Ok(adapter) = adapter_of(&asked) else { return bad_adapter() };
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -148,7 +148,7 @@
         attempt.allowing =
             Some(Allowing::begin(shared, &attempt.placement.address, &attempt_name, plan.limit, allowance));
         let question = Question::with_json(Method::POST, "/v1/completions", &json!(engine_request))
-            .header(SHOT_HEADER, attempt_name)
+            .header(ATTEMPT_HEADER, attempt_name)
             .header(WEIGHTS_HEADER, ground.weights.to_string())
             .header(LIMIT_HEADER, allowed_ms.to_string());
         let question = name_adapter(question, ground.adapter.as_ref());
