--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -1,7 +1,9 @@
-//! The log that runs along the chain of keepers. Records are numbered by the head and carry the view
-//! they were made in, so that two logs with an equal mark are equal up to it. A member that is not
-//! aligned with the one before it in the present view is first brought level: by the records after
-//! its own mark if that mark is known there, by a whole snapshot if not.
+//! The log replicated along the chain of keepers.
+//!
+//! The head numbers the records, and each record carries the view it was created in, so two logs that contain the
+//! same position are equal up to it. A member that is not aligned with its predecessor in the current view first
+//! catches up: with the records after its own last position if the predecessor's log contains that position,
+//! otherwise with a full snapshot.
 
 pub mod prelude;
 
--- a/crates/chain/src/messages.rs
+++ b/crates/chain/src/messages.rs
@@ -1,48 +1,32 @@
-//! What chain members say to each other.
+//! The messages between neighbouring members of the chain.
 
 use crate::prelude::*;
 
+/// A numbered entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     pub mark: LogPosition,
     pub submission: Submission,
 }
 
+/// Replication messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ChainMessage {
-    /// New records for the member after the sender.
-    Append {
-        view: ViewNumber,
-        previous: LogPosition,
-        records: Vec<Record>,
-    },
-    /// "My log ends here; bring me level." The nonce ties the answer to this asking.
-    Have {
-        view: ViewNumber,
-        last: LogPosition,
-        nonce: u64,
-    },
-    Level {
-        view: ViewNumber,
-        nonce: u64,
-        previous: LogPosition,
-        records: Vec<Record>,
-        ages: CommitAges,
-    },
-    Snapshot {
-        view: ViewNumber,
-        nonce: u64,
-        mark: LogPosition,
-        state: Box<FleetState>,
-        ages: CommitAges,
-    },
+    /// New records, sent to the successor.
+    Append { view: ViewNumber, previous: LogPosition, records: Vec<Record> },
+    /// Asks the predecessor for everything after the end of the sender's log. The reply carries the same nonce.
+    Have { view: ViewNumber, last: LogPosition, nonce: u64 },
+    /// The reply to `Have` with the missing records.
+    Level { view: ViewNumber, nonce: u64, previous: LogPosition, records: Vec<Record>, ages: CommitAges },
+    /// The reply to `Have` with the full state, if the predecessor's log does not contain the position asked from.
+    Snapshot { view: ViewNumber, nonce: u64, mark: LogPosition, state: Box<FleetState>, ages: CommitAges },
 }
 
-/// How long ago things were committed at the most, when the message was sent. What is not named may be of
-/// any age.
+/// Upper bounds on the time since commit, as of sending the message. Nothing is known about the age of what is not
+/// listed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommitAges {
     pub records: Vec<(Edition, Span)>,
-    /// Weights that newer ones have replaced, and how long ago.
+    /// Superseded weights, and the time since they were superseded.
     pub gave_way: Vec<(ModelName, WeightsEdition, Span)>,
 }
--- a/crates/view/src/campaign.rs
+++ b/crates/view/src/campaign.rs
@@ -1,7 +1,8 @@
-//! One proposer's try at deciding the next view.
+//! A proposer's attempt, under one ballot, to have the next view decided.
 
 use crate::prelude::*;
 
+/// The promises and acceptances gathered for one ballot.
 #[derive(Clone, Debug)]
 pub struct Campaign {
     pub next: ViewNumber,
@@ -12,7 +13,7 @@
     proposal: Option<View>,
 }
 
-/// What a voter said with its promise.
+/// A voter's promise: the proposal it accepted before, if any, and the end of its log.
 #[derive(Clone, Debug)]
 struct Promise {
     accepted: Option<(Ballot, View)>,
@@ -20,16 +21,17 @@
 }
 
 impl Campaign {
+    /// Starts an attempt to decide view `next`.
     pub fn new(next: ViewNumber, ballot: Ballot, started: Instant) -> Campaign {
         Campaign { next, ballot, started, promises: BTreeMap::new(), acceptances: BTreeSet::new(), proposal: None }
     }
 
-    /// The voters that promised, and where their logs end.
+    /// The voters that have promised, with the ends of their logs.
     pub fn promised(&self) -> BTreeMap<NodeId, LogPosition> {
         self.promises.iter().map(|(voter, promise)| (*voter, promise.last)).collect()
     }
 
-    /// Whether a majority has promised and nothing was proposed yet.
+    /// Records a promise. Returns whether a majority has promised and nothing has been proposed yet.
     pub fn record_promise(
         &mut self,
         present: &View,
@@ -43,7 +45,8 @@
         self.proposal.is_none() && self.promises.len() >= present.majority()
     }
 
-    /// The view some voter already accepted under the highest ballot: it must be proposed again.
+    /// Of the views already accepted by voters, the one with the highest ballot. It may have been decided, so it must
+    /// be proposed again.
     pub fn highest_accepted_view(&self) -> Option<View> {
         self.promises
             .values()
@@ -52,11 +55,12 @@
             .map(|(_, accepted_view)| accepted_view.clone())
     }
 
+    /// Sets the view to propose.
     pub fn propose(&mut self, view: View) {
         self.proposal = Some(view);
     }
 
-    /// The decided view, once a majority has accepted the proposal.
+    /// Records an acceptance. Returns the decided view once a majority has accepted the proposal.
     pub fn record_acceptance(&mut self, present: &View, voter: NodeId) -> Option<View> {
         if present.is_voter(voter) {
             self.acceptances.insert(voter);
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -1,6 +1,7 @@
-//! The agreed view of the core: who stands in the chain and in what order, and who votes. View n+1 is
-//! decided by a majority of the voters of view n, each view by a vote of its own (single-decree, with
-//! ballots). A voter that promised for the next view takes no more part in the present one.
+//! The core's membership view: the members of the replication chain in order, and the voters.
+//!
+//! View n+1 is decided by a majority of the voters of view n, each view by its own instance of single-decree Paxos. A
+//! voter that has promised for the next view no longer takes part in the current one.
 
 pub mod prelude;
 
--- a/crates/view/src/voter.rs
+++ b/crates/view/src/voter.rs
@@ -1,27 +1,30 @@
-//! One voter's part in deciding the view after the present one. What it promises and accepts must be
-//! on disk before its reply leaves.
+//! The voter's (acceptor's) part in deciding the next view. Promises and acceptances must be durable before the reply
+//! is sent.
 
 use crate::prelude::*;
 
+/// A ballot number, ordered by round and then by proposer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
     pub proposer: NodeId,
 }
 
+/// A voter's durable state for the decision on the next view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterState {
     pub promised: Option<Ballot>,
     pub accepted: Option<(Ballot, View)>,
 }
 
+/// Messages between proposers and voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ViewMessage {
     Prepare {
         next: ViewNumber,
         ballot: Ballot,
     },
-    /// `last` is where the voter's log ends; in the chain's view it grows no more.
+    /// `last` is the end of the voter's log, which no longer grows in the current view.
     Promise {
         next: ViewNumber,
         ballot: Ballot,
@@ -37,6 +40,7 @@
         next: ViewNumber,
         ballot: Ballot,
     },
+    /// Rejects a ballot because a higher one was promised.
     Outbid {
         next: ViewNumber,
         promised: Ballot,
@@ -45,12 +49,13 @@
 }
 
 impl VoterState {
-    /// A sealed voter has promised for the next view.
+    /// Whether the voter has promised for the next view, which seals its log in the current one.
     pub fn is_sealed(&self) -> bool {
         self.promised.is_some()
     }
 
-    /// Answers what was accepted before, or the ballot this one is too low for.
+    /// Promises to ignore lower ballots. Returns the proposal accepted before, if any, or the higher ballot already
+    /// promised as the error.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<Option<(Ballot, View)>, Ballot> {
         if let Some(promised) = self.promised.filter(|promised| *promised > ballot) {
             return Err(promised);
@@ -59,6 +64,7 @@
         Ok(self.accepted.clone())
     }
 
+    /// Accepts a proposal, unless a higher ballot was promised; then that ballot is returned as the error.
     pub fn accept(&mut self, ballot: Ballot, view: View) -> Result<(), Ballot> {
         if let Some(promised) = self.promised.filter(|promised| *promised > ballot) {
             return Err(promised);
--- a/crates/view/tests/tolerance.rs
+++ b/crates/view/tests/tolerance.rs
@@ -1,4 +1,4 @@
-//! How long a chain must be to take writes.
+//! The minimum chain length for taking writes, by number of voters and tolerated disk losses.
 
 use units::prelude::*;
 use view::prelude::*;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn as_many_lost_disks_as_are_tolerated_lose_no_record() {
+fn the_chain_outlasts_the_tolerated_disk_losses() {
     for (voters, tolerance, least) in [(4, 1, 2), (3, 1, 2), (5, 2, 3), (4, 2, 3), (1, 0, 1), (3, 0, 2), (2, 0, 1)] {
         assert_eq!(
             view(voters, voters, tolerance).min_chain_length(),
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_chain_of_one_takes_writes_only_where_no_loss_is_tolerated() {
+fn a_chain_of_one_takes_writes_only_at_tolerance_zero() {
     assert!(view(1, 1, 0).accepts_writes());
     assert!(!view(1, 1, 1).accepts_writes());
     assert!(!View::default().accepts_writes());
