--- a/crates/timing/src/bounds.rs
+++ b/crates/timing/src/bounds.rs
@@ -1,45 +1,46 @@
-//! What a deployment promises, as its settings state it.
+//! The guarantees of a deployment, as configured in its settings.
 
 use crate::prelude::*;
 
+/// Upper and lower bounds that a deployment guarantees.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How late the operators' list of doors is.
+    /// The maximum lag of the operators' list of core addresses.
     pub seed_lag: Span,
-    /// After its end, an engine's address may go to another service after this.
+    /// The time after an engine's end from which its address may be reused by another service.
     pub reuse_after: Span,
-    /// A machine undisturbed for so long is bound by the rules about time.
+    /// The time bounds apply to a machine that has been undisturbed for this long.
     pub contact: Span,
-    /// A proper change is acknowledged within this.
+    /// The maximum time until a valid change is acknowledged.
     pub ack: Span,
-    /// A machine that is back counts as lost for this much longer.
+    /// How long a machine still counts as lost after it is back.
     pub catch_up: Span,
-    /// From the listing of an engine as leaving to the last request that reaches it.
+    /// The maximum time from the listing of an engine as leaving to the last request that reaches it.
     pub drain: Span,
-    /// From the signal to stop to the end of the process.
+    /// The maximum time from the stop signal to the end of the process.
     pub grace: Span,
     pub loss_slack: Span,
-    /// From the acknowledgement of a change to its being in force everywhere.
+    /// The maximum time from the acknowledgement of a change until it is in force everywhere.
     pub apply: Span,
     pub revert_slack: Span,
     pub stretch: Span,
-    /// Whether the bound of a withdrawn key holds for every machine.
+    /// Whether `revoke` holds for every machine, including those out of contact with the core.
     pub strict_revoke: bool,
-    /// From the acknowledgement of a key's withdrawal to the last request that runs under it.
+    /// The maximum time from the acknowledged revocation of a key to the last request that runs under it.
     pub revoke: Span,
-    /// Further attempts: so many for each request, over a window, and so many besides.
+    /// The retry budget: retries allowed per request within `retry_window`, plus `retry_slack`.
     pub retry_ratio: f64,
     pub retry_window: Span,
     pub retry_slack: f64,
     pub recovery: Span,
-    /// An event of a stream reaches the caller within this.
+    /// The maximum time for an event of a stream to reach the caller.
     pub transit: Span,
-    /// Whether engines refuse an order whose fence is lower than one seen.
+    /// Whether engines reject an order with a fencing token lower than the highest seen.
     pub fence_checked: bool,
-    /// The least gap between orders of two holders.
+    /// The minimum gap between the orders of two successive holders of a duty.
     pub lease: Span,
     pub thaw: Span,
-    /// From the acknowledgement of new weights to the last request on older ones.
+    /// The maximum time from the acknowledgement of new weights to the last request on older ones.
     pub version: Span,
 }
 
--- a/crates/timing/src/lib.rs
+++ b/crates/timing/src/lib.rs
@@ -1,5 +1,7 @@
-//! Every lease, wait and gap that follows from what a deployment promises its users. The bounds come with
-//! the settings; the spans are derived here and nowhere else, and an impossible set is refused.
+//! Derives all lease durations, waits and gaps from the bounds that a deployment guarantees to its users.
+//!
+//! The bounds are part of the settings. The durations are derived only here, and bounds that cannot be met together
+//! are rejected.
 
 pub mod prelude;
 
--- a/crates/timing/src/prelude.rs
+++ b/crates/timing/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files.
+//! Re-exports the public items of this crate, together with the external items its modules use.
 
 pub use crate::bounds::*;
 pub use crate::derive::*;
--- a/crates/timing/tests/derivation.rs
+++ b/crates/timing/tests/derivation.rs
@@ -1,4 +1,4 @@
-//! Spans from bounds: what follows, and which sets cannot be kept to.
+//! Durations derived from bounds, and bounds that cannot be met.
 
 use timing::prelude::*;
 use units::prelude::*;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn without_strict_revocation_a_silent_node_is_waited_for_shortly() {
+fn without_strict_revocation_the_wait_for_a_silent_node_is_short() {
     let bounds = Bounds { strict_revoke: false, ..Bounds::default() };
     let timing = Timing::derive(&bounds).unwrap();
     assert!(timing.node_lease > Span::seconds(10));
@@ -39,11 +39,11 @@
     }
     let usual = Timing::derive(&Bounds { strict_revoke: false, ..Bounds::default() }).unwrap();
     let renewals = renewal_interval(usual.node_lease);
-    assert!(usual.passed_over_span > renewals, "an outage of the core passes over nobody");
+    assert!(usual.passed_over_span > renewals, "an outage of the core must not make nodes appear passed over");
 }
 
 #[test]
-fn two_holders_orders_lie_further_apart_than_the_bound() {
+fn the_gap_between_two_holders_orders_exceeds_the_bound() {
     let bounds = Bounds { lease: Span::millis(6000), ..Bounds::default() };
     let timing = Timing::derive(&bounds).unwrap();
     assert!(timing.duty_gap >= timing.duty_lease + LEASE_MARGIN + bounds.lease);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_impossible_set_is_refused_by_the_bounds_name() {
+fn impossible_bounds_are_rejected_by_name() {
     let refused = |bounds: Bounds| Timing::derive(&bounds).unwrap_err().join("; ");
     assert!(refused(Bounds { ack: Span::millis(500), ..Bounds::default() }).contains("ack_ms: 500 ms"));
     assert!(refused(Bounds { revoke: Span::millis(300), ..Bounds::default() }).contains("revoke_ms"));
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn where_nothing_is_stated_the_spans_are_the_usual_ones() {
+fn the_default_timing_applies_without_bounds() {
     let usual = Timing::default();
     assert_eq!((usual.node_lease, usual.revoke_slack), (Span::millis(2000), Span(0)));
     assert_eq!(usual.embargo(), Span::millis(2100));
 }
 
 #[test]
-fn a_stopping_router_takes_requests_only_so_long_that_they_can_end() {
+fn a_stopping_router_leaves_time_for_its_last_requests() {
     let usual = Timing::derive(&Bounds::default()).unwrap();
     assert_eq!((usual.intake_span, usual.drain_span), (Span::millis(2600), Span::millis(7400)));
     let hasty = Timing::derive(&Bounds { grace: Span::seconds(4), ..Bounds::default() }).unwrap();
