--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,7 +1,9 @@
-//! Leases on both sides. A holder counts its lease from the moment it SENT the renewal, the granter
-//! from the moment it granted, with a margin on top; so the holder's always ends first. The tail's
-//! read lease is a majority's word; a node's lease is the tail's, and may outlast the tail's own word for as long
-//! as nobody else is granted one.
+//! Leases, as seen by holders and by granters.
+//!
+//! A holder counts its lease from the moment it sent the renewal; the granter counts it from the moment of the grant
+//! and adds a margin, so the lease always ends at the holder first. The tail's read lease is granted by a majority of
+//! the voters. A node's lease is granted by the tail; without new grants, the node may use it to its end only as long
+//! as no other node is granted one.
 
 pub mod prelude;
 
--- a/crates/lease/src/nodes.rs
+++ b/crates/lease/src/nodes.rs
@@ -1,15 +1,17 @@
-//! The tail's table of node leases. It is memory only: a new tail starts with none, fills it from the
-//! nodes' own renewals, and until every lease its forerunners may have granted has surely run out it
-//! counts nothing as in force.
+//! The tail's table of node leases. It is held in memory only: a new tail starts with an empty table, fills it from
+//! the nodes' renewals, and counts no further change as in force until every lease that earlier tails may have
+//! granted has expired or is short of the slack.
 
 use crate::prelude::*;
 
+/// A node's lease as granted, and the edition it has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeEntry {
     pub until: Instant,
     pub applied: Edition,
 }
 
+/// All granted node leases, and the edition that is in force at every leased node.
 #[derive(Clone, Debug, Default)]
 pub struct NodeLeases {
     timing: Timing,
@@ -19,23 +21,25 @@
 }
 
 impl NodeLeases {
-    /// A tail that begins at `now` with everything up to `committed` possibly acknowledged before.
+    /// Like [`NodeLeases::with_timing`], with the default timing.
     pub fn new(committed: Edition, now: Instant) -> NodeLeases {
         NodeLeases::with_timing(Timing::DEFAULT, committed, now)
     }
 
+    /// The table of a tail that starts at `now`; everything up to `committed` may have been acknowledged before.
     pub fn with_timing(timing: Timing, committed: Edition, now: Instant) -> NodeLeases {
         NodeLeases { timing, nodes: BTreeMap::new(), in_force: committed, embargo_until: now + timing.embargo() }
     }
 
-    /// Notes what a node has applied, without renewing it.
+    /// Records the edition a node has applied, without renewing its lease.
     pub fn note_applied(&mut self, node: NodeId, applied: Edition) {
         if let Some(entry) = self.nodes.get_mut(&node) {
             entry.applied = entry.applied.max(applied);
         }
     }
 
-    /// Grants or refuses a renewal. `due` is the edition every node should have applied by now.
+    /// Handles a renewal and returns whether it is granted. `due` is the edition every node should have applied by
+    /// now.
     pub fn renew(&mut self, node: NodeId, applied: Edition, due: Edition, now: Instant) -> bool {
         self.note_applied(node, applied);
         if applied < self.in_force.max(due) {
@@ -45,13 +49,13 @@
         true
     }
 
-    /// A node that surely starts nothing any more.
+    /// Removes a node that is known to start no further requests.
     pub fn remove(&mut self, node: NodeId) {
         self.nodes.remove(&node);
     }
 
-    /// Raises what is in force as far as the leased nodes allow: those with little of their lease left do
-    /// not count.
+    /// Advances the edition in force as far as the leased nodes have applied it, and returns it. Nodes whose
+    /// remaining lease is within the revocation slack are not waited for.
     pub fn advance_in_force(&mut self, committed: Edition, now: Instant) -> Edition {
         self.nodes.retain(|_, entry| now < entry.until);
         if now >= self.embargo_until {
@@ -63,21 +67,23 @@
         self.in_force
     }
 
-    /// Nodes whose leases run on, and which have not applied what is in force: they were silent for too long.
+    /// Leased nodes that have not applied the edition in force, because they were silent for too long.
     pub fn nodes_behind(&self) -> Vec<NodeId> {
         let behind = self.nodes.iter().filter(|(_, entry)| entry.applied < self.in_force);
         behind.map(|(node, _)| *node).collect()
     }
 
-    /// Whether anything may be acknowledged yet.
+    /// Whether this tail may acknowledge changes yet.
     pub fn may_acknowledge(&self, now: Instant) -> bool {
         now >= self.embargo_until
     }
 
+    /// The edition in force at every leased node.
     pub fn in_force(&self) -> Edition {
         self.in_force
     }
 
+    /// The leased nodes.
     pub fn nodes(&self) -> impl Iterator<Item = (&NodeId, &NodeEntry)> {
         self.nodes.iter()
     }
@@ -88,10 +94,13 @@
     use crate::prelude::*;
 
     #[test]
-    fn a_change_is_in_force_once_applied_or_run_out() {
+    fn a_change_is_in_force_once_applied_or_the_lease_has_expired() {
         let after_embargo = Instant(0) + NODE_LEASE + LEASE_MARGIN;
         let mut leases = NodeLeases::new(Edition(5), Instant(0));
-        assert!(!leases.renew(NodeId(1), Edition(4), Edition(0), Instant(1)), "older than what may be acked");
+        assert!(
+            !leases.renew(NodeId(1), Edition(4), Edition(0), Instant(1)),
+            "older than what may have been acknowledged"
+        );
         assert!(leases.renew(NodeId(1), Edition(5), Edition(0), Instant(1)));
         assert_eq!(leases.advance_in_force(Edition(7), Instant(2)), Edition(5), "embargo");
         assert!(leases.renew(NodeId(1), Edition(5), Edition(0), after_embargo));
--- a/crates/lease/src/read.rs
+++ b/crates/lease/src/read.rs
@@ -1,25 +1,27 @@
-//! The tail's read lease, gathered from the voters of its view.
+//! The tail's read lease, granted by the voters of its view.
 
 use crate::prelude::*;
 
+/// The latest grant of each voter.
 #[derive(Clone, Debug, Default)]
 pub struct ReadLease {
-    given: BTreeMap<NodeId, Instant>,
+    /// When the request was sent that the voter granted last.
+    granted: BTreeMap<NodeId, Instant>,
 }
 
 impl ReadLease {
-    /// A voter agreed to an asking sent at `sent`.
+    /// Records a voter's grant of a request that was sent at `sent`.
     pub fn record_grant(&mut self, voter: NodeId, sent: Instant) {
-        let given = self.given.entry(voter).or_default();
-        *given = (*given).max(sent);
+        let granted = self.granted.entry(voter).or_default();
+        *granted = (*granted).max(sent);
     }
 
-    /// The end of the lease: as many voters as a majority agreed to askings at least this late.
+    /// The end of the lease, counted from the latest time such that a majority granted requests sent then or later.
     pub fn until(&self, voters: &[NodeId], majority: usize) -> Instant {
         let mut sent_instants: Vec<Instant> =
-            voters.iter().filter_map(|voter| self.given.get(voter).copied()).collect();
+            voters.iter().filter_map(|voter| self.granted.get(voter).copied()).collect();
         sent_instants.sort_by(|left, right| right.cmp(left));
-        match majority.checked_sub(1).and_then(|place| sent_instants.get(place)) {
+        match majority.checked_sub(1).and_then(|index| sent_instants.get(index)) {
             Some(sent) => *sent + READ_LEASE,
             None => Instant(0),
         }
@@ -31,7 +33,7 @@
     use crate::prelude::*;
 
     #[test]
-    fn the_read_lease_runs_from_the_majoritys_oldest_agreement() {
+    fn the_read_lease_runs_from_the_oldest_grant_of_the_majority() {
         let voters = [NodeId(1), NodeId(2), NodeId(3), NodeId(4)];
         let mut lease = ReadLease::default();
         lease.record_grant(NodeId(1), Instant(50));
--- a/crates/lease/tests/passed_over.rs
+++ b/crates/lease/tests/passed_over.rs
@@ -1,5 +1,6 @@
-//! Nodes that starve while others are granted leases must stop before what they have is out of date; nodes that
-//! share an outage of the core must go on. Played with the tail's own table of leases, for both kinds of bounds.
+//! A node that is cut off while others are granted leases must stop before its state is out of date; nodes must go on
+//! through an outage of the core that affects all of them. Simulated with the tail's own table of leases, with and
+//! without strict revocation.
 
 use lease::prelude::*;
 use timing::prelude::{Bounds, PEER_ANSWER_LIMIT, renewal_interval};
@@ -7,9 +8,9 @@
 
 const NODES: usize = 9;
 const STEP: Span = Span::millis(20);
-const ROUND: Span = Span::millis(300);
-const ASKED_AT_ONCE: usize = 3;
-const FORMED: Span = Span::seconds(20);
+const QUERY_INTERVAL: Span = Span::millis(300);
+const PEERS_PER_ROUND: usize = 3;
+const WARM_UP: Span = Span::seconds(20);
 const SEEDS: u64 = 300;
 
 struct Node {
@@ -17,17 +18,17 @@
     applied: Edition,
     next_renewal: Instant,
     next_round: Instant,
-    /// What of it does not work, from and until when.
-    starved: Option<(Instant, Instant)>,
+    /// From when until when the node gets no lease renewals.
+    cut_off: Option<(Instant, Instant)>,
 }
 
 impl Node {
-    fn is_starved(&self, now: Instant) -> bool {
-        self.starved.is_some_and(|(from, until)| now >= from && now < until)
+    fn is_cut_off(&self, now: Instant) -> bool {
+        self.cut_off.is_some_and(|(from, until)| now >= from && now < until)
     }
 }
 
-/// When each edition was acknowledged.
+/// The editions acknowledged so far, and when.
 type Acknowledged = Vec<(Edition, Instant)>;
 
 struct Fleet {
@@ -40,14 +41,14 @@
     committed: Edition,
     acknowledged: Acknowledged,
     core_out: Option<(Instant, Instant)>,
-    /// Whether a starved node still gets answers of others.
+    /// Whether a cut-off node still receives answers from its peers.
     hears_peers: bool,
 }
 
 impl Fleet {
-    fn form(seed: u64, strict_revoke: bool) -> Fleet {
+    fn new(seed: u64, strict_revoke: bool) -> Fleet {
         let bounds = Bounds { strict_revoke, ..Bounds::default() };
-        let timing = Timing::derive(&bounds).expect("the usual bounds can be kept to");
+        let timing = Timing::derive(&bounds).expect("the default bounds are feasible");
         let mut draw = SeededRng::new(seed);
         let start = Instant(0) + Span::seconds(1);
         let node = |draw: &mut SeededRng| Node {
@@ -55,7 +56,7 @@
             applied: Edition(1),
             next_renewal: start + Span::millis(draw.below(600)),
             next_round: start,
-            starved: None,
+            cut_off: None,
         };
         let nodes = (0..NODES).map(|_| node(&mut draw)).collect();
         let leases = NodeLeases::with_timing(timing, Edition(1), start);
@@ -78,7 +79,7 @@
         self.core_out.is_some_and(|(from, until)| self.now >= from && self.now < until)
     }
 
-    fn run_until(&mut self, end: Instant, mut look: impl FnMut(&Fleet)) {
+    fn run_until(&mut self, end: Instant, mut check: impl FnMut(&Fleet)) {
         while self.now < end {
             self.now = self.now + STEP;
             self.renew();
@@ -86,11 +87,11 @@
             if !self.core_is_out() {
                 self.commit();
             }
-            look(self);
+            check(self);
         }
     }
 
-    /// A change every second or so; what is in force is acknowledged.
+    /// Commits a change about once a second, and acknowledges what is in force.
     fn commit(&mut self) {
         if self.draw.chance(2) {
             self.committed = self.committed.next();
@@ -104,10 +105,10 @@
     fn renew(&mut self) {
         let (now, core_is_out) = (self.now, self.core_is_out());
         for number in 0..NODES {
-            if self.nodes[number].is_starved(now) || core_is_out {
+            if self.nodes[number].is_cut_off(now) || core_is_out {
                 continue;
             }
-            // Pushes arrive with a delay; the renewal tells what was applied.
+            // Pushed changes arrive with a delay; the renewal reports what was applied.
             let node = &mut self.nodes[number];
             if now < node.next_renewal {
                 continue;
@@ -129,8 +130,8 @@
             if !asks || now < self.nodes[number].next_round {
                 continue;
             }
-            self.nodes[number].next_round = now + ROUND;
-            for _ in 0..ASKED_AT_ONCE {
+            self.nodes[number].next_round = now + QUERY_INTERVAL;
+            for _ in 0..PEERS_PER_ROUND {
                 self.ask_one(number);
             }
         }
@@ -138,17 +139,17 @@
 
     fn ask_one(&mut self, number: usize) {
         let other = self.draw.below(NODES as u64) as usize;
-        let is_cut = |node: &Node| node.is_starved(self.now) && !self.hears_peers;
-        if other == number || is_cut(&self.nodes[number]) || is_cut(&self.nodes[other]) {
+        let is_unreachable = |node: &Node| node.is_cut_off(self.now) && !self.hears_peers;
+        if other == number || is_unreachable(&self.nodes[number]) || is_unreachable(&self.nodes[other]) {
             return;
         }
         let asked = Instant(self.now.0 - self.draw.below(PEER_ANSWER_LIMIT.0));
-        let news = self.nodes[other].watch.report(self.now);
+        let report = self.nodes[other].watch.report(self.now);
         let now = self.now;
-        self.nodes[number].watch.record_peer_report(news, asked, now);
+        self.nodes[number].watch.record_peer_report(report, asked, now);
     }
 
-    /// How long an acknowledged edition has not been in force at a node that starts requests.
+    /// For how long a node that starts requests has been missing an acknowledged edition.
     fn stale_for(&self, node: &Node) -> Span {
         if self.now >= node.watch.until() {
             return Span(0);
@@ -159,53 +160,53 @@
 }
 
 #[test]
-fn a_starved_node_stops_before_what_it_has_is_out_of_date() {
+fn a_cut_off_node_stops_before_its_state_is_out_of_date() {
     for seed in 0..SEEDS {
         for strict_revoke in [true, false] {
-            let mut fleet = Fleet::form(seed, strict_revoke);
-            let formed = fleet.now + FORMED;
-            fleet.run_until(formed, |_| {});
-            let starved_for = Span::millis(fleet.draw.between(500, 20_000));
+            let mut fleet = Fleet::new(seed, strict_revoke);
+            let warmed_up = fleet.now + WARM_UP;
+            fleet.run_until(warmed_up, |_| {});
+            let cut_off_for = Span::millis(fleet.draw.between(500, 20_000));
             let count = fleet.draw.between(1, 3) as usize;
             for node in &mut fleet.nodes[..count] {
-                node.starved = Some((formed, formed + starved_for));
+                node.cut_off = Some((warmed_up, warmed_up + cut_off_for));
             }
-            fleet.run_until(formed + Span::seconds(25), |fleet| {
+            fleet.run_until(warmed_up + Span::seconds(25), |fleet| {
                 for (number, node) in fleet.nodes.iter().enumerate() {
                     let stale = fleet.stale_for(node);
                     assert!(
                         stale < fleet.bounds.apply,
                         "seed {seed} strict {strict_revoke}: node {number} starts requests {} ms after an \
-                         acknowledgement that it never heard of",
+                         acknowledgement of a change it has not applied",
                         stale.as_millis(),
                     );
                 }
             });
             let all_serve = fleet.nodes.iter().all(|node| fleet.now < node.watch.until());
-            assert!(all_serve, "seed {seed} strict {strict_revoke}: a node never came back");
+            assert!(all_serve, "seed {seed} strict {strict_revoke}: a node did not resume");
         }
     }
 }
 
 #[test]
-fn an_outage_of_the_core_stops_nobody_before_the_lease_ends() {
+fn an_outage_of_the_core_stops_no_node_before_its_lease_ends() {
     for seed in 0..SEEDS {
         for strict_revoke in [true, false] {
-            let mut fleet = Fleet::form(seed, strict_revoke);
-            let formed = fleet.now + FORMED;
-            fleet.run_until(formed, |_| {});
+            let mut fleet = Fleet::new(seed, strict_revoke);
+            let warmed_up = fleet.now + WARM_UP;
+            fleet.run_until(warmed_up, |_| {});
             let out_for = Span::millis(fleet.draw.between(500, 40_000));
-            fleet.core_out = Some((formed, formed + out_for));
-            // A renewal may have been due just before the core went.
+            fleet.core_out = Some((warmed_up, warmed_up + out_for));
+            // A renewal may have been due just before the outage began.
             let until_lease_ends = Span(fleet.timing.node_lease.0 - Span::millis(700).0);
-            let served_until = formed + out_for.min(until_lease_ends);
+            let served_until = warmed_up + out_for.min(until_lease_ends);
             fleet.run_until(served_until, |fleet| {
                 let stopped = fleet.nodes.iter().position(|node| fleet.now >= node.watch.until());
                 assert_eq!(
                     stopped,
                     None,
-                    "seed {seed} strict {strict_revoke}: stopped {} ms after the core went",
-                    fleet.now.since(formed).as_millis()
+                    "seed {seed} strict {strict_revoke}: stopped {} ms after the outage began",
+                    fleet.now.since(warmed_up).as_millis()
                 );
             });
         }
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn a_node_that_reaches_nobody_stops() {
+fn a_node_that_reaches_no_peer_stops() {
     let timing = Timing::derive(&Bounds { strict_revoke: false, ..Bounds::default() }).unwrap();
     let mut watch = GrantTracker::new(timing);
     let granted = Instant(0) + Span::seconds(10);
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn an_answer_that_came_late_confirms_nothing_and_a_grant_it_tells_of_counts() {
+fn a_late_report_confirms_nothing_but_its_grant_counts() {
     let timing = Timing::derive(&Bounds { strict_revoke: false, ..Bounds::default() }).unwrap();
     let granted = Instant(0) + Span::seconds(10);
     let mut watch = GrantTracker::new(timing);
@@ -236,13 +237,13 @@
     watch.record_peer_report(newer, granted + Span::seconds(3), granted + Span::seconds(4));
     assert!(watch.is_passed_over());
     watch.record_peer_report(late, granted + Span::seconds(4), granted + Span::seconds(4));
-    assert_eq!(watch.until(), before, "who is passed over is confirmed by nobody");
+    assert_eq!(watch.until(), before, "a node that is passed over cannot be confirmed");
     watch.renew(granted + Span::seconds(4), granted + Span::seconds(4) + timing.node_lease);
     assert!(!watch.is_passed_over());
 }
 
 #[test]
-fn a_lease_that_ends_with_the_nodes_own_word_asks_nobody() {
+fn a_lease_that_needs_no_confirmation_asks_no_peer() {
     let mut watch = GrantTracker::default();
     let granted = Instant(0) + Span::seconds(10);
     watch.renew(granted, granted + Timing::DEFAULT.node_lease);
