--- a/crates/figures/src/exposition.rs
+++ b/crates/figures/src/exposition.rs
@@ -53,19 +53,19 @@
             if let Some(engine) = label("engine") {
                 *metrics.engines.entry(engine.to_owned()).or_default() += value;
             } else if let Some(name) = name.strip_suffix("_total") {
-                let place = metrics.sums().iter().position(|(known, _)| *known == name);
-                if let Some(place) = place {
-                    *metrics.sums_mut()[place] += value;
+                let index = metrics.sums().iter().position(|(known, _)| *known == name);
+                if let Some(index) = index {
+                    *metrics.sums_mut()[index] += value;
                 }
             } else if let (Some(name), Some(le)) = (name.strip_suffix("_bucket"), label("le")) {
-                let place = metrics.histograms().iter().position(|(known, _)| *known == name);
+                let index = metrics.histograms().iter().position(|(known, _)| *known == name);
                 let bucket = match le {
                     "+Inf" => Some(BUCKETS - 1),
                     text => text.parse::<f64>().ok().and_then(|le| {
                         (0..BUCKETS - 1).find(|bucket| (bucket_upper_bound(*bucket) - le).abs() < 0.001 + le * 0.0001)
                     }),
                 };
-                let (Some(place), Some(bucket)) = (place, bucket) else {
+                let (Some(index), Some(bucket)) = (index, bucket) else {
                     return Err(format!("not a histogram bucket of policy metrics format {FORMAT}: {line}"));
                 };
                 let counted = cumulative.entry((format!("{policy}/{tenant}"), name.to_owned())).or_default();
@@ -73,7 +73,7 @@
                     return Err(format!("cumulative bucket count decreases: {line}"));
                 };
                 *counted = value;
-                metrics.histograms_mut()[place].add_count(bucket, count);
+                metrics.histograms_mut()[index].add_count(bucket, count);
             }
         }
         Ok(policy_metrics)
@@ -101,16 +101,16 @@
     #[test]
     fn exposed_metrics_parse_back_and_sum_over_routers() {
         let mut policy_metrics = PolicyMetrics::default();
-        for place in 0..300u64 {
+        for index in 0..300u64 {
             let metrics =
-                policy_metrics.entry(if place % 3 == 0 { "trial" } else { "default" }, &format!("t{}", place % 2));
+                policy_metrics.entry(if index % 3 == 0 { "trial" } else { "default" }, &format!("t{}", index % 2));
             metrics.requests += 1;
             metrics.prompt_blocks += 10;
-            metrics.reused_blocks += place % 10;
-            metrics.first.add(place as f64 * 70.0);
+            metrics.reused_blocks += index % 10;
+            metrics.first.add(index as f64 * 70.0);
             metrics.pace.add(0.3);
             metrics.occupancy.add(1e9);
-            *metrics.engines.entry(format!("e{}", place % 4)).or_default() += 1;
+            *metrics.engines.entry(format!("e{}", index % 4)).or_default() += 1;
         }
         let other_metrics = "haremount_router_requests_total 5\n";
         let text = format!("{other_metrics}{}", policy_metrics.to_prometheus());
--- a/crates/view/src/campaign.rs
+++ b/crates/view/src/campaign.rs
@@ -81,27 +81,27 @@
         let voters = vec![NodeId(1), NodeId(2), NodeId(3), NodeId(4)];
         let present = View { voters: voters.clone(), chain: voters.clone(), ..View::default() };
         assert_eq!((present.majority(), present.min_chain_length()), (3, 2));
-        let mut votes = vec![VoterState::default(); 4];
+        let mut voter_states = vec![VoterState::default(); 4];
         let low_ballot = Ballot { round: 1, proposer: NodeId(1) };
         let first_view = View { number: ViewNumber(1), ..present.clone() };
         let mut first_campaign = Campaign::new(ViewNumber(1), low_ballot, Instant(0));
-        for place in 0..3 {
-            let accepted = votes[place].prepare(low_ballot).unwrap();
+        for index in 0..3 {
+            let accepted = voter_states[index].prepare(low_ballot).unwrap();
             assert_eq!(
-                first_campaign.record_promise(&present, voters[place], accepted, LogPosition::default()),
-                place == 2
+                first_campaign.record_promise(&present, voters[index], accepted, LogPosition::default()),
+                index == 2
             );
         }
         first_campaign.propose(first_view.clone());
-        votes[2].accept(low_ballot, first_view.clone()).unwrap();
+        voter_states[2].accept(low_ballot, first_view.clone()).unwrap();
         let high_ballot = Ballot { round: 2, proposer: NodeId(4) };
         let mut second_campaign = Campaign::new(ViewNumber(1), high_ballot, Instant(0));
-        for place in 1..4 {
-            let accepted = votes[place].prepare(high_ballot).unwrap();
-            second_campaign.record_promise(&present, voters[place], accepted, LogPosition::default());
+        for index in 1..4 {
+            let accepted = voter_states[index].prepare(high_ballot).unwrap();
+            second_campaign.record_promise(&present, voters[index], accepted, LogPosition::default());
         }
         assert_eq!(second_campaign.highest_accepted_view(), Some(first_view));
-        assert_eq!(votes[2].accept(low_ballot, View::default()), Err(high_ballot));
+        assert_eq!(voter_states[2].accept(low_ballot, View::default()), Err(high_ballot));
         assert_eq!(second_campaign.record_acceptance(&present, NodeId(9)), None);
     }
 }
