--- a/crates/adapters/src/assignment.rs
+++ b/crates/adapters/src/assignment.rs
@@ -115,5 +115,5 @@
 
 /// Breaks ties between engines by a hash, so that adapters do not all choose the same engines.
 fn tie_breaker(adapter: &AdapterId, engine: &EngineName) -> BlockHash {
-    BlockHash::over(&[adapter.name.as_str().as_bytes(), engine.as_str().as_bytes()])
+    BlockHash::of_parts(&[adapter.name.as_str().as_bytes(), engine.as_str().as_bytes()])
 }
--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -357,7 +357,7 @@
 #[test]
 fn noisy_demand_changes_almost_nothing() {
     for seed in 0..40u64 {
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         let mut fleet = Fleet::new(8, 2, 4, r#"{"loads_at_once":3,"demand_ms":6000,"hold_ms":20000}"#);
         let mut noisy = |fleet: &mut Fleet, steps: u64| {
             for _ in 0..steps {
--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -83,8 +83,8 @@
         return Err(StartRefusal::AdapterMoved);
     }
     let wall = sight.state.wall_of(&basis.tenant);
-    let salt = Salt::of(&basis.model, basis.weights, wall.id, wall.edition);
-    if salt.under(basis.adapter.as_ref()) != basis.salt {
+    let salt = Salt::for_model(&basis.model, basis.weights, wall.id, wall.edition);
+    if salt.with_adapter(basis.adapter.as_ref()) != basis.salt {
         return Err(StartRefusal::WallMoved);
     }
     Ok(())
@@ -104,7 +104,7 @@
 pub fn names_expected_adapter(adapter: Option<&AdapterId>, answered_on: Option<&str>) -> bool {
     match (adapter, answered_on) {
         (None, None) => true,
-        (Some(adapter), Some(named)) => AdapterId::read(named).as_ref() == Some(adapter),
+        (Some(adapter), Some(named)) => AdapterId::parse(named).as_ref() == Some(adapter),
         _ => false,
     }
 }
@@ -158,7 +158,8 @@
     }
 
     fn basis(adapter: Option<AdapterId>) -> AttemptBasis {
-        let salt = Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)).under(adapter.as_ref());
+        let salt =
+            Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0)).with_adapter(adapter.as_ref());
         AttemptBasis {
             key_hash: "0".repeat(64),
             tenant: "a".into(),
@@ -217,7 +218,7 @@
     /// An attempt for the second model on the given weights.
     fn second_basis(weights: u64, adapter: Option<AdapterId>) -> AttemptBasis {
         let (model, weights) = (ModelName::from("n"), WeightsEdition(weights));
-        let salt = Salt::of(&model, weights, WallId(0), WallEdition(0)).under(adapter.as_ref());
+        let salt = Salt::for_model(&model, weights, WallId(0), WallEdition(0)).with_adapter(adapter.as_ref());
         AttemptBasis { model, weights, adapter, salt, ..basis(None) }
     }
 
--- a/crates/coordinator/src/duties.rs
+++ b/crates/coordinator/src/duties.rs
@@ -21,7 +21,7 @@
     let numbers: Vec<[u8; 8]> = numbers.iter().map(|number| number.to_le_bytes()).collect();
     let mut parts = vec![label];
     parts.extend(numbers.iter().map(|number| number.as_slice()));
-    RequestId(BlockHash::over(&parts).0)
+    RequestId(BlockHash::of_parts(&parts).0)
 }
 
 // Holder side.
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -52,7 +52,7 @@
     pub(crate) misdirected: Misdirected,
     pub(crate) settings: CoordinatorSettings,
     pub(crate) view: View,
-    pub(crate) vote: Vote,
+    pub(crate) vote: VoterState,
     pub(crate) sealed_since: Instant,
     pub(crate) synced_view: ViewNumber,
     /// The latest view for which this log surely holds everything committed before the view began: the log was synced
@@ -167,10 +167,10 @@
             holders: vec![me.id],
             tolerance,
         };
-        let mark = Mark { edition: founding_state.edition, view: FOUNDING_VIEW };
+        let mark = LogPosition { edition: founding_state.edition, view: FOUNDING_VIEW };
         vec![
             Stored::Snapshot { mark, state: Box::new(founding_state) },
-            Stored::Vote(Vote::default()),
+            Stored::Vote(VoterState::default()),
             Stored::View(first_view),
             Stored::SyncedView(FOUNDING_VIEW),
             Stored::CompleteView(FOUNDING_VIEW),
@@ -233,7 +233,7 @@
         self.log.state()
     }
     /// Where the log ends.
-    pub fn last(&self) -> Mark {
+    pub fn last(&self) -> LogPosition {
         self.log.last()
     }
     /// Whether this keeper has adopted a view.
@@ -242,7 +242,7 @@
     }
 
     pub(crate) fn sealed(&self) -> bool {
-        self.vote.sealed()
+        self.vote.is_sealed()
     }
 
     pub(crate) fn is_synced(&self) -> bool {
@@ -352,7 +352,7 @@
         self.track_stalls(from, &status, now);
         self.resend_to_successor(from, &status, last_status.as_ref());
         let predecessor_is_synced = status.view == self.view.number && status.synced_view == self.view.number;
-        if predecessor_is_synced && self.view.before(self.me.id) == Some(from) {
+        if predecessor_is_synced && self.view.predecessor(self.me.id) == Some(from) {
             self.request_catch_up(now);
         }
     }
@@ -411,7 +411,7 @@
         let tail_waits = self
             .tail
             .as_ref()
-            .is_some_and(|tail| !tail.started || !tail.pending.is_empty() || !tail.leases.settled(now));
+            .is_some_and(|tail| !tail.started || !tail.pending.is_empty() || !tail.leases.may_acknowledge(now));
         let is_busy = tail_waits
             || self.retired
             || self.sealed()
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -37,7 +37,7 @@
     #[serde(rename = "whole")]
     pub complete_view: ViewNumber,
     /// Where its log ends.
-    pub last: Mark,
+    pub last: LogPosition,
     /// The last edition that it knows to be committed.
     pub committed: Edition,
     /// Whether it acts as the tail.
@@ -258,11 +258,11 @@
 pub enum Stored {
     Record(Record),
     Snapshot {
-        mark: Mark,
+        mark: LogPosition,
         state: Box<FleetState>,
     },
     View(View),
-    Vote(Vote),
+    Vote(VoterState),
     SyncedView(ViewNumber),
     CompleteView(ViewNumber),
     /// This keeper has started acting as the tail of a view, so no earlier tail acts any more.
@@ -283,11 +283,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct PersistedState {
     pub view: Option<View>,
-    pub vote: Vote,
+    pub vote: VoterState,
     pub synced_view: ViewNumber,
     pub complete_view: ViewNumber,
     pub begun: ViewNumber,
-    pub mark: Mark,
+    pub mark: LogPosition,
     pub state: FleetState,
     pub records: Vec<Record>,
 }
--- a/crates/coordinator/src/prelude.rs
+++ b/crates/coordinator/src/prelude.rs
@@ -11,7 +11,7 @@
 pub use crate::view_changes::join_ids;
 pub(crate) use crate::view_composition::*;
 pub use adapters::prelude::{DemandReport, HeardDemand};
-pub use chain::prelude::{Ages, ChainMessage, Log, Record};
+pub use chain::prelude::{ChainMessage, CommitAges, Log, Record};
 pub use desired::prelude::{
     CLAIM_RETENTION, Command, CommandOutcome, Duty, DutyKind, EngineStatus, FleetState, Listing, Revision,
     Submission, ValidationError,
@@ -20,4 +20,4 @@
 pub(crate) use serde::{Deserialize, Serialize};
 pub(crate) use std::collections::{BTreeMap, BTreeSet, VecDeque};
 pub(crate) use units::prelude::*;
-pub use view::prelude::{Ballot, Campaign, Mark, Member, View, ViewMessage, Vote};
+pub use view::prelude::{Ballot, Campaign, LogPosition, Member, View, ViewMessage, VoterState};
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -11,19 +11,19 @@
         let may_take = self.view.head() == Some(self.me.id)
             && self.is_synced()
             && !self.sealed()
-            && self.view.takes_writes()
+            && self.view.accepts_writes()
             && self.log.last().edition.0 < self.committed.0 + UNCOMMITTED_LIMIT;
         if !may_take || self.log.state().previous_outcome(submission.request).is_some() {
             return;
         }
         let previous = self.log.last();
-        let record = self.log.number(self.view.number, submission);
+        let record = self.log.append_submission(self.view.number, submission);
         self.store(Stored::Record(record.clone()));
         self.pass_on(previous, vec![record]);
     }
 
-    fn pass_on(&mut self, previous: Mark, records: Vec<Record>) {
-        let Some(successor) = self.view.after(self.me.id) else { return };
+    fn pass_on(&mut self, previous: LogPosition, records: Vec<Record>) {
+        let Some(successor) = self.view.successor(self.me.id) else { return };
         let append = ChainMessage::Append { view: self.view.number, previous, records };
         self.send(successor, CoreMessage::Chain(append));
     }
@@ -37,7 +37,7 @@
                 let is_outside = !self.view.in_chain(from);
                 let can_serve_catch_up = self.is_synced() || (is_outside && self.holds_all_committed(self.me.id));
                 if view == self.view.number && can_serve_catch_up {
-                    let answer = self.log.level(view, last, nonce, self.ages(now));
+                    let answer = self.log.catch_up_reply(view, last, nonce, self.ages(now));
                     self.send(from, CoreMessage::Chain(answer));
                 }
             }
@@ -64,8 +64,15 @@
         }
     }
 
-    fn handle_append(&mut self, from: NodeId, view: ViewNumber, previous: Mark, records: Vec<Record>, now: Instant) {
-        let from_before = self.view.before(self.me.id) == Some(from);
+    fn handle_append(
+        &mut self,
+        from: NodeId,
+        view: ViewNumber,
+        previous: LogPosition,
+        records: Vec<Record>,
+        now: Instant,
+    ) {
+        let from_before = self.view.predecessor(self.me.id) == Some(from);
         if view != self.view.number || !from_before || !self.is_synced() || self.sealed() {
             return;
         }
@@ -79,7 +86,7 @@
         self.take_records(last, new_records);
     }
 
-    fn take_records(&mut self, previous: Mark, records: Vec<Record>) {
+    fn take_records(&mut self, previous: LogPosition, records: Vec<Record>) {
         if records.is_empty() {
             return;
         }
@@ -98,15 +105,15 @@
         if view != self.view.number || nonce != self.nonce {
             return false;
         }
-        let is_next = self.view.before(self.me.id) == Some(from) && !self.sealed();
+        let is_next = self.view.predecessor(self.me.id) == Some(from) && !self.sealed();
         !self.view.in_chain(self.me.id) || is_next
     }
 
     /// Upper bounds of the ages of recent commits and superseded weights known here.
-    fn ages(&self, now: Instant) -> Ages {
+    fn ages(&self, now: Instant) -> CommitAges {
         let records = self.committed_at.iter().rev().take(MAX_AGES_SENT);
         let gave_way = self.superseded_at.iter();
-        Ages {
+        CommitAges {
             records: records.map(|(edition, since)| (*edition, now.since(*since))).collect(),
             gave_way: gave_way
                 .map(|((model, weights), since)| (model.clone(), *weights, now.since(*since)))
@@ -114,10 +121,10 @@
         }
     }
 
-    /// Adopts the commit times of the member that served the catch-up. Ages count from when the request was sent, so
+    /// Adopts the commit times of the member that served the catch-up. CommitAges count from when the request was sent, so
     /// no time is later than the actual commit: the head numbered each record before it could be committed, or was in
     /// every chain since, and each member takes its times from its predecessor.
-    fn take_ages(&mut self, ages: &Ages, nonce: u64) {
+    fn take_ages(&mut self, ages: &CommitAges, nonce: u64) {
         self.clear_commit_times();
         let Some(asked) = self.catch_up_request.filter(|(catch_up_nonce, _)| *catch_up_nonce == nonce) else {
             return;
@@ -151,7 +158,7 @@
         self.store(Stored::SyncedView(self.synced_view));
         self.store(Stored::CompleteView(self.complete_view));
         self.log_event("aligned", format!("view={} edition={}", self.synced_view, self.log.last().edition));
-        if let Some(successor) = self.view.after(self.me.id) {
+        if let Some(successor) = self.view.successor(self.me.id) {
             let status = CoreMessage::Heartbeat(self.own_status(self.last_heartbeat));
             self.send(successor, status);
         }
@@ -171,7 +178,7 @@
             return;
         }
         let source = match self.view.in_chain(self.me.id) {
-            true => self.view.before(self.me.id),
+            true => self.view.predecessor(self.me.id),
             false => self.catch_up_source(now),
         };
         if let Some(source) = source {
@@ -201,14 +208,14 @@
         status: &KeeperStatus,
         last_status: Option<&KeeperStatus>,
     ) {
-        let is_successor = self.view.after(self.me.id) == Some(from);
+        let is_successor = self.view.successor(self.me.id) == Some(from);
         let both_synced =
             self.is_synced() && status.synced_view == self.view.number && status.view == self.view.number;
         let is_unchanged = last_status.is_some_and(|earlier| earlier.last == status.last);
         if !is_successor || !both_synced || !is_unchanged || status.last.edition >= self.log.last().edition {
             return;
         }
-        let Some(records) = self.log.after(status.last.edition) else { return };
+        let Some(records) = self.log.records_after(status.last.edition) else { return };
         let append = ChainMessage::Append { view: self.view.number, previous: status.last, records };
         self.send(from, CoreMessage::Chain(append));
     }
--- a/crates/coordinator/src/tail/mod.rs
+++ b/crates/coordinator/src/tail/mod.rs
@@ -78,8 +78,8 @@
     /// Raises the edition in force. Returns it with the nodes that it did not wait for although their leases are
     /// valid, if there is a new one among them.
     fn raise_in_force(&mut self, last_edition: Edition, now: Instant) -> Option<(Edition, Vec<NodeId>)> {
-        let in_force = self.leases.raise(last_edition, now);
-        let left_behind = self.leases.left_behind();
+        let in_force = self.leases.advance_in_force(last_edition, now);
+        let left_behind = self.leases.nodes_behind();
         let is_new = left_behind.iter().any(|node| !self.left_behind.contains(node));
         self.left_behind = left_behind;
         is_new.then(|| (in_force, self.left_behind.clone()))
@@ -116,7 +116,7 @@
     /// disk, so it is neither reported nor committed until the chain has grown.
     fn log_is_durable(&self) -> bool {
         let is_founding = self.view.number == FOUNDING_VIEW;
-        is_founding || self.view.takes_writes() || self.log.last().edition <= self.committed
+        is_founding || self.view.accepts_writes() || self.log.last().edition <= self.committed
     }
 
     /// After a view change: continues as tail, becomes tail, or hands over.
@@ -194,7 +194,7 @@
         let Some(tail) = self.tail.as_mut() else { return };
         tail.started = true;
         tail.appoint_after = now + self.settings.timing.duty_lease + LEASE_MARGIN;
-        tail.leases = NodeLeases::begin_under(self.settings.timing, last_edition, now);
+        tail.leases = NodeLeases::with_timing(self.settings.timing, last_edition, now);
         tail.required_edition = last_edition;
         self.store(Stored::TailStarted(self.view.number));
         self.log_event("tail_begins", format!("view={} edition={last_edition}", self.view.number));
--- a/crates/coordinator/src/tail/read_lease.rs
+++ b/crates/coordinator/src/tail/read_lease.rs
@@ -24,7 +24,7 @@
         let agrees = view == self.view.number
             && self.view.tail() == Some(from)
             && !self.sealed()
-            && self.view.votes(self.me.id);
+            && self.view.is_voter(self.me.id);
         if agrees {
             self.send(from, CoreMessage::ReadLeaseGranted { view, sent });
         }
@@ -35,7 +35,7 @@
         if view == self.view.number
             && let Some(tail) = &mut self.tail
         {
-            tail.read_lease.take(from, sent);
+            tail.read_lease.record_grant(from, sent);
         }
     }
 }
--- a/crates/coordinator/src/tail/settlements.rs
+++ b/crates/coordinator/src/tail/settlements.rs
@@ -42,7 +42,7 @@
     fn may_answer_with(&self, from: Requester, outcome: &CommandOutcome, now: Instant) -> bool {
         match (from, outcome) {
             (Requester::Keeper(_), CommandOutcome::Applied(edition)) => {
-                self.leases.settled(now) && *edition <= self.leases.in_force()
+                self.leases.may_acknowledge(now) && *edition <= self.leases.in_force()
             }
             _ => true,
         }
--- a/crates/coordinator/src/view_changes.rs
+++ b/crates/coordinator/src/view_changes.rs
@@ -24,7 +24,7 @@
                 if campaign.next != next || campaign.ballot != ballot {
                     return;
                 }
-                let Some(decided_view) = campaign.take_acceptance(&self.view, from) else { return };
+                let Some(decided_view) = campaign.record_acceptance(&self.view, from) else { return };
                 self.broadcast_decided(&decided_view);
                 self.adopt(decided_view, now);
             }
@@ -39,7 +39,7 @@
     }
 
     fn may_vote(&mut self, from: NodeId, next: ViewNumber) -> bool {
-        if !self.view.votes(self.me.id) || !self.has_view() {
+        if !self.view.is_voter(self.me.id) || !self.has_view() {
             return false;
         }
         if next <= self.view.number {
@@ -85,7 +85,7 @@
         from: NodeId,
         (next, ballot): (ViewNumber, Ballot),
         accepted: Option<(Ballot, View)>,
-        last: Mark,
+        last: LogPosition,
         now: Instant,
     ) {
         let Some(mut campaign) = self.campaign.take() else { return };
@@ -93,9 +93,9 @@
             self.campaign = Some(campaign);
             return;
         }
-        let may_propose = campaign.take_promise(&self.view, from, accepted, last);
+        let may_propose = campaign.record_promise(&self.view, from, accepted, last);
         if may_propose {
-            let proposal = campaign.bound_view().or_else(|| self.compose(next, &campaign.promised(), now));
+            let proposal = campaign.highest_accepted_view().or_else(|| self.compose(next, &campaign.promised(), now));
             if let Some(proposed_view) = proposal {
                 campaign.propose(proposed_view.clone());
                 for voter in self.view.voters.clone() {
@@ -116,10 +116,10 @@
     /// Tracks since when a reachable member makes no progress: a successor that lags behind, or a tail that does not
     /// act.
     pub(crate) fn track_stalls(&mut self, from: NodeId, status: &KeeperStatus, now: Instant) {
-        let is_successor = self.view.after(self.me.id) == Some(from);
+        let is_successor = self.view.successor(self.me.id) == Some(from);
         let is_behind = status.synced_view != self.view.number || status.last.edition < self.log.last().edition;
         let stuck = is_successor && self.is_synced() && is_behind;
-        let should_act = self.view.takes_writes() && status.synced_view == self.view.number;
+        let should_act = self.view.accepts_writes() && status.synced_view == self.view.number;
         let idle = self.view.tail() == Some(from) && should_act && !status.tail_active;
         let adopted = self.adopted_at;
         let Some(peer) = self.peers.get_mut(&from) else { return };
@@ -132,7 +132,7 @@
     /// Whether a member is this keeper's predecessor or successor in the chain.
     pub(crate) fn is_neighbour(&self, member: NodeId) -> bool {
         let me = self.me.id;
-        self.view.before(me) == Some(member) || self.view.after(me) == Some(member)
+        self.view.predecessor(me) == Some(member) || self.view.successor(me) == Some(member)
     }
 
     /// Whether a majority of voters report hearing a keeper. If so, only the link to this keeper is broken, which
@@ -175,7 +175,7 @@
 
     /// Whether this voter should campaign to replace the current view.
     fn should_change_view(&self, now: Instant) -> bool {
-        if !self.has_view() || !self.view.votes(self.me.id) || self.alive_voters(now) < self.view.majority() {
+        if !self.has_view() || !self.view.is_voter(self.me.id) || self.alive_voters(now) < self.view.majority() {
             return false;
         }
         let rank = self.rank(now);
@@ -191,7 +191,7 @@
         let is_stable = first_living == Some(&self.me.id)
             && now.since(self.adopted_at) >= self.stability_period()
             && !self.sealed()
-            && (self.tail_seen(now) || !self.view.takes_writes());
+            && (self.tail_seen(now) || !self.view.accepts_writes());
         seal_expired
             || ((member_lost || leaver_can_go) && self.can_compose(now))
             || (is_stable && self.membership_change(now).is_some())
@@ -235,7 +235,7 @@
             return;
         }
         let previous_view = std::mem::replace(&mut self.view, view);
-        self.vote = Vote::default();
+        self.vote = VoterState::default();
         self.campaign = None;
         self.highest_round = 0;
         self.adopted_at = now;
@@ -247,7 +247,7 @@
             }
         }
         self.store(Stored::View(self.view.clone()));
-        self.store(Stored::Vote(Vote::default()));
+        self.store(Stored::Vote(VoterState::default()));
         let stays_complete =
             self.complete_view != ViewNumber(0) && self.view.was_always_in_chain(self.me.id, self.complete_view);
         if stays_complete || self.view.holders.contains(&self.me.id) {
--- a/crates/coordinator/src/view_composition.rs
+++ b/crates/coordinator/src/view_composition.rs
@@ -25,7 +25,12 @@
 impl Coordinator {
     /// The next view: live chain members in their current order, headed by one that holds everything committed, and
     /// at most one new member. `promised` has the log ends of voters that no longer take part in the current view.
-    pub(crate) fn compose(&self, next: ViewNumber, promised: &BTreeMap<NodeId, Mark>, now: Instant) -> Option<View> {
+    pub(crate) fn compose(
+        &self,
+        next: ViewNumber,
+        promised: &BTreeMap<NodeId, LogPosition>,
+        now: Instant,
+    ) -> Option<View> {
         let (mut chain, membership_change) = self.next_chain(promised, now)?;
         let mut voters = self.view.voters.clone();
         match membership_change {
@@ -67,7 +72,7 @@
     /// ones only.
     fn next_chain(
         &self,
-        promised: &BTreeMap<NodeId, Mark>,
+        promised: &BTreeMap<NodeId, LogPosition>,
         now: Instant,
     ) -> Option<(Vec<NodeId>, Option<MembershipChange>)> {
         let membership_change = self.membership_change(now);
@@ -81,7 +86,7 @@
                 promised.contains_key(member) || self.is_alive(*member, now) || others_hear
             })
             .collect();
-        let is_long_enough = |chain: &Vec<NodeId>| chain.len() >= self.view.least_chain();
+        let is_long_enough = |chain: &Vec<NodeId>| chain.len() >= self.view.min_chain_length();
         let without = |chain: &[NodeId], gone: &dyn Fn(NodeId) -> bool| -> Vec<NodeId> {
             chain.iter().copied().filter(|member| !gone(*member)).collect()
         };
@@ -103,7 +108,7 @@
         &self,
         chain: Vec<NodeId>,
         membership_change: Option<MembershipChange>,
-        promised: &BTreeMap<NodeId, Mark>,
+        promised: &BTreeMap<NodeId, LogPosition>,
     ) -> Option<Vec<NodeId>> {
         let first_complete = chain.iter().copied().find(|member| self.holds_all_committed(*member))?;
         let newcomer = match membership_change {
@@ -111,7 +116,7 @@
             _ => None,
         };
         let copies = chain.iter().copied().chain(newcomer).filter(|member| self.has_complete_log(*member, promised));
-        if copies.count() < self.view.least_holders() {
+        if copies.count() < self.view.min_holders() {
             return None;
         }
         let others = chain.into_iter().filter(|member| *member != first_complete);
@@ -127,7 +132,7 @@
     }
 
     /// Where a keeper's log ended when it was last heard.
-    fn log_end(&self, keeper: NodeId) -> Option<Mark> {
+    fn log_end(&self, keeper: NodeId) -> Option<LogPosition> {
         match keeper == self.me.id {
             true => Some(self.log.last()),
             false => self.peer_status(keeper).map(|status| status.last),
@@ -146,9 +151,9 @@
 
     /// Whether a member's log is complete: it was in the chain all the time, or it has promised its vote and its log
     /// ends where that of such a member does, which has promised as well and so no longer takes part in this view.
-    fn has_complete_log(&self, member: NodeId, promised: &BTreeMap<NodeId, Mark>) -> bool {
+    fn has_complete_log(&self, member: NodeId, promised: &BTreeMap<NodeId, LogPosition>) -> bool {
         let Some(own_end) = promised.get(&member) else { return self.holds_all_committed(member) };
-        let same_log_end = |(other, end): (&NodeId, &Mark)| {
+        let same_log_end = |(other, end): (&NodeId, &LogPosition)| {
             end == own_end && self.view.in_chain(*other) && self.holds_all_committed(*other)
         };
         self.holds_all_committed(member) || promised.iter().any(same_log_end)
@@ -158,7 +163,7 @@
     /// that is too short to accept writes.
     pub(crate) fn stability_period(&self) -> Span {
         let is_small = self.view.voters.len() < self.settings.core_size.min(SMALL_CORE_VOTERS);
-        if is_small || !self.view.takes_writes() { HEARTBEAT_INTERVAL } else { STABLE_PERIOD }
+        if is_small || !self.view.accepts_writes() { HEARTBEAT_INTERVAL } else { STABLE_PERIOD }
     }
 
     /// The next membership change of a stable core, one seat at a time.
@@ -174,7 +179,7 @@
                 && status.view == self.view.number
                 && status.last.edition.0 + MAX_JOIN_LAG >= self.log.last().edition.0
         };
-        let spare = self.peers.keys().copied().find(|peer| !self.view.votes(*peer) && may_join(*peer));
+        let spare = self.peers.keys().copied().find(|peer| !self.view.is_voter(*peer) && may_join(*peer));
         if let Some(change) = self.change_for_leaver(spare, now) {
             return Some(change);
         }
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -57,7 +57,7 @@
 /// Appends a change received from the head; without a read lease the tail does not commit it.
 fn append(tail: &mut Coordinator, number: u64, now: Instant) -> Vec<Effect> {
     let previous = tail.last();
-    let mark = Mark { edition: previous.edition.next(), view: tail.view().number };
+    let mark = LogPosition { edition: previous.edition.next(), view: tail.view().number };
     let patch = format!(r#"{{"kinds":["k{number}"]}}"#);
     let submission = Submission { request: RequestId(number), command: Command::Merge { base: None, patch } };
     let append =
@@ -110,7 +110,7 @@
     let now = expired + Span::millis(20);
     let input = from_keeper(&tail, THIRD, grown);
     tail.step(input, now);
-    assert!(tail.view().takes_writes());
+    assert!(tail.view().accepts_writes());
 }
 
 /// The other voters are live, so one joins the chain even though the tail is inactive.
--- a/crates/desired/src/adapters.rs
+++ b/crates/desired/src/adapters.rs
@@ -61,7 +61,7 @@
         adapter.finish();
     });
     for (zone, region) in document.string_map("zones") {
-        if !is_name(&region) {
+        if !is_valid_name(&region) {
             document.report(&format!("zones.{zone}"), "the region is not a valid name");
         }
         desired_state.zones.insert(Zone(zone), Region(region));
--- a/crates/desired/src/document.rs
+++ b/crates/desired/src/document.rs
@@ -180,7 +180,7 @@
             Policy { weight: policy.number("weight", 0.0, 1e6).unwrap_or(1.0), rules: Vec::new() };
         policy.for_each_item("rules", |mut rule| {
             let band = rule.text("band").and_then(|text| {
-                let band = Band::read(&text);
+                let band = LoadBand::parse(&text);
                 if band.is_none() {
                     rule.report("band", "expected calm, steady or busy");
                 }
--- a/crates/desired/src/object_reader.rs
+++ b/crates/desired/src/object_reader.rs
@@ -115,7 +115,7 @@
         let Some(named) = ObjectReader::open(&path, value, self.errors) else { return };
         for (name, member) in named.members {
             let member_path = format!("{path}.{name}");
-            if !is_name(name) {
+            if !is_valid_name(name) {
                 named.errors.push(ValidationError::at(&member_path, "not a name: 1 to 64 of a-z A-Z 0-9 - _ ."));
                 continue;
             }
@@ -133,7 +133,7 @@
         let Some(mut named) = ObjectReader::open(&path, value, self.errors) else { return found };
         let names: Vec<String> = named.members.keys().map(|name| (*name).to_owned()).collect();
         for name in names {
-            if !is_name(&name) {
+            if !is_valid_name(&name) {
                 named.report(&name, "not a name: 1 to 64 of a-z A-Z 0-9 - _ .");
             }
             if let Some(text) = named.text(&name) {
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -28,10 +28,10 @@
 pub(crate) use queues::prelude::*;
 pub use router::prelude::RouterAddress;
 pub use router::prelude::Timing;
-pub(crate) use router::prelude::{CoreLine, FeedPlan, GrantNews, SharedState, keep_feed};
+pub(crate) use router::prelude::{CoreLine, FeedPlan, GrantReport, SharedState, keep_feed};
 pub(crate) use routes::prelude::{NamedRoute, RouteKind};
 pub use selection::prelude::{
-    Band, Candidate, Chosen, FaultKind, FollowOutcome, NodeLoad, Selection, SelectionRequest, SelectionSettings,
+    Candidate, Chosen, FaultKind, FollowOutcome, LoadBand, NodeLoad, Selection, SelectionRequest, SelectionSettings,
     Selector, StoreLocation, store_source,
 };
 pub(crate) use serde::{Deserialize, Serialize};
--- a/crates/keeper/src/conducting.rs
+++ b/crates/keeper/src/conducting.rs
@@ -75,7 +75,7 @@
                     );
                 }
                 ConductorAction::Load { engine, address, weights } => {
-                    let wish = OrderWish::LoadWeights { weights: weights.0 };
+                    let wish = EngineOrderAction::LoadWeights { weights: weights.0 };
                     give_order(&shelf, &mut ordering, engine, address, term, me, wish);
                 }
                 ConductorAction::DoStep { plan, .. }
@@ -93,7 +93,7 @@
                     submit_once(&executor, &mut ordering, naming, Command::EndPlan { term, plan, halted });
                 }
                 ConductorAction::Open { engine, address } => {
-                    give_order(&shelf, &mut ordering, engine, address, term, me, OrderWish::Open);
+                    give_order(&shelf, &mut ordering, engine, address, term, me, EngineOrderAction::Open);
                 }
             }
         }
@@ -124,11 +124,11 @@
             submit_once(executor, ordering, naming, Command::ActivateRevision { term, adapter });
         }
         WarmingAction::Load { engine, address, adapter } => {
-            let wish = OrderWish::LoadAdapter { adapter: adapter.to_string() };
+            let wish = EngineOrderAction::LoadAdapter { adapter: adapter.to_string() };
             give_order(shelf, ordering, engine, address, term, me, wish);
         }
         WarmingAction::Unload { engine, address, adapter } => {
-            let wish = OrderWish::UnloadAdapter { adapter: adapter.to_string() };
+            let wish = EngineOrderAction::UnloadAdapter { adapter: adapter.to_string() };
             give_order(shelf, ordering, engine, address, term, me, wish);
         }
     }
@@ -158,7 +158,7 @@
     address: String,
     term: Term,
     me: NodeId,
-    wish: OrderWish,
+    wish: EngineOrderAction,
 ) {
     if ordering.contains_key(&engine) {
         return;
@@ -212,7 +212,7 @@
 fn seen_engine(told: &EngineState, at: Instant) -> AdapterReport {
     AdapterReport {
         boot: told.boot.clone(),
-        resident: told.adapters.iter().filter_map(|text| AdapterId::read(text)).collect(),
+        resident: told.adapters.iter().filter_map(|text| AdapterId::parse(text)).collect(),
         places: told.adapter_places,
         at,
     }
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -81,7 +81,7 @@
     begun: impl FnOnce(NodeId),
 ) -> Result<(), Report> {
     let shown_folder = plan.data_folder.display().to_string();
-    let (queue, commands) = ring::<ExecutorCommand>(4096);
+    let (queue, commands) = bounded_queue::<ExecutorCommand>(4096);
     tended(KeeperHandle { queue: queue.clone() })?;
     let mut patience = Patience::new(commands);
     let mut filing = Filing::of(data_folder(&plan));
@@ -213,7 +213,7 @@
     plan: &KeeperPlan,
     me: &Member,
     kept: &PersistedState,
-) -> Result<Option<(Vec<Stored>, Mark, FleetState)>, String> {
+) -> Result<Option<(Vec<Stored>, LogPosition, FleetState)>, String> {
     let Founding::Founds { document, tolerance, or_joins } = &plan.founding else { return Ok(None) };
     if kept.view.is_some() {
         return if *or_joins { Ok(None) } else { Err("the data folder already belongs to a fleet".into()) };
@@ -227,7 +227,7 @@
     let command = Command::Replace { base: None, text: document.clone() };
     let outcome = founding_state.apply(&Submission { request: RequestId::random(), command });
     let CommandOutcome::Applied(_) = outcome else { return Err("the founding document was refused".into()) };
-    let mark = Mark { edition: founding_state.edition, view: ViewNumber(1) };
+    let mark = LogPosition { edition: founding_state.edition, view: ViewNumber(1) };
     let stored = Coordinator::bootstrap_with_tolerance(me, FleetId::random(), founding_state.clone(), *tolerance);
     Ok(Some((stored, mark, founding_state)))
 }
--- a/crates/placement/src/engine_state.rs
+++ b/crates/placement/src/engine_state.rs
@@ -13,7 +13,7 @@
     /// The engine's number in the prefix tree.
     pub(crate) index: u32,
     /// The position in the engine's events; none if its full list is needed.
-    pub(crate) position: Option<SourcePlace>,
+    pub(crate) position: Option<EventCursor>,
     /// When the last answered poll was sent; all events up to then are known.
     pub(crate) events_known_until: Instant,
     /// Blocks whose storage events are expected, and since when.
--- a/crates/placement/src/fleet_snapshot.rs
+++ b/crates/placement/src/fleet_snapshot.rs
@@ -25,9 +25,9 @@
     /// The state in force on this router.
     pub state: Arc<FleetState>,
     /// The default policy, compiled.
-    pub default_table: Table,
+    pub default_table: WeightTable,
     /// For each tenant on trial, the name of its policy and the compiled policy.
-    pub trial_tables: BTreeMap<TenantName, (String, Table)>,
+    pub trial_tables: BTreeMap<TenantName, (String, WeightTable)>,
     /// Tenants by the hashes of their keys.
     pub tenants_by_key: HashMap<String, TenantName>,
     /// Until when an edition that is no longer desired may be used. The time counts from the first newer edition;
--- a/crates/placement/src/pick.rs
+++ b/crates/placement/src/pick.rs
@@ -71,7 +71,7 @@
     }
 
     /// The scores of all eligible engines; those that back off are included only if all of them do.
-    fn score(&self, snapshot: &FleetSnapshot, prompt: &Prompt, table: &Table, now: Instant) -> Vec<Score> {
+    fn score(&self, snapshot: &FleetSnapshot, prompt: &Prompt, table: &WeightTable, now: Instant) -> Vec<Score> {
         let overlaps = prompt
             .names
             .iter()
@@ -106,7 +106,7 @@
     picker: &'a Picker,
     snapshot: &'a FleetSnapshot,
     prompt: &'a Prompt,
-    table: &'a Table,
+    table: &'a WeightTable,
     /// The cached prefix of each source in blocks, for each weights edition in use.
     overlaps: BTreeMap<WeightsEdition, HashMap<SourceIndex, BlockCount>>,
     now: Instant,
@@ -130,7 +130,7 @@
         let overlap = self.overlap(state, listed.role, by_events, weights, names);
         let decode_blocks = state.decode_blocks(self.picker.average_blocks, self.now);
         let prefill_blocks = BlockCount(prompt.blocks.0 - overlap.0.min(prompt.blocks.0));
-        let weight = self.table.weight(&prompt.tenant, &prompt.kind, Band::of(decode_blocks));
+        let weight = self.table.weight(&prompt.tenant, &prompt.kind, LoadBand::of(decode_blocks));
         let cost = match listed.role {
             Role::Decode => (decode_blocks.0 + prompt.blocks.0 + prompt.output_blocks.0) as f64,
             _ => cost(weight, prefill_blocks, decode_blocks),
@@ -193,7 +193,7 @@
 }
 
 /// The policy for a prompt and its weight table: the trial policy for a share of the prompts of a tenant on trial.
-fn table_for<'a>(snapshot: &'a FleetSnapshot, prompt: &Prompt) -> (&'a str, &'a Table) {
+fn table_for<'a>(snapshot: &'a FleetSnapshot, prompt: &Prompt) -> (&'a str, &'a WeightTable) {
     let is_on_trial = prompt.trial_bucket < snapshot.state.desired.routing.trial_percent;
     match snapshot.trial_tables.get(&prompt.tenant).filter(|_| is_on_trial) {
         Some((name, table)) => (name, table),
@@ -208,5 +208,5 @@
 
 /// The order among engines of equal cost.
 pub fn spread_of(prefix: BlockHash, router: NodeId, engine: &EngineName) -> BlockHash {
-    BlockHash::over(&[&prefix.0.to_le_bytes(), &router.0.to_le_bytes(), engine.as_str().as_bytes()])
+    BlockHash::of_parts(&[&prefix.0.to_le_bytes(), &router.0.to_le_bytes(), engine.as_str().as_bytes()])
 }
--- a/crates/placement/src/picker.rs
+++ b/crates/placement/src/picker.rs
@@ -18,7 +18,7 @@
 pub struct Picker {
     pub(crate) router: NodeId,
     pub(crate) zone: Zone,
-    pub(crate) tree: PrefixTree,
+    pub(crate) tree: PrefixIndex,
     pub(crate) history: SentHistory,
     pub(crate) engines: BTreeMap<EngineName, EngineState>,
     next_index: u32,
@@ -32,7 +32,7 @@
         Picker {
             router,
             zone,
-            tree: PrefixTree::default(),
+            tree: PrefixIndex::default(),
             history: SentHistory::new(HISTORY_BLOCKS),
             engines: BTreeMap::new(),
             next_index: 0,
@@ -68,7 +68,7 @@
     }
 
     /// The position from which to request an engine's events; none if its full list is needed.
-    pub fn event_position(&mut self, engine: &EngineName) -> Option<SourcePlace> {
+    pub fn event_position(&mut self, engine: &EngineName) -> Option<EventCursor> {
         self.engine_mut(engine).position.clone()
     }
 
@@ -82,12 +82,12 @@
         requested_at: Instant,
     ) {
         let state = self.engine_mut(engine);
-        state.position = Some(SourcePlace { boot: boot.to_owned(), next_number });
+        state.position = Some(EventCursor { boot: boot.to_owned(), next_number });
         state.events_known_until = requested_at;
         state.expected_blocks.clear();
         let index = SourceIndex(state.index);
         self.tree.drop_source(index);
-        self.tree.apply(index, &KeptEvent::Stored(names));
+        self.tree.apply(index, &CacheEvent::Stored(names));
     }
 
     /// Applies a batch of events and returns whether the engine is still followed. After a gap or another boot,
@@ -97,14 +97,14 @@
         engine: &EngineName,
         boot: &str,
         first: u64,
-        batch: &[KeptEvent],
+        batch: &[CacheEvent],
         requested_at: Instant,
     ) -> bool {
         let state = self.engine_mut(engine);
         let index = SourceIndex(state.index);
         let Some(position) = state.position.as_mut() else { return false };
         let boot_changed = position.boot != boot;
-        let Some(new_events) = position.follow(boot, first, batch) else {
+        let Some(new_events) = position.accept_batch(boot, first, batch) else {
             state.position = None;
             state.expected_blocks.clear();
             self.tree.drop_source(index);
@@ -115,7 +115,7 @@
         };
         state.events_known_until = state.events_known_until.max(requested_at);
         for event in new_events {
-            if let KeptEvent::Stored(names) = event {
+            if let CacheEvent::Stored(names) = event {
                 for name in names {
                     state.expected_blocks.remove(name);
                 }
@@ -150,7 +150,7 @@
     pub fn record_kept(&mut self, engine: &EngineName, names: &[BlockHash], now: Instant) {
         let index = SourceIndex(self.engine_mut(engine).index);
         self.history.record(index, names);
-        let Some(last_name) = names.last().copied().filter(|name| !self.tree.keeps(index, *name)) else { return };
+        let Some(last_name) = names.last().copied().filter(|name| !self.tree.contains(index, *name)) else { return };
         self.engine_mut(engine).expected_blocks.entry(last_name).or_insert(now);
     }
 
--- a/crates/placement/tests/picker.rs
+++ b/crates/placement/tests/picker.rs
@@ -1,6 +1,6 @@
 //! Picks on small fleets: cost, late events, eligibility, trials, old weights, fetches, disaggregated pools.
 
-use blocks::prelude::{Salt, cut};
+use blocks::prelude::{Salt, hash_blocks};
 use desired::prelude::{
     AdapterCopy, Command, CommandOutcome, CopyStage, EngineStatus, FleetState, Listed, ListedEngine, Listing,
     Submission,
@@ -40,8 +40,8 @@
 }
 
 fn prompt(text: &str) -> Prompt {
-    let salt = Salt::of(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0));
-    let names = cut(&salt, text.as_bytes());
+    let salt = Salt::for_model(&"m".into(), WeightsEdition(1), WallId(0), WallEdition(0));
+    let names = hash_blocks(&salt, text.as_bytes());
     Prompt {
         tenant: "t".into(),
         kind: "k".into(),
@@ -95,7 +95,7 @@
     let placement = picker.pick(&snapshot, &asked_prompt, later).unwrap();
     assert_eq!(placement.chosen.engine, "two".into(), "a missing storage event makes events late");
     assert!(!placement.chosen.by_events);
-    let stored = KeptEvent::Stored(names.clone());
+    let stored = CacheEvent::Stored(names.clone());
     assert!(picker.apply_events(&"two".into(), "x", 1, &[stored], later));
     let placement = picker.pick(&snapshot, &asked_prompt, later).unwrap();
     assert!(placement.chosen.by_events);
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -13,13 +13,13 @@
     sight: RwLock<Arc<FleetSnapshot>>,
     /// The end of the lease as the watch tells it, for those who only look at it.
     lease_until: AtomicU64,
-    grants: Mutex<GrantWatch>,
+    grants: Mutex<GrantTracker>,
     pub draining: AtomicBool,
     pub counts: Counts,
     routers: Mutex<RouterRoster>,
     /// Where the bound on old weights is counted in undisturbed time: when the core was last disturbed.
     disturbed: std::sync::OnceLock<Arc<AtomicU64>>,
-    policies: Mutex<PolicyBook>,
+    policies: Mutex<PolicyMetrics>,
     demand: Mutex<DemandMeter>,
 }
 
@@ -70,7 +70,7 @@
 impl SharedState {
     /// The state of a router that has heard of nothing yet.
     pub fn under(timing: Timing) -> SharedState {
-        SharedState { grants: Mutex::new(GrantWatch::new(timing)), ..SharedState::default() }
+        SharedState { grants: Mutex::new(GrantTracker::new(timing)), ..SharedState::default() }
     }
 
     pub fn sight(&self) -> Arc<FleetSnapshot> {
@@ -84,29 +84,29 @@
         let (old_policies, new_policies) = (&earlier.state.desired.policies, &sight.state.desired.policies);
         let names = old_policies.keys().chain(new_policies.keys());
         for name in names.filter(|name| old_policies.get(*name) != new_policies.get(*name)) {
-            self.policies().forget(name);
+            self.policies().clear_policy(name);
         }
         let (before, after) = (&earlier.state.desired, &sight.state.desired);
         let share_moved = before.routing.trial_percent != after.routing.trial_percent;
         for tenant in before.trials.keys().chain(after.trials.keys()) {
             if share_moved || before.trials.get(tenant) != after.trials.get(tenant) {
-                self.policies().forget_tenant(tenant.as_str());
+                self.policies().clear_tenant(tenant.as_str());
             }
         }
         *self.sight.write().expect("no holder of this lock panics") = Arc::new(sight);
         self.news.send_modify(|count| *count += 1);
     }
 
-    fn policies(&self) -> std::sync::MutexGuard<'_, PolicyBook> {
+    fn policies(&self) -> std::sync::MutexGuard<'_, PolicyMetrics> {
         self.policies.lock().expect("no holder of this lock panics")
     }
 
-    pub fn note_policy(&self, policy: &str, tenant: &TenantName, note: impl FnOnce(&mut Figures)) {
-        note(self.policies().of(policy, tenant.as_str()));
+    pub fn note_policy(&self, policy: &str, tenant: &TenantName, note: impl FnOnce(&mut TrafficMetrics)) {
+        note(self.policies().entry(policy, tenant.as_str()));
     }
 
     pub fn policy_metrics(&self) -> String {
-        self.policies().tell()
+        self.policies().to_prometheus()
     }
 
     /// Counts a request for the adapter it runs on, whether it is served or not.
@@ -146,7 +146,7 @@
     }
 
     /// Looks at the watch over grants, or tells it something; the end of the lease follows.
-    pub fn watch_grants<T>(&self, look: impl FnOnce(&mut GrantWatch) -> T) -> T {
+    pub fn watch_grants<T>(&self, look: impl FnOnce(&mut GrantTracker) -> T) -> T {
         let mut grants = self.grants.lock().expect("no holder of this lock panics");
         let told = look(&mut grants);
         self.lease_until.fetch_max(grants.until().0, Ordering::SeqCst);
--- a/crates/selection/src/choice.rs
+++ b/crates/selection/src/choice.rs
@@ -48,7 +48,7 @@
         &self,
         candidates: &[Candidate],
         request: &SelectionRequest,
-        weight_of: impl Fn(Band) -> f64,
+        weight_of: impl Fn(LoadBand) -> f64,
         now: Instant,
     ) -> Selection {
         let unknown = SourceState::default();
@@ -180,7 +180,7 @@
         &self,
         available: &AvailableCandidate<'a>,
         context: &ScoringContext<'_>,
-        weight_of: &impl Fn(Band) -> f64,
+        weight_of: &impl Fn(LoadBand) -> f64,
     ) -> Score<'a> {
         let AvailableCandidate { candidate, state, foreign_load, availability } = available;
         let (request, now) = (context.request, context.now);
@@ -195,7 +195,7 @@
         let zone_blocks = if candidate.zone == self.zone { 0.0 } else { request.zone_penalty_blocks };
         let failure_cost = state.recent_failures(now) * self.settings.recent_failure_cost;
         let cost =
-            cost(weight_of(Band::of(decode_blocks)), prefill_blocks, decode_blocks) + zone_blocks + failure_cost;
+            cost(weight_of(LoadBand::of(decode_blocks)), prefill_blocks, decode_blocks) + zone_blocks + failure_cost;
         Score {
             candidate,
             availability: *availability,
--- a/crates/selection/tests/overload.rs
+++ b/crates/selection/tests/overload.rs
@@ -27,7 +27,7 @@
 
 struct Pool {
     selector: Selector,
-    random: Draw,
+    random: SeededRng,
     queues: Vec<VecDeque<Attempt>>,
     /// When pending retries are due, in milliseconds.
     retries: Vec<u64>,
@@ -55,7 +55,7 @@
         let seconds = (DURATION_MS / 1000) as usize + 1;
         Pool {
             selector: Selector::with_settings(NodeId(1), "a".into(), settings),
-            random: Draw::new(seed),
+            random: SeededRng::new(seed),
             queues: (0..ENGINES).map(|_| VecDeque::new()).collect(),
             retries: Vec::new(),
             requested: vec![0; seconds],
@@ -77,7 +77,7 @@
     }
 
     fn request(&mut self) -> SelectionRequest {
-        let own_part = PartName::of("s", &self.random.number().to_string());
+        let own_part = PartName::of("s", &self.random.next_u64().to_string());
         SelectionRequest {
             parts_by_weights: BTreeMap::from([(WeightsEdition(1), vec![(own_part, PROMPT_TOKENS)])]),
             prompt_tokens: PROMPT_TOKENS,
@@ -86,8 +86,8 @@
             priority: 0,
             target: TARGET,
             block_tokens: 16,
-            tie_break_seed: self.random.number(),
-            sampling_seed: self.random.number(),
+            tie_break_seed: self.random.next_u64(),
+            sampling_seed: self.random.next_u64(),
             zone_penalty_blocks: 0.0,
             token_bytes: 1,
             link_mbps: 1.0,
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -270,7 +270,7 @@
             KeeperToAgent::Membership(view) => self.handle_membership(view, now),
             KeeperToAgent::Granted { sent, span, incarnation, undisturbed } => {
                 self.last_granted = now;
-                self.renew_interval = renewal_span(span);
+                self.renew_interval = renewal_interval(span);
                 self.stream_baseline = self.stream_baseline.max(sent);
                 self.behind_since = None;
                 self.redirect = None;
--- a/crates/subscription/src/prelude.rs
+++ b/crates/subscription/src/prelude.rs
@@ -6,5 +6,5 @@
     AgentToKeeper, CommandOutcome, DemandReport, FleetState, KeeperToAgent, RouterAddress, Submission, View,
 };
 pub(crate) use serde::{Deserialize, Serialize};
-pub(crate) use timing::prelude::renewal_span;
+pub(crate) use timing::prelude::renewal_interval;
 pub(crate) use units::prelude::*;
