--- a/crates/keeper/src/filing.rs
+++ b/crates/keeper/src/filing.rs
@@ -9,20 +9,20 @@
 const TRIAL_BYTES: usize = 64 << 10;
 
 pub struct Filing {
-    folder: Folder,
+    folder: DataFolder,
     snapshot_edition: Edition,
     /// Of the records since the latest snapshot.
     record_bytes: u64,
 }
 
 impl Filing {
-    pub fn of(folder: Folder) -> Filing {
+    pub fn of(folder: DataFolder) -> Filing {
         Filing { folder, snapshot_edition: Edition(0), record_bytes: 0 }
     }
 
     /// Opens a data folder; also tells its identity.
     pub fn open(data_folder: &Path) -> Result<(Filing, NodeId), DiskFault> {
-        let mut filing = Filing::of(Folder::open(data_folder)?);
+        let mut filing = Filing::of(DataFolder::open(data_folder)?);
         let identity = filing.identity()?;
         Ok((filing, identity))
     }
@@ -32,16 +32,16 @@
     }
 
     pub fn load(&mut self) -> Result<Kept, DiskFault> {
-        let (mark, state): (Mark, FleetState) = self.folder.plain("snapshot")?.unwrap_or_default();
-        let records: Vec<Record> = self.folder.numbered_after(mark.edition.0)?;
+        let (mark, state): (Mark, FleetState) = self.folder.read_value("snapshot")?.unwrap_or_default();
+        let records: Vec<Record> = self.folder.records_after(mark.edition.0)?;
         self.snapshot_edition = mark.edition;
-        self.record_bytes = self.folder.numbered_bytes()?;
+        self.record_bytes = self.folder.records_size()?;
         Ok(Kept {
-            view: self.folder.plain("view")?,
-            vote: self.folder.plain("vote")?.unwrap_or_default(),
-            aligned: self.folder.plain("aligned")?.unwrap_or_default(),
-            whole: self.folder.plain("whole")?.unwrap_or_default(),
-            begun: self.folder.plain("begun")?.unwrap_or_default(),
+            view: self.folder.read_value("view")?,
+            vote: self.folder.read_value("vote")?.unwrap_or_default(),
+            aligned: self.folder.read_value("aligned")?.unwrap_or_default(),
+            whole: self.folder.read_value("whole")?.unwrap_or_default(),
+            begun: self.folder.read_value("begun")?.unwrap_or_default(),
             mark,
             state,
             records,
@@ -50,8 +50,8 @@
 
     /// Writes something of size and takes it back: a keeper that cannot write has no part in the core.
     pub fn try_out(&mut self) -> Result<(), DiskFault> {
-        self.folder.store(&[Row::plain("trial", &vec![0u8; TRIAL_BYTES])?])?;
-        self.folder.store(&[Row::plain("trial", &())?])
+        self.folder.store(&[Row::key_value("trial", &vec![0u8; TRIAL_BYTES])?])?;
+        self.folder.store(&[Row::key_value("trial", &())?])
     }
 
     pub fn remembered_addresses(&mut self) -> Result<Vec<String>, DiskFault> {
@@ -65,36 +65,36 @@
     /// Stores a batch, synced; `mark` and `state` are where the log stands after it. A batch that failed may
     /// be stored again.
     pub fn store(&mut self, batch: &[Stored], mark: Mark, state: &FleetState) -> Result<(), DiskFault> {
-        self.folder.mend()?;
+        self.folder.ensure_open()?;
         let mut rows = Vec::new();
         let mut snapshot_edition = self.snapshot_edition;
         let mut record_bytes = self.record_bytes;
         for stored in batch {
             match stored {
                 Stored::Record(record) => {
-                    let row = Row::numbered(record.mark.edition.0, record)?;
+                    let row = Row::record(record.mark.edition.0, record)?;
                     record_bytes += row.size() as u64;
                     rows.push(row);
                 }
                 Stored::Snapshot { mark, state } => {
-                    rows.push(Row::plain("snapshot", &(mark, state))?);
-                    rows.push(Row::DropThrough(u64::MAX));
+                    rows.push(Row::key_value("snapshot", &(mark, state))?);
+                    rows.push(Row::DeleteThrough(u64::MAX));
                     snapshot_edition = mark.edition;
                     record_bytes = 0;
                 }
-                Stored::View(view) => rows.push(Row::plain("view", view)?),
-                Stored::Vote(vote) => rows.push(Row::plain("vote", vote)?),
-                Stored::Whole(view_number) => rows.push(Row::plain("whole", view_number)?),
-                Stored::Begun(view_number) => rows.push(Row::plain("begun", view_number)?),
-                Stored::Aligned(view_number) => rows.push(Row::plain("aligned", view_number)?),
+                Stored::View(view) => rows.push(Row::key_value("view", view)?),
+                Stored::Vote(vote) => rows.push(Row::key_value("vote", vote)?),
+                Stored::Whole(view_number) => rows.push(Row::key_value("whole", view_number)?),
+                Stored::Begun(view_number) => rows.push(Row::key_value("begun", view_number)?),
+                Stored::Aligned(view_number) => rows.push(Row::key_value("aligned", view_number)?),
             }
         }
         let is_due = mark.edition.0 >= snapshot_edition.0 + SNAPSHOT_EVERY || record_bytes >= MOST_BYTES;
         if is_due {
             // The snapshot stands for them.
-            rows.retain(|row| !matches!(row, Row::Numbered { .. }));
-            rows.push(Row::plain("snapshot", &(mark, state))?);
-            rows.push(Row::DropThrough(mark.edition.0));
+            rows.retain(|row| !matches!(row, Row::Record { .. }));
+            rows.push(Row::key_value("snapshot", &(mark, state))?);
+            rows.push(Row::DeleteThrough(mark.edition.0));
             snapshot_edition = mark.edition;
             record_bytes = 0;
         }
--- a/crates/keeper/src/patience.rs
+++ b/crates/keeper/src/patience.rs
@@ -50,7 +50,7 @@
                 }
                 Err(fault) => fault,
             };
-            if !fault.may_pass {
+            if !fault.is_transient {
                 return Err(fault);
             }
             if began.is_none() {
--- a/crates/keeper/src/prelude.rs
+++ b/crates/keeper/src/prelude.rs
@@ -25,7 +25,7 @@
     ListedEngine, Plan, PlanStatus, Policy, Revision, Role, merge, parse_bounded, read_document, read_intent,
     write_sorted,
 };
-pub(crate) use ledger::prelude::{DiskFault, Folder, Row};
+pub(crate) use ledger::prelude::{DataFolder, DiskFault, Row};
 pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, Post, Purpose, accept_links};
 pub(crate) use process::prelude::*;
 pub(crate) use queues::prelude::*;
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -153,15 +153,15 @@
 }
 
 #[cfg(not(feature = "faults"))]
-fn data_folder(plan: &KeeperPlan) -> Folder {
-    Folder::at(&plan.data_folder)
+fn data_folder(plan: &KeeperPlan) -> DataFolder {
+    DataFolder::at(&plan.data_folder)
 }
 
 #[cfg(feature = "faults")]
-fn data_folder(plan: &KeeperPlan) -> Folder {
+fn data_folder(plan: &KeeperPlan) -> DataFolder {
     match &plan.disk_faults {
-        Some(control) => Folder::on_frail(&plan.data_folder, control),
-        None => Folder::at(&plan.data_folder),
+        Some(control) => DataFolder::on_faulty_disk(&plan.data_folder, control),
+        None => DataFolder::at(&plan.data_folder),
     }
 }
 
--- a/crates/keeper/tests/filing.rs
+++ b/crates/keeper/tests/filing.rs
@@ -3,7 +3,7 @@
 use coordinator::prelude::*;
 use desired::prelude::{ConfigurationChange, Revision};
 use keeper::prelude::*;
-use ledger::prelude::{Folder, Row};
+use ledger::prelude::{DataFolder, Row};
 use std::path::{Path, PathBuf};
 use units::prelude::*;
 
@@ -40,11 +40,11 @@
     let restored_log = Log::restore(kept.mark, kept.state, kept.records);
     assert_eq!(restored_log.state().edition, Edition(700));
     drop(filing);
-    Folder::open(&path).unwrap().store(&[Row::numbered(702, &restored_log.last()).unwrap()]).unwrap();
+    DataFolder::open(&path).unwrap().store(&[Row::record(702, &restored_log.last()).unwrap()]).unwrap();
     let (mut filing, _) = Filing::open(&path).unwrap();
     let fault = filing.load().err().unwrap();
     assert!(fault.to_string().contains("record 702 stands where 701 should"), "{fault}");
-    assert!(!fault.may_pass);
+    assert!(!fault.is_transient);
     drop(filing);
     std::fs::remove_dir_all(&path).unwrap();
 }
--- a/crates/keeper/tests/patience.rs
+++ b/crates/keeper/tests/patience.rs
@@ -12,7 +12,7 @@
 use units::prelude::{FleetId, NodeId, Span};
 
 fn refusal() -> DiskFault {
-    DiskFault { reason: "no room".into(), may_pass: true }
+    DiskFault { reason: "no room".into(), is_transient: true }
 }
 
 /// An attempt that is refused for so long.
@@ -79,7 +79,7 @@
 fn it_ends_when_told_to_and_where_the_folder_is_damaged() {
     let (queue, commands) = ring::<ExecutorCommand>(64);
     let mut patience = Patience::new(commands);
-    let damage = || Err::<(), _>(DiskFault { reason: "damaged".into(), may_pass: false });
+    let damage = || Err::<(), _>(DiskFault { reason: "damaged".into(), is_transient: false });
     assert!(patience.insist(damage, |_| ()).is_err());
     queue.send(ExecutorCommand::Stop).unwrap();
     let began = Instant::now();
--- a/crates/ledger/src/fault.rs
+++ b/crates/ledger/src/fault.rs
@@ -7,12 +7,12 @@
     pub reason: String,
     /// The disk refuses for now, as a full or failing one does: asking again later may do. Otherwise the
     /// folder is damaged, foreign or out of reach.
-    pub may_pass: bool,
+    pub is_transient: bool,
 }
 
 impl DiskFault {
     pub(crate) fn lasting(reason: String) -> DiskFault {
-        DiskFault { reason, may_pass: false }
+        DiskFault { reason, is_transient: false }
     }
 }
 
@@ -30,12 +30,12 @@
     fn or_disk(self, doing: &str) -> Result<T, DiskFault> {
         self.map_err(|fault| {
             let fault = fault.into();
-            let may_pass = match &fault {
+            let is_transient = match &fault {
                 redb::Error::Io(fault) => is_refusal(fault.kind()),
                 redb::Error::PreviousIo => true,
                 _ => false,
             };
-            DiskFault { reason: format!("{doing}: {fault}"), may_pass }
+            DiskFault { reason: format!("{doing}: {fault}"), is_transient }
         })
     }
 }
--- a/crates/ledger/src/faults.rs
+++ b/crates/ledger/src/faults.rs
@@ -9,20 +9,20 @@
 
 /// The pretended disk; it outlives the storages opened on it.
 #[derive(Clone, Debug, Default)]
-pub struct PretendedDisk {
+pub struct SimulatedDisk {
     contents: Arc<Mutex<Contents>>,
     pub sync_millis: Arc<AtomicU64>,
     pub sync_faults: Arc<AtomicBool>,
     pub is_full: Arc<AtomicBool>,
     /// So many writes and syncs succeed, the same number after it fail, and the rest succeeds; nothing for all.
-    pub spell: Arc<Mutex<Option<Spell>>>,
+    pub fault_window: Arc<Mutex<Option<FaultWindow>>>,
 }
 
 /// A time of faults, counted in writes and syncs.
 #[derive(Clone, Copy, Debug)]
-pub struct Spell {
-    pub well: u64,
-    pub faulty: u64,
+pub struct FaultWindow {
+    pub successes: u64,
+    pub failures: u64,
 }
 
 /// A name in the folder, as a loss of power may treat it by itself.
@@ -39,7 +39,7 @@
 /// The files, by their numbers; and which of them each name stands for, as seen and as synced.
 #[derive(Debug, Default)]
 struct Contents {
-    files: Vec<PretendedFile>,
+    files: Vec<SimulatedFile>,
     seen: Names,
     synced: Names,
 }
@@ -61,7 +61,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct PretendedFile {
+struct SimulatedFile {
     durable: Vec<u8>,
     seen: Vec<u8>,
     /// Blocks written since the last sync, failed or not.
@@ -69,12 +69,12 @@
 }
 
 #[derive(Debug)]
-pub struct PretendedStorage {
-    disk: PretendedDisk,
+pub struct SimulatedStorage {
+    disk: SimulatedDisk,
     file: usize,
 }
 
-impl PretendedFile {
+impl SimulatedFile {
     /// Brings the blocks written since the last sync to the disk, or every second one of them.
     fn sync(&mut self, is_whole: bool) {
         let blocks = std::mem::take(&mut self.unsynced);
@@ -90,7 +90,7 @@
 }
 
 impl Contents {
-    fn add(&mut self, file: PretendedFile) -> usize {
+    fn add(&mut self, file: SimulatedFile) -> usize {
         self.files.push(file);
         self.files.len() - 1
     }
@@ -116,7 +116,7 @@
     }
 }
 
-impl PretendedDisk {
+impl SimulatedDisk {
     fn contents(&self) -> std::sync::MutexGuard<'_, Contents> {
         self.contents.lock().expect("no holder of this lock panics")
     }
@@ -129,7 +129,7 @@
 
     pub fn fill(&self, bytes: Vec<u8>) {
         let mut contents = self.contents();
-        let file = contents.add(PretendedFile { durable: bytes.clone(), seen: bytes, unsynced: BTreeSet::new() });
+        let file = contents.add(SimulatedFile { durable: bytes.clone(), seen: bytes, unsynced: BTreeSet::new() });
         contents.seen.current = Some(file);
         contents.synced.current = Some(file);
     }
@@ -145,7 +145,7 @@
         self.contents().lose_power(keeps);
     }
 
-    pub(crate) fn open_part(&self, part: Part) -> io::Result<PretendedStorage> {
+    pub(crate) fn open_part(&self, part: Part) -> io::Result<SimulatedStorage> {
         let is_new = part == Part::New;
         if is_new {
             self.check_room()?;
@@ -154,37 +154,37 @@
         let known = *contents.seen.of(part);
         let file = match known.filter(|_| !is_new) {
             Some(file) => file,
-            None => contents.add(PretendedFile::default()),
+            None => contents.add(SimulatedFile::default()),
         };
         *contents.seen.of(part) = Some(file);
-        Ok(PretendedStorage { disk: self.clone(), file })
+        Ok(SimulatedStorage { disk: self.clone(), file })
     }
 
     fn check_room(&self) -> io::Result<()> {
-        self.check_spell()?;
+        self.count_operation()?;
         if self.is_full.load(Ordering::SeqCst) {
             return Err(io::ErrorKind::StorageFull.into());
         }
         Ok(())
     }
 
-    fn check_spell(&self) -> io::Result<()> {
-        let mut spell = self.spell.lock().expect("no holder of this lock panics");
-        match spell.as_mut() {
-            Some(Spell { well: 0, faulty: 0 }) | None => Ok(()),
-            Some(Spell { well: 0, faulty }) => {
-                *faulty -= 1;
+    fn count_operation(&self) -> io::Result<()> {
+        let mut window = self.fault_window.lock().expect("no holder of this lock panics");
+        match window.as_mut() {
+            Some(FaultWindow { successes: 0, failures: 0 }) | None => Ok(()),
+            Some(FaultWindow { successes: 0, failures }) => {
+                *failures -= 1;
                 Err(io::Error::other("the disk is in a spell of faults"))
             }
-            Some(Spell { well, .. }) => {
-                *well -= 1;
+            Some(FaultWindow { successes, .. }) => {
+                *successes -= 1;
                 Ok(())
             }
         }
     }
 }
 
-impl Medium for PretendedDisk {
+impl Medium for SimulatedDisk {
     fn prepare(&self) -> io::Result<()> {
         Ok(())
     }
@@ -206,7 +206,7 @@
     }
 
     fn settle(&self) -> io::Result<()> {
-        self.check_spell()?;
+        self.count_operation()?;
         if self.sync_faults.load(Ordering::SeqCst) {
             return Err(io::Error::other("the disk does not sync"));
         }
@@ -232,13 +232,13 @@
     }
 }
 
-impl PretendedStorage {
-    fn with_file<T>(&self, work: impl FnOnce(&mut PretendedFile) -> T) -> T {
+impl SimulatedStorage {
+    fn with_file<T>(&self, work: impl FnOnce(&mut SimulatedFile) -> T) -> T {
         work(&mut self.disk.contents().files[self.file])
     }
 }
 
-impl StorageBackend for PretendedStorage {
+impl StorageBackend for SimulatedStorage {
     fn len(&self) -> io::Result<u64> {
         Ok(self.with_file(|file| file.seen.len() as u64))
     }
@@ -265,7 +265,7 @@
         if pause > 0 {
             std::thread::park_timeout(std::time::Duration::from_millis(pause));
         }
-        let mut outcome = self.disk.check_spell();
+        let mut outcome = self.disk.count_operation();
         if self.disk.sync_faults.load(Ordering::SeqCst) {
             outcome = Err(io::Error::other("the disk does not sync"));
         }
--- a/crates/ledger/src/folder.rs
+++ b/crates/ledger/src/folder.rs
@@ -10,7 +10,7 @@
 /// A keeper has little memory, and reads its ledger once.
 const CACHE_BYTES: usize = 8 << 20;
 
-pub struct Folder {
+pub struct DataFolder {
     medium: Box<dyn Medium>,
     /// Nothing before it is opened, and after a fault until it is opened again.
     database: Option<Database>,
@@ -26,67 +26,67 @@
 /// One row of a batch.
 #[derive(Debug)]
 pub enum Row {
-    Plain {
+    KeyValue {
         key: &'static str,
         bytes: Vec<u8>,
     },
-    Numbered {
+    Record {
         number: u64,
         bytes: Vec<u8>,
     },
     /// Numbered rows up to this one are no longer needed.
-    DropThrough(u64),
+    DeleteThrough(u64),
 }
 
 impl Row {
-    pub fn plain<T: Serialize>(key: &'static str, value: &T) -> Result<Row, DiskFault> {
-        Ok(Row::Plain { key, bytes: encode(value)? })
+    pub fn key_value<T: Serialize>(key: &'static str, value: &T) -> Result<Row, DiskFault> {
+        Ok(Row::KeyValue { key, bytes: encode(value)? })
     }
 
-    pub fn numbered<T: Serialize>(number: u64, value: &T) -> Result<Row, DiskFault> {
-        Ok(Row::Numbered { number, bytes: encode(value)? })
+    pub fn record<T: Serialize>(number: u64, value: &T) -> Result<Row, DiskFault> {
+        Ok(Row::Record { number, bytes: encode(value)? })
     }
 
     pub fn size(&self) -> usize {
         match self {
-            Row::Plain { bytes, .. } | Row::Numbered { bytes, .. } => bytes.len(),
-            Row::DropThrough(_) => 0,
+            Row::KeyValue { bytes, .. } | Row::Record { bytes, .. } => bytes.len(),
+            Row::DeleteThrough(_) => 0,
         }
     }
 }
 
-impl Folder {
-    /// A data folder that is opened when it is first used, or by `mend`.
-    pub fn at(data_folder: &Path) -> Folder {
-        Folder::on(Box::new(FolderMedium { folder: data_folder.to_owned() }))
+impl DataFolder {
+    /// A data folder that is opened when it is first used, or by `ensure_open`.
+    pub fn at(data_folder: &Path) -> DataFolder {
+        DataFolder::on(Box::new(FolderMedium { folder: data_folder.to_owned() }))
     }
 
     /// Opens the folder's ledger, making it if there is none.
-    pub fn open(data_folder: &Path) -> Result<Folder, DiskFault> {
-        let mut folder = Folder::at(data_folder);
-        folder.mend()?;
+    pub fn open(data_folder: &Path) -> Result<DataFolder, DiskFault> {
+        let mut folder = DataFolder::at(data_folder);
+        folder.ensure_open()?;
         Ok(folder)
     }
 
     /// A ledger on a pretended disk.
     #[cfg(feature = "faults")]
-    pub fn on_disk(disk: &PretendedDisk) -> Folder {
-        Folder::on(Box::new(disk.clone()))
+    pub fn on_simulated_disk(disk: &SimulatedDisk) -> DataFolder {
+        DataFolder::on(Box::new(disk.clone()))
     }
 
     /// A ledger on a disk that misbehaves as a control file says.
     #[cfg(feature = "faults")]
-    pub fn on_frail(data_folder: &Path, control: &Path) -> Folder {
-        Folder::on(Box::new(FrailMedium::new(data_folder, control)))
+    pub fn on_faulty_disk(data_folder: &Path, control: &Path) -> DataFolder {
+        DataFolder::on(Box::new(FrailMedium::new(data_folder, control)))
     }
 
-    fn on(medium: Box<dyn Medium>) -> Folder {
-        Folder { medium, database: None, synced: None, is_doubtful: Arc::default(), is_unsettled: true }
+    fn on(medium: Box<dyn Medium>) -> DataFolder {
+        DataFolder { medium, database: None, synced: None, is_doubtful: Arc::default(), is_unsettled: true }
     }
 
     /// Opens the ledger if it is not open: at first, making it if there is none, and after a fault. What was
     /// synced before must still be in it then; a batch that failed may or may not.
-    pub fn mend(&mut self) -> Result<(), DiskFault> {
+    pub fn ensure_open(&mut self) -> Result<(), DiskFault> {
         if self.database.is_some() {
             return Ok(());
         }
@@ -131,7 +131,7 @@
         }
         match read_plain::<u64>(&database, "format")? {
             Some(FORMAT) => {}
-            None => write(&database, &[Row::plain("format", &FORMAT)?], serial)?,
+            None => write(&database, &[Row::key_value("format", &FORMAT)?], serial)?,
             Some(other) => {
                 let reason = format!("ledger has format {other}, this program writes format {FORMAT}");
                 return Err(DiskFault::lasting(reason));
@@ -146,7 +146,7 @@
     fn make(&mut self) -> Result<(), DiskFault> {
         let storage = self.medium.open(Part::New).or_disk("make ledger")?;
         let database = open_ledger(storage, Arc::default())?;
-        write(&database, &[Row::plain("format", &FORMAT)?, Row::plain("identity", &NodeId::random())?], 0)?;
+        write(&database, &[Row::key_value("format", &FORMAT)?, Row::key_value("identity", &NodeId::random())?], 0)?;
         database.close().or_disk("make ledger")?;
         self.put_in_place()
     }
@@ -172,7 +172,7 @@
 
     /// Does something with the open ledger; after a fault it is to be opened again.
     fn with<T>(&mut self, work: impl FnOnce(&Database) -> Result<T, DiskFault>) -> Result<T, DiskFault> {
-        self.mend()?;
+        self.ensure_open()?;
         let Some(database) = &self.database else {
             return Err(DiskFault::lasting("the ledger is not open".into()));
         };
@@ -186,21 +186,21 @@
 
     /// This folder's identity, made with it.
     pub fn identity(&mut self) -> Result<NodeId, DiskFault> {
-        if let Some(known_identity) = self.plain("identity")? {
+        if let Some(known_identity) = self.read_value("identity")? {
             return Ok(known_identity);
         }
         let new_identity = NodeId::random();
-        self.write_plain("identity", &new_identity)?;
+        self.write_value("identity", &new_identity)?;
         Ok(new_identity)
     }
 
     /// Member addresses heard of last, tried besides the seeds.
     pub fn remembered_addresses(&mut self) -> Result<Vec<String>, DiskFault> {
-        Ok(self.plain("addresses")?.unwrap_or_default())
+        Ok(self.read_value("addresses")?.unwrap_or_default())
     }
 
     pub fn remember_addresses(&mut self, addresses: &[String]) -> Result<(), DiskFault> {
-        self.write_plain("addresses", &addresses.to_vec())
+        self.write_value("addresses", &addresses.to_vec())
     }
 
     /// Stores a batch of rows in one synced transaction. A batch that failed may be stored again.
@@ -208,7 +208,7 @@
         if batch.is_empty() {
             return Ok(());
         }
-        self.mend()?;
+        self.ensure_open()?;
         let serial = self.synced.unwrap_or(0) + 1;
         self.with(|database| write(database, batch, serial))?;
         self.synced = Some(serial);
@@ -216,21 +216,21 @@
     }
 
     /// The numbered rows after a number, which must follow it without a gap.
-    pub fn numbered_after<T: DeserializeOwned>(&mut self, last_known: u64) -> Result<Vec<T>, DiskFault> {
+    pub fn records_after<T: DeserializeOwned>(&mut self, last_known: u64) -> Result<Vec<T>, DiskFault> {
         self.with(|database| read_numbered(database, last_known))
     }
 
     /// The size of all numbered rows together.
-    pub fn numbered_bytes(&mut self) -> Result<u64, DiskFault> {
+    pub fn records_size(&mut self) -> Result<u64, DiskFault> {
         self.with(measure_numbered)
     }
 
-    pub fn plain<T: DeserializeOwned>(&mut self, key: &str) -> Result<Option<T>, DiskFault> {
+    pub fn read_value<T: DeserializeOwned>(&mut self, key: &str) -> Result<Option<T>, DiskFault> {
         self.with(|database| read_plain(database, key))
     }
 
-    pub fn write_plain<T: Serialize>(&mut self, key: &'static str, value: &T) -> Result<(), DiskFault> {
-        self.store(&[Row::plain(key, value)?])
+    pub fn write_value<T: Serialize>(&mut self, key: &'static str, value: &T) -> Result<(), DiskFault> {
+        self.store(&[Row::key_value(key, value)?])
     }
 }
 
@@ -240,19 +240,19 @@
 }
 
 fn write(database: &Database, batch: &[Row], serial: u64) -> Result<(), DiskFault> {
-    let counted = Row::plain(SERIAL, &serial)?;
+    let counted = Row::key_value(SERIAL, &serial)?;
     let writing = database.begin_write().or_disk("begin")?;
     for row in batch.iter().chain([&counted]) {
         match row {
-            Row::Plain { key, bytes } => {
+            Row::KeyValue { key, bytes } => {
                 let mut table = writing.open_table(PLAIN).or_disk("open table")?;
                 table.insert(*key, bytes.as_slice()).or_disk("write")?;
             }
-            Row::Numbered { number, bytes } => {
+            Row::Record { number, bytes } => {
                 let mut records = writing.open_table(RECORDS).or_disk("open records")?;
                 records.insert(*number, bytes.as_slice()).or_disk("write a record")?;
             }
-            Row::DropThrough(last_dropped) => {
+            Row::DeleteThrough(last_dropped) => {
                 let mut records = writing.open_table(RECORDS).or_disk("open records")?;
                 records.retain(|number, _| number > *last_dropped).or_disk("drop records")?;
             }
--- a/crates/ledger/src/frail.rs
+++ b/crates/ledger/src/frail.rs
@@ -6,7 +6,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct FrailMedium {
-    disk: PretendedDisk,
+    disk: SimulatedDisk,
     file: PathBuf,
     control: PathBuf,
 }
@@ -14,14 +14,14 @@
 #[derive(Debug)]
 struct FrailStorage {
     medium: FrailMedium,
-    storage: PretendedStorage,
+    storage: SimulatedStorage,
     part: Part,
 }
 
 impl FrailMedium {
     pub(crate) fn new(data_folder: &Path, control: &Path) -> FrailMedium {
         let medium = FrailMedium {
-            disk: PretendedDisk::default(),
+            disk: SimulatedDisk::default(),
             file: data_folder.join("ledger.redb"),
             control: control.to_owned(),
         };
--- a/crates/ledger/tests/folder.rs
+++ b/crates/ledger/tests/folder.rs
@@ -14,9 +14,9 @@
     std::fs::create_dir_all(&path).unwrap();
     std::fs::write(path.join("ledger.new"), "half a ledger").unwrap();
     std::fs::write(path.join("ledger.redb"), "").unwrap();
-    let identity = Folder::open(&path).unwrap().identity().unwrap();
+    let identity = DataFolder::open(&path).unwrap().identity().unwrap();
     std::fs::write(path.join("ledger.new"), "half a copy").unwrap();
-    let mut folder = Folder::open(&path).unwrap();
+    let mut folder = DataFolder::open(&path).unwrap();
     assert_eq!(folder.identity().unwrap(), identity);
     assert!(!path.join("ledger.new").exists());
     drop(folder);
@@ -26,20 +26,20 @@
 #[test]
 fn damage_and_folders_out_of_reach_do_not_pass() {
     let path = new_path();
-    let mut folder = Folder::open(&path).unwrap();
-    folder.write_plain("format", &99u64).unwrap();
+    let mut folder = DataFolder::open(&path).unwrap();
+    folder.write_value("format", &99u64).unwrap();
     drop(folder);
-    let foreign = Folder::open(&path).err().unwrap();
-    assert!(!foreign.may_pass && foreign.reason.contains("format 99"), "{foreign}");
+    let foreign = DataFolder::open(&path).err().unwrap();
+    assert!(!foreign.is_transient && foreign.reason.contains("format 99"), "{foreign}");
     let ledger = path.join("ledger.redb");
     let bytes = std::fs::read(&ledger).unwrap();
     std::fs::write(&ledger, &bytes[..bytes.len() / 2]).unwrap();
-    let cut = Folder::open(&path).err().unwrap();
-    assert!(!cut.may_pass, "{cut}");
+    let cut = DataFolder::open(&path).err().unwrap();
+    assert!(!cut.is_transient, "{cut}");
     std::fs::write(&ledger, "this is no ledger").unwrap();
-    let no_ledger = Folder::open(&path).err().unwrap();
-    assert!(!no_ledger.may_pass, "{no_ledger}");
-    let in_a_file = Folder::open(&ledger.join("folder")).err().unwrap();
-    assert!(!in_a_file.may_pass, "{in_a_file}");
+    let no_ledger = DataFolder::open(&path).err().unwrap();
+    assert!(!no_ledger.is_transient, "{no_ledger}");
+    let in_a_file = DataFolder::open(&ledger.join("folder")).err().unwrap();
+    assert!(!in_a_file.is_transient, "{in_a_file}");
     std::fs::remove_dir_all(&path).unwrap();
 }
