--- a/crates/caller/src/day.rs
+++ b/crates/caller/src/day.rs
@@ -68,7 +68,7 @@
             "model": self.model, "prompt": request.prompt, "max_tokens": kind.tokens, "stream": kind.streams,
             "kind": kind.name, "repeatable": kind.repeatable, "limit_ms": self.limit.as_millis(),
         });
-        let question = Question::with_json(Method::POST, "/v1/completions", &body)
+        let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", line.key));
         let asked = async {
             let stream = open_stream(router, Span::seconds(1)).await?;
@@ -113,7 +113,11 @@
 }
 
 /// Checks a whole answer: of one attempt of this run, every token the engine's own.
-async fn read_outcome(replied: &mut Replied, request: &Request, line: &mut CallerLine) -> Result<(), CutOrWrong> {
+async fn read_outcome(
+    replied: &mut IncomingResponse,
+    request: &Request,
+    line: &mut CallerLine,
+) -> Result<(), CutOrWrong> {
     let body = read_whole(&mut replied.body, 8 << 20, Duration::from_secs(15)).await.map_err(|_| CutOrWrong::Cut)?;
     let answer: Value = serde_json::from_slice(&body).map_err(|_| CutOrWrong::Wrong("answer is no JSON".into()))?;
     line.first_ms = Some(boot_millis() - line.at);
@@ -138,11 +142,15 @@
 }
 
 /// Checks a stream: pieces in order, none lost or repeated, all of one attempt, whole at its end mark.
-async fn read_stream(replied: &mut Replied, request: &Request, line: &mut CallerLine) -> Result<(), CutOrWrong> {
+async fn read_stream(
+    replied: &mut IncomingResponse,
+    request: &Request,
+    line: &mut CallerLine,
+) -> Result<(), CutOrWrong> {
     let mut pending = Vec::new();
     let mut attempt = String::new();
     loop {
-        let bytes = match replied.next_piece().await {
+        let bytes = match replied.next_chunk().await {
             Ok(Some(bytes)) => bytes,
             Ok(None) => return Err(CutOrWrong::Wrong("the stream ended cleanly without its end mark".into())),
             Err(_) => return Err(CutOrWrong::Cut),
--- a/crates/caller/src/prelude.rs
+++ b/crates/caller/src/prelude.rs
@@ -10,4 +10,4 @@
 pub(crate) use std::time::Duration;
 pub(crate) use units::prelude::*;
 pub(crate) use verdict::prelude::CallerLine;
-pub(crate) use web::prelude::{Method, Question, Replied, open_stream, read_whole, small_runtime};
+pub(crate) use web::prelude::{IncomingResponse, Method, OutgoingRequest, open_stream, read_whole, small_runtime};
--- a/crates/console/src/comparing.rs
+++ b/crates/console/src/comparing.rs
@@ -7,7 +7,8 @@
 pub fn gather(asker: &Asker, routers: &[String]) -> Result<PolicyBook, Report> {
     let mut book = PolicyBook::default();
     for router in routers {
-        let asked = asker.runtime.block_on(ask_whole(router, Question::get("/metrics"), asker.limit, 16 << 20));
+        let asked =
+            asker.runtime.block_on(fetch_response(router, OutgoingRequest::get("/metrics"), asker.limit, 16 << 20));
         let (_, _, body) = asked.map_err(|reason| miette!("{router}: {reason}"))?;
         let told =
             PolicyBook::read(&String::from_utf8_lossy(&body)).map_err(|reason| miette!("{router}: {reason}"))?;
--- a/crates/console/src/main.rs
+++ b/crates/console/src/main.rs
@@ -41,11 +41,11 @@
 
 impl Asker {
     /// Asks the doors in turn until one answers.
-    fn ask(&self, question: &Question) -> Result<Reply, Report> {
+    fn ask(&self, question: &OutgoingRequest) -> Result<Reply, Report> {
         let mut reasons = Vec::new();
         for door in &self.doors {
             let asked = question.clone().header("authorization", format!("Bearer {}", self.key));
-            match self.runtime.block_on(ask_whole(door, asked, self.limit, 16 << 20)) {
+            match self.runtime.block_on(fetch_response(door, asked, self.limit, 16 << 20)) {
                 Ok((status, headers, body)) => return Ok((status, headers, body.to_vec())),
                 Err(reason) => reasons.push(format!("{door}: {reason}")),
             }
@@ -54,7 +54,7 @@
     }
 
     fn present_edition(&self) -> Result<u64, Report> {
-        let (status, headers, body) = self.ask(&Question::get("/v1/desired-state"))?;
+        let (status, headers, body) = self.ask(&OutgoingRequest::get("/v1/desired-state"))?;
         let tag = headers.get("etag").and_then(|tag| tag.to_str().ok()).unwrap_or("");
         tag.trim_matches('"')
             .parse()
@@ -85,32 +85,31 @@
             return Ok(0);
         }
         Deed::Post { path, body } => {
-            Question::with_json(Method::POST, &path, &body).header("x-request-id", request.to_string())
+            OutgoingRequest::with_json(Method::POST, &path, &body).header("x-request-id", request.to_string())
         }
         Deed::PostFile { path, file } => {
             let text = std::fs::read_to_string(&file).map_err(|fault| miette!("{file}: {fault}"))?;
-            Question { method: Method::POST, body: text.into(), ..Question::get(&path) }
+            OutgoingRequest { method: Method::POST, body: text.into(), ..OutgoingRequest::get(&path) }
         }
-        Deed::Show { path } => Question::get(&path),
+        Deed::Show { path } => OutgoingRequest::get(&path),
         Deed::Change { method, file } => {
             let text = std::fs::read_to_string(&file).map_err(|fault| miette!("{file}: {fault}"))?;
             let base = match words.base {
                 Some(base) => base,
                 None => asker.present_edition()?,
             };
-            Question { method, body: text.into(), ..Question::get("/v1/desired-state") }
+            OutgoingRequest { method, body: text.into(), ..OutgoingRequest::get("/v1/desired-state") }
                 .header("content-type", "application/json")
                 .header("if-match", format!("\"{base}\""))
                 .header("x-request-id", request.to_string())
         }
         Deed::AddKey { path, key_file } => {
             let new_key = std::fs::read_to_string(&key_file).map_err(|fault| miette!("{key_file}: {fault}"))?;
-            Question::with_json(Method::PUT, &path, &json!({"key": new_key.trim()}))
+            OutgoingRequest::with_json(Method::PUT, &path, &json!({"key": new_key.trim()}))
                 .header("x-request-id", request.to_string())
         }
-        Deed::DropKey { path } => {
-            Question { method: Method::DELETE, ..Question::get(&path) }.header("x-request-id", request.to_string())
-        }
+        Deed::DropKey { path } => OutgoingRequest { method: Method::DELETE, ..OutgoingRequest::get(&path) }
+            .header("x-request-id", request.to_string()),
     };
     let (status, headers, body) = asker.ask(&question)?;
     show(words, status, &headers, &body)
--- a/crates/console/src/prelude.rs
+++ b/crates/console/src/prelude.rs
@@ -8,4 +8,4 @@
 pub(crate) use serde_json::{Value, json};
 pub(crate) use std::process::ExitCode;
 pub(crate) use units::prelude::*;
-pub(crate) use web::prelude::{HeaderMap, Method, Question, StatusCode, ask_whole, small_runtime};
+pub(crate) use web::prelude::{HeaderMap, Method, OutgoingRequest, StatusCode, fetch_response, small_runtime};
--- a/crates/engine/src/completion.rs
+++ b/crates/engine/src/completion.rs
@@ -38,21 +38,21 @@
 
 impl EngineSite {
     /// Completes a prompt, whole or as a stream of pieces.
-    pub(crate) async fn complete(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
+    pub(crate) async fn complete(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
         let attempt = asked.header(SHOT_HEADER).unwrap_or("").to_owned();
         let limit = limit_of(&asked);
         let asked_weights = weights_of(&asked);
         let Ok(adapter) = adapter_of(&asked) else { return bad_adapter() };
         let Ok(body) = asked.read_body(MOST_REQUEST_BYTES * 2).await else {
-            return refuse(StatusCode::BAD_REQUEST, "bad_request", "body unreadable");
+            return error_response(StatusCode::BAD_REQUEST, "bad_request", "body unreadable");
         };
         let Ok(request) = serde_json::from_slice::<EngineRequest>(&body) else {
-            return refuse(StatusCode::BAD_REQUEST, "bad_request", "no completion request");
+            return error_response(StatusCode::BAD_REQUEST, "bad_request", "no completion request");
         };
         self.log_received(&request, &attempt);
         let faults = held(&self.faults).clone();
         if faults.refuse {
-            return refuse(StatusCode::INTERNAL_SERVER_ERROR, "engine_fault", "told to refuse");
+            return error_response(StatusCode::INTERNAL_SERVER_ERROR, "engine_fault", "told to refuse");
         }
         let names = cut(&Salt(request.cache_salt.clone()), request.prompt.as_bytes());
         let weights = match self.admit(asked_weights, adapter.as_ref()) {
@@ -81,8 +81,8 @@
         }
     }
 
-    fn stream(self: Arc<Self>, work: Work, admitted: Admitted) -> WebOutcome {
-        let (pieces, answered) = outcome_pieces(StatusCode::OK, "text/event-stream", PIECE_PLACES);
+    fn stream(self: Arc<Self>, work: Work, admitted: Admitted) -> WebResponse {
+        let (pieces, answered) = streaming_response(StatusCode::OK, "text/event-stream", PIECE_PLACES);
         let answered = name_adapter(answered.with_header(SHOT_HEADER, &work.told_attempt), &work.told_adapter);
         tokio::spawn(async move {
             let (running, time_over) = self.begin(admitted);
@@ -98,18 +98,18 @@
         answered
     }
 
-    async fn answer_whole(&self, work: Work, admitted: Admitted) -> WebOutcome {
+    async fn answer_whole(&self, work: Work, admitted: Admitted) -> WebResponse {
         let (running, time_over) = self.begin(admitted);
         let fetched_blocks = tokio::select! {
             fetched_blocks = self.run(&work, &running, None) => fetched_blocks,
             () = passed(time_over) => {
-                return refuse(StatusCode::GATEWAY_TIMEOUT, "limit_passed", "the shot's limit passed");
+                return error_response(StatusCode::GATEWAY_TIMEOUT, "limit_passed", "the shot's limit passed");
             }
         };
         let whole_text: String = (0..work.request.max_tokens).map(|place| work.piece_text(place)).collect();
         drop(running);
         let completion = self.completion(&work, whole_text, Some(work.usage(fetched_blocks)));
-        let answered = outcome_json(StatusCode::OK, &json!(completion)).with_header(SHOT_HEADER, &work.told_attempt);
+        let answered = json_response(StatusCode::OK, &json!(completion)).with_header(SHOT_HEADER, &work.told_attempt);
         name_adapter(answered, &work.told_adapter)
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Fetches, prefills and decodes; how many blocks were fetched.
-    async fn run(&self, work: &Work, running: &Running<'_>, pieces: Option<&PieceSender>) -> u64 {
+    async fn run(&self, work: &Work, running: &Running<'_>, pieces: Option<&BodySender>) -> u64 {
         let prompt_blocks = blocks_of(work.request.prompt.len()).0;
         let _in_work = self.pace.begin(prompt_blocks);
         let fetched_blocks = self.fetch(&work.request.fetch, &work.names, work.cached_blocks as usize).await;
@@ -160,14 +160,14 @@
     }
 
     /// Prefills a prompt and keeps its blocks, for another engine to fetch and decode.
-    pub(crate) async fn prefill_only(&self, mut asked: Asked) -> WebOutcome {
+    pub(crate) async fn prefill_only(&self, mut asked: IncomingRequest) -> WebResponse {
         let attempt = asked.header(SHOT_HEADER).unwrap_or("").to_owned();
         let limit = limit_of(&asked);
         let asked_weights = weights_of(&asked);
         let Ok(adapter) = adapter_of(&asked) else { return bad_adapter() };
         let body = asked.read_body(MOST_REQUEST_BYTES * 2).await.unwrap_or_default();
         let Ok(request) = serde_json::from_slice::<PrefillRequest>(&body) else {
-            return refuse(StatusCode::BAD_REQUEST, "bad_request", "no prefill request");
+            return error_response(StatusCode::BAD_REQUEST, "bad_request", "no prefill request");
         };
         let names = cut(&Salt(request.cache_salt.clone()), request.prompt.as_bytes());
         let prompt_blocks = blocks_of(request.prompt.len()).0;
@@ -190,15 +190,15 @@
         let _in_work = self.pace.begin(prompt_blocks);
         let prefilling = self.pace.prefill(prompt_blocks - known_count as u64);
         if tokio::time::timeout(limit, prefilling).await.is_err() {
-            return refuse(StatusCode::GATEWAY_TIMEOUT, "limit_passed", "the prefill's limit passed");
+            return error_response(StatusCode::GATEWAY_TIMEOUT, "limit_passed", "the prefill's limit passed");
         }
         self.keep(&names, known_count);
-        outcome_json(StatusCode::OK, &json!(Found { found: names.len() as u64 }))
+        json_response(StatusCode::OK, &json!(Found { found: names.len() as u64 }))
     }
 }
 
 /// The weights a request asks for, if it names them.
-fn weights_of(asked: &Asked) -> Option<u64> {
+fn weights_of(asked: &IncomingRequest) -> Option<u64> {
     asked.header(WEIGHTS_HEADER).and_then(|text| text.parse().ok())
 }
 
@@ -208,14 +208,14 @@
 }
 
 /// The adapter a request names, if it names one.
-fn adapter_of(asked: &Asked) -> Result<Option<AdapterId>, ()> {
+fn adapter_of(asked: &IncomingRequest) -> Result<Option<AdapterId>, ()> {
     let Some(text) = asked.header(ADAPTER_HEADER) else { return Ok(None) };
     AdapterId::read(text).map(Some).ok_or(())
 }
 
 /// The refusal of a name that no adapter can have.
-pub(crate) fn bad_adapter() -> WebOutcome {
-    refuse(StatusCode::BAD_REQUEST, "bad_request", "an adapter is written name@revision")
+pub(crate) fn bad_adapter() -> WebResponse {
+    error_response(StatusCode::BAD_REQUEST, "bad_request", "an adapter is written name@revision")
 }
 
 /// An adapter as an answer names it: not at all for the bare model.
@@ -224,6 +224,6 @@
 }
 
 /// An answer's head names the adapter, if there is one.
-fn name_adapter(answered: WebOutcome, adapter: &str) -> WebOutcome {
+fn name_adapter(answered: WebResponse, adapter: &str) -> WebResponse {
     if adapter.is_empty() { answered } else { answered.with_header(ADAPTER_HEADER, adapter) }
 }
--- a/crates/engine/src/faults.rs
+++ b/crates/engine/src/faults.rs
@@ -23,9 +23,9 @@
 
 impl EngineSite {
     /// Takes the faults that a body names; those it does not name end.
-    pub(crate) fn set_faults(&self, body: &[u8]) -> WebOutcome {
+    pub(crate) fn set_faults(&self, body: &[u8]) -> WebResponse {
         let Ok(wished) = serde_json::from_slice::<Value>(body) else {
-            return refuse(StatusCode::BAD_REQUEST, "bad_request", "no JSON");
+            return error_response(StatusCode::BAD_REQUEST, "bad_request", "no JSON");
         };
         let mut faults = held(&self.faults);
         faults.cut_after = wished["cut_after"].as_u64();
@@ -35,6 +35,6 @@
         faults.link_us = wished["link_us"].as_u64();
         faults.decode_us = wished["decode_us"].as_u64();
         faults.answers_as = wished["answers_as"].as_str().map(str::to_owned);
-        outcome_json(StatusCode::OK, &json!({}))
+        json_response(StatusCode::OK, &json!({}))
     }
 }
--- a/crates/engine/src/fetching.rs
+++ b/crates/engine/src/fetching.rs
@@ -13,8 +13,8 @@
         let Some(store) = self.store.clone().filter(|_| known_count < names.len()) else { return };
         let new_blocks = NamedBlocks { block_hashes: write_hashes(names) };
         tokio::spawn(async move {
-            let question = Question::with_json(Method::POST, "/v1/blocks", &json!(new_blocks));
-            let _ = ask_whole(&store, question, FETCH_LIMIT, MOST_ANSWER_BYTES).await;
+            let question = OutgoingRequest::with_json(Method::POST, "/v1/blocks", &json!(new_blocks));
+            let _ = fetch_response(&store, question, FETCH_LIMIT, MOST_ANSWER_BYTES).await;
         });
     }
 
@@ -30,8 +30,9 @@
                 _ => break,
             };
             let question = NamedBlocks { block_hashes: write_hashes(&wanted) };
-            let question = Question::with_json(Method::POST, "/v1/kept/blocks", &json!(question));
-            let Ok((_, _, body)) = ask_whole(&order.address, question, FETCH_LIMIT, MOST_ANSWER_BYTES).await else {
+            let question = OutgoingRequest::with_json(Method::POST, "/v1/kept/blocks", &json!(question));
+            let Ok((_, _, body)) = fetch_response(&order.address, question, FETCH_LIMIT, MOST_ANSWER_BYTES).await
+            else {
                 break;
             };
             let Ok(answer) = serde_json::from_slice::<Found>(&body) else { break };
@@ -54,10 +55,10 @@
     }
 
     /// Tells another engine how many of the blocks it names are kept here.
-    pub(crate) async fn tell_blocks(&self, mut asked: Asked) -> WebOutcome {
+    pub(crate) async fn tell_blocks(&self, mut asked: IncomingRequest) -> WebResponse {
         let Some(names) = read_names(&mut asked).await else { return bad_names() };
         self.log_line(&EngineLine::Asked { at: now_millis(), engine: self.name.clone() });
         let found = held(&self.memory).overlap(&names) as u64;
-        outcome_json(StatusCode::OK, &json!(Found { found }))
+        json_response(StatusCode::OK, &json!(Found { found }))
     }
 }
--- a/crates/engine/src/kept_pages.rs
+++ b/crates/engine/src/kept_pages.rs
@@ -12,7 +12,7 @@
     hides: impl Fn() -> bool,
     number: u64,
     wait_ms: u64,
-) -> WebOutcome {
+) -> WebResponse {
     let mut news = news.subscribe();
     let give_up = tokio::time::sleep(Duration::from_millis(wait_ms.min(LONGEST_POLL_MS)));
     tokio::pin!(give_up);
@@ -20,12 +20,12 @@
         news.borrow_and_update();
         let batch = held(memory).events_from(number);
         if !batch.events.is_empty() && !hides() {
-            return outcome_json(StatusCode::OK, &json!(batch));
+            return json_response(StatusCode::OK, &json!(batch));
         }
         tokio::select! {
             _ = &mut give_up => {
                 let empty = EventBatch { boot: batch.boot, first: number, events: Vec::new() };
-                return outcome_json(StatusCode::OK, &json!(empty));
+                return json_response(StatusCode::OK, &json!(empty));
             }
             _ = news.changed() => {}
         }
@@ -33,13 +33,13 @@
 }
 
 /// The block names in a request's body.
-pub async fn read_names(asked: &mut Asked) -> Option<Vec<BlockHash>> {
+pub async fn read_names(asked: &mut IncomingRequest) -> Option<Vec<BlockHash>> {
     let body = asked.read_body(MOST_NAMES_BYTES).await.ok()?;
     let named: NamedBlocks = serde_json::from_slice(&body).ok()?;
     read_hashes(&named.block_hashes)
 }
 
 /// The refusal of a body without block names.
-pub fn bad_names() -> WebOutcome {
-    refuse(StatusCode::BAD_REQUEST, "bad_request", "no block names")
+pub fn bad_names() -> WebResponse {
+    error_response(StatusCode::BAD_REQUEST, "bad_request", "no block names")
 }
--- a/crates/engine/src/orders.rs
+++ b/crates/engine/src/orders.rs
@@ -6,18 +6,18 @@
 
 impl EngineSite {
     /// Takes an order, if its term is the highest so far, and answers once it is carried out.
-    pub(crate) async fn take_order(&self, mut asked: Asked) -> WebOutcome {
+    pub(crate) async fn take_order(&self, mut asked: IncomingRequest) -> WebResponse {
         let Ok(body) = asked.read_body(MOST_ORDER_BYTES).await else {
-            return refuse(StatusCode::BAD_REQUEST, "bad_request", "body unreadable");
+            return error_response(StatusCode::BAD_REQUEST, "bad_request", "body unreadable");
         };
         let Ok(order) = serde_json::from_slice::<EngineOrder>(&body) else {
-            return refuse(StatusCode::BAD_REQUEST, "bad_request", "no order");
+            return error_response(StatusCode::BAD_REQUEST, "bad_request", "no order");
         };
         let highest_term = self.note_term(order.term);
         let taken = order.term >= highest_term;
         self.log_order(&order, taken);
         if !taken {
-            return refuse(StatusCode::CONFLICT, "lower_term", &format!("highest is {highest_term}"));
+            return error_response(StatusCode::CONFLICT, "lower_term", &format!("highest is {highest_term}"));
         }
         event!(
             info,
@@ -28,7 +28,7 @@
             wish = format!("{:?}", order.wish)
         );
         match self.obey(order.wish).await {
-            Ok(()) => outcome_json(StatusCode::OK, &json!(self.state())),
+            Ok(()) => json_response(StatusCode::OK, &json!(self.state())),
             Err(refusal) => *refusal,
         }
     }
@@ -51,7 +51,7 @@
         });
     }
 
-    async fn obey(&self, wish: OrderWish) -> Result<(), Box<WebOutcome>> {
+    async fn obey(&self, wish: OrderWish) -> Result<(), Box<WebResponse>> {
         match wish {
             OrderWish::Drain => held(&self.weights).accepting = false,
             OrderWish::Open => held(&self.weights).accepting = !self.stopping.load(Ordering::SeqCst),
@@ -71,11 +71,11 @@
     }
 
     /// Takes nothing more, loads the weights, and starts over with an empty memory.
-    async fn load_weights(&self, edition: u64) -> Result<(), Box<WebOutcome>> {
+    async fn load_weights(&self, edition: u64) -> Result<(), Box<WebResponse>> {
         held(&self.weights).accepting = false;
         tokio::time::sleep(self.load_time).await;
         if self.running.load(Ordering::SeqCst) > 0 {
-            return Err(Box::new(refuse(StatusCode::CONFLICT, "running", "requests still run")));
+            return Err(Box::new(error_response(StatusCode::CONFLICT, "running", "requests still run")));
         }
         held(&self.memory).clear();
         held(&self.adapters).clear();
@@ -96,6 +96,6 @@
     }
 }
 
-fn refused_order(refusal: &AdapterRefusal, reason: &str) -> Box<WebOutcome> {
-    Box::new(refuse(StatusCode::CONFLICT, refusal.kind(), reason))
+fn refused_order(refusal: &AdapterRefusal, reason: &str) -> Box<WebResponse> {
+    Box::new(error_response(StatusCode::CONFLICT, refusal.kind(), reason))
 }
--- a/crates/engine/src/running.rs
+++ b/crates/engine/src/running.rs
@@ -85,21 +85,23 @@
         &self,
         asked_weights: Option<u64>,
         adapter: Option<&AdapterId>,
-    ) -> Result<u64, Box<WebOutcome>> {
+    ) -> Result<u64, Box<WebResponse>> {
         let weights = held(&self.weights);
         if !weights.accepting {
-            let refusal = refuse(StatusCode::SERVICE_UNAVAILABLE, "not_accepting", "this engine starts nothing now");
+            let refusal =
+                error_response(StatusCode::SERVICE_UNAVAILABLE, "not_accepting", "this engine starts nothing now");
             return Err(Box::new(refusal));
         }
         if asked_weights.is_some_and(|asked_edition| asked_edition != weights.edition) {
-            let refusal = refuse(StatusCode::CONFLICT, "other_weights", &format!("weights {}", weights.edition));
+            let refusal =
+                error_response(StatusCode::CONFLICT, "other_weights", &format!("weights {}", weights.edition));
             return Err(Box::new(refusal));
         }
         if let Some(adapter) = adapter
             && let Err(refusal) = held(&self.adapters).enter(adapter)
         {
             let reason = format!("{adapter} is not held here");
-            return Err(Box::new(refuse(StatusCode::MISDIRECTED_REQUEST, refusal.kind(), &reason)));
+            return Err(Box::new(error_response(StatusCode::MISDIRECTED_REQUEST, refusal.kind(), &reason)));
         }
         self.running.fetch_add(1, Ordering::SeqCst);
         Ok(weights.edition)
@@ -114,20 +116,20 @@
     }
 
     /// Gives an attempt under way more time; less is never taken.
-    pub(crate) fn allow(&self, attempt: &str, asked: &Asked) -> WebOutcome {
+    pub(crate) fn allow(&self, attempt: &str, asked: &IncomingRequest) -> WebResponse {
         let until = boot_now() + Span::of(limit_of(asked));
         let is_running = held(&self.allowed).get(attempt).map(|allowed| {
             allowed.send_modify(|allowed_until| *allowed_until = until.max(*allowed_until));
         });
         match is_running {
-            Some(()) => outcome_json(StatusCode::OK, &json!({})),
-            None => refuse(StatusCode::NOT_FOUND, "no_such_shot", "no such shot is under way"),
+            Some(()) => json_response(StatusCode::OK, &json!({})),
+            None => error_response(StatusCode::NOT_FOUND, "no_such_shot", "no such shot is under way"),
         }
     }
 }
 
 /// How long an attempt may be worked on from now on.
-pub(crate) fn limit_of(asked: &Asked) -> Duration {
+pub(crate) fn limit_of(asked: &IncomingRequest) -> Duration {
     let limit_ms = asked.header(LIMIT_HEADER).and_then(|text| text.parse::<u64>().ok());
     Duration::from_millis(limit_ms.unwrap_or(LONGEST_WORK_MS).min(LONGEST_WORK_MS))
 }
--- a/crates/engine/src/site.rs
+++ b/crates/engine/src/site.rs
@@ -104,8 +104,8 @@
         }
     }
 
-    async fn enter(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
-        let (method, segments) = asked.way();
+    async fn enter(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
+        let (method, segments) = asked.method_and_path();
         match (method.as_str(), segments.as_slice()) {
             ("POST", ["v1", "completions"]) => self.complete(asked).await,
             ("GET", ["v1", "kept", "events"]) => {
@@ -116,22 +116,22 @@
             }
             ("GET", ["v1", "kept", "snapshot"]) => {
                 let snapshot = held(&self.memory).snapshot();
-                outcome_json(StatusCode::OK, &json!(snapshot))
+                json_response(StatusCode::OK, &json!(snapshot))
             }
             ("POST", ["v1", "kept", "blocks"]) => self.tell_blocks(asked).await,
             ("POST", ["v1", "shots", attempt, "limit"]) => self.allow(attempt, &asked),
             ("POST", ["v1", "prefill"]) => self.prefill_only(asked).await,
-            ("GET", ["v1", "state"]) => outcome_json(StatusCode::OK, &json!(self.state())),
+            ("GET", ["v1", "state"]) => json_response(StatusCode::OK, &json!(self.state())),
             ("GET", ["metrics"]) => self.metrics(),
-            ("GET", ["live"]) => outcome_bytes(StatusCode::OK, "text/plain", "live\n"),
+            ("GET", ["live"]) => bytes_response(StatusCode::OK, "text/plain", "live\n"),
             ("POST", ["v1", "orders"]) => self.take_order(asked).await,
             ("POST", ["v1", "faults"]) => {
                 let Ok(body) = asked.read_body(MOST_FAULTS_BYTES).await else {
-                    return refuse(StatusCode::BAD_REQUEST, "bad_request", "body unreadable");
+                    return error_response(StatusCode::BAD_REQUEST, "bad_request", "body unreadable");
                 };
                 self.set_faults(&body)
             }
-            _ => no_such_page(),
+            _ => not_found_response(),
         }
     }
 
@@ -155,7 +155,7 @@
         }
     }
 
-    fn metrics(&self) -> WebOutcome {
+    fn metrics(&self) -> WebResponse {
         let labels = format!("{{model_name=\"{}\"}}", self.model);
         let kept_share = held(&self.memory).kept_share();
         let text = format!(
@@ -167,10 +167,10 @@
             self.pace.blocks_in_work(),
             self.fetched.load(Ordering::SeqCst),
         );
-        outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
+        bytes_response(StatusCode::OK, "text/plain; version=0.0.4", text)
     }
 
-    async fn events(&self, number: u64, wait_ms: u64) -> WebOutcome {
+    async fn events(&self, number: u64, wait_ms: u64) -> WebResponse {
         tell_events(&self.memory, &self.news, || held(&self.faults).hide_events, number, wait_ms).await
     }
 
@@ -191,8 +191,8 @@
     }
 }
 
-impl Site for EngineSite {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for EngineSite {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(self.enter(asked))
     }
 }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -13,7 +13,7 @@
 const MOST_IDLE: usize = 8;
 
 struct IdleConnection {
-    connection: KeptConnection,
+    connection: PersistentConnection,
     until: Instant,
 }
 
@@ -35,7 +35,7 @@
     }
 
     /// A connection that lies idle, the one used last first.
-    fn take(&self, address: &str, now: Instant) -> Option<KeptConnection> {
+    fn take(&self, address: &str, now: Instant) -> Option<PersistentConnection> {
         let mut idle = self.idle();
         let connections = idle.get_mut(address)?;
         while let Some(found) = connections.pop() {
@@ -47,16 +47,16 @@
     }
 
     /// A connection to an address, idle or new; the flag tells whether it was used before.
-    pub async fn connect(&self, address: &str, now: Instant) -> Result<(KeptConnection, bool), String> {
+    pub async fn connect(&self, address: &str, now: Instant) -> Result<(PersistentConnection, bool), String> {
         if let Some(connection) = self.take(address, now) {
             return Ok((connection, true));
         }
-        let connection = KeptConnection::open(address, CONNECT_LIMIT, ENGINE_USER_TIMEOUT).await?;
+        let connection = PersistentConnection::open(address, CONNECT_LIMIT, ENGINE_USER_TIMEOUT).await?;
         Ok((connection, false))
     }
 
     /// Keeps a connection whose answer ended cleanly.
-    pub fn keep(&self, address: &str, connection: KeptConnection, answer: &AnswerHead, now: Instant) {
+    pub fn keep(&self, address: &str, connection: PersistentConnection, answer: &AnswerHead, now: Instant) {
         if answer.closes || self.keeps_none {
             return;
         }
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -133,7 +133,8 @@
         let mut question = RelayQuestion { life: 0, since: 0 };
         let mut faults = 0;
         loop {
-            if let Ok(mut connection) = KeptConnection::open(&self.address, CONNECT_LIMIT, SOURCE_USER_TIMEOUT).await
+            if let Ok(mut connection) =
+                PersistentConnection::open(&self.address, CONNECT_LIMIT, SOURCE_USER_TIMEOUT).await
             {
                 while let Ok(news) = self.ask(&mut connection, question).await {
                     faults = 0;
@@ -151,13 +152,13 @@
         }
     }
 
-    async fn ask(&self, connection: &mut KeptConnection, question: RelayQuestion) -> Result<RelayNews, String> {
+    async fn ask(&self, connection: &mut PersistentConnection, question: RelayQuestion) -> Result<RelayNews, String> {
         let body = rmp_serde::to_vec(&question).map_err(|fault| fault.to_string())?;
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = RELAY_PAGE.parse().unwrap_or_default();
         request.headers_mut().insert("host", HeaderValue::from_static("relay"));
-        match connection.ask(request, CALL_LIMIT, MOST_BYTES).await? {
+        match connection.fetch(request, CALL_LIMIT, MOST_BYTES).await? {
             (StatusCode::OK, _, body) => rmp_serde::from_slice(&body).map_err(|fault| fault.to_string()),
             (status, _, _) => Err(format!("status {status}")),
         }
@@ -178,7 +179,7 @@
 impl Follower {
     async fn follow(self) {
         loop {
-            let pause = match KeptConnection::open(&self.address, CONNECT_LIMIT, SOURCE_USER_TIMEOUT).await {
+            let pause = match PersistentConnection::open(&self.address, CONNECT_LIMIT, SOURCE_USER_TIMEOUT).await {
                 Ok(mut connection) => self.follow_on(&mut connection).await,
                 Err(_) => FAULT_PAUSE,
             };
@@ -188,7 +189,7 @@
     }
 
     /// Asks again and again on one connection; when that fails, tells how long to wait.
-    async fn follow_on(&self, connection: &mut KeptConnection) -> Duration {
+    async fn follow_on(&self, connection: &mut PersistentConnection) -> Duration {
         loop {
             let source = self.source.clone();
             let Some(position) = self.table.ask(|reply| TableCommand::Position { source, reply }).await else {
@@ -205,7 +206,11 @@
         }
     }
 
-    async fn ask_news(&self, connection: &mut KeptConnection, position: SourcePosition) -> Result<(), Duration> {
+    async fn ask_news(
+        &self,
+        connection: &mut PersistentConnection,
+        position: SourcePosition,
+    ) -> Result<(), Duration> {
         let request = self.protocol.ask_news(position.next, HELD_CALL);
         let body = self.ask(connection, request).await?;
         let news = self.protocol.read_news(&body).map_err(|reason| self.note_unreadable(&reason))?;
@@ -214,7 +219,7 @@
         Ok(())
     }
 
-    async fn ask_list(&self, connection: &mut KeptConnection) -> Result<(), Duration> {
+    async fn ask_list(&self, connection: &mut PersistentConnection) -> Result<(), Duration> {
         let heard = boot_now();
         let body = self.ask(connection, self.protocol.ask_list()).await?;
         let list = self.protocol.read_list(&body).map_err(|reason| self.note_unreadable(&reason))?;
@@ -222,8 +227,12 @@
         Ok(())
     }
 
-    async fn ask(&self, connection: &mut KeptConnection, request: Request<Full<Bytes>>) -> Result<Bytes, Duration> {
-        match connection.ask(request, CALL_LIMIT, MOST_BYTES).await {
+    async fn ask(
+        &self,
+        connection: &mut PersistentConnection,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Bytes, Duration> {
+        match connection.fetch(request, CALL_LIMIT, MOST_BYTES).await {
             Ok((StatusCode::OK, _, body)) => Ok(body),
             Ok((StatusCode::TOO_MANY_REQUESTS, _, _)) => Err(CROWDED_PAUSE),
             Ok(_) | Err(_) => Err(FAULT_PAUSE),
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -49,14 +49,14 @@
     }
 }
 
-impl Site for Front {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for Front {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(self.enter(asked))
     }
 }
 
 impl Front {
-    async fn enter(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
+    async fn enter(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
         let running = RunningCount::new(&self.shared);
         self.shared.counts.requests.fetch_add(1, Ordering::Relaxed);
         let is_chunked = asked.headers.contains_key("transfer-encoding");
@@ -72,18 +72,18 @@
         answered
     }
 
-    async fn relay(&self, planned: PlannedRequest, running: RunningCount) -> WebOutcome {
+    async fn relay(&self, planned: PlannedRequest, running: RunningCount) -> WebResponse {
         let relay = Relay::new(planned, running, self);
         relay.carry().await
     }
 
-    fn refuse(&self, refusal: &Refusal, attempt: &str) -> WebOutcome {
+    fn refuse(&self, refusal: &Refusal, attempt: &str) -> WebResponse {
         self.shared.counts.refused.fetch_add(1, Ordering::Relaxed);
         event!(debug, "request_refused", status = refusal.status.as_u16(), reason = refusal.reason);
         own_answer(&*self.protocol, attempt, refusal)
     }
 
-    async fn plan(&self, asked: &mut Asked) -> Result<PlannedRequest, Refusal> {
+    async fn plan(&self, asked: &mut IncomingRequest) -> Result<PlannedRequest, Refusal> {
         let began = boot_now();
         let sight = self.shared.sight();
         self.check_ready(&sight, began)?;
@@ -172,8 +172,8 @@
 }
 
 /// An answer of the gateway's own.
-pub fn own_answer(protocol: &dyn Protocol, attempt: &str, refusal: &Refusal) -> WebOutcome {
-    let mut answered = outcome_bytes(refusal.status, "text/plain", format!("{}\n", refusal.reason));
+pub fn own_answer(protocol: &dyn Protocol, attempt: &str, refusal: &Refusal) -> WebResponse {
+    let mut answered = bytes_response(refusal.status, "text/plain", format!("{}\n", refusal.reason));
     if let Some(span) = refusal.retry_after {
         let seconds = span.as_millis() as f64 / 1000.0;
         answered = answered.with_header("retry-after", &format!("{seconds:.3}"));
--- a/crates/gateway/src/grant_news.rs
+++ b/crates/gateway/src/grant_news.rs
@@ -71,7 +71,7 @@
 
 async fn ask_one(address: String, shared: Arc<SharedState>) {
     let asked = boot_now();
-    let answer = ask_whole(&address, Question::get(GRANT_PAGE), QUESTION_LIMIT, MOST_ANSWER_BYTES).await;
+    let answer = fetch_response(&address, OutgoingRequest::get(GRANT_PAGE), QUESTION_LIMIT, MOST_ANSWER_BYTES).await;
     let Ok((StatusCode::OK, _, body)) = answer else { return };
     let Ok(news) = rmp_serde::from_slice::<GrantNews>(&body) else { return };
     shared.watch_grants(|grants| grants.hear(news, asked, boot_now()));
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -42,8 +42,8 @@
 pub(crate) use tokio::sync::oneshot;
 pub use units::prelude::*;
 pub(crate) use web::prelude::{
-    Asked, BodyExt, BodyFault, CallerBounds, Incoming, KeptConnection, OpenConnections, OutcomeFuture, PieceSender,
-    Question, Response, Site, WebOutcome, WebOutcomeExt, ask_whole, bind, outcome_bytes, outcome_pieces, read_whole,
-    serve, serve_within,
+    BodyExt, BodyFault, BodySender, ConnectionTimeouts, Incoming, IncomingRequest, OpenConnections, OutgoingRequest,
+    PersistentConnection, RequestHandler, Response, ResponseFuture, WebResponse, WebResponseExt, bind,
+    bytes_response, fetch_response, read_whole, serve, serve_with_timeouts, streaming_response,
 };
 pub use web::prelude::{Bytes, Full, HeaderMap, HeaderName, HeaderValue, Method, Request, StatusCode};
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -44,7 +44,7 @@
     shared.publish(FleetSight { old_weights_span, disturbed, ..FleetSight::default() });
     let (table, changes) =
         start_table(node, plan.zone.clone(), Arc::clone(&shared), plan.retry_bounds, plan.disabled.clone());
-    let bounds = Arc::new(CallerBounds::default());
+    let bounds = Arc::new(ConnectionTimeouts::default());
     keep_feed(FeedPlan {
         agent_address: plan.agent_address.clone(),
         router: node,
@@ -92,7 +92,7 @@
             draws: AtomicU64::new(node.0),
         });
         let connections = Arc::new(OpenConnections::default());
-        let serving = tokio::spawn(serve_within(callers, front, bounds, Arc::clone(&connections)));
+        let serving = tokio::spawn(serve_with_timeouts(callers, front, bounds, Arc::clone(&connections)));
         let following =
             Following { node, shared: Arc::clone(&shared), table, pool, protocol: Arc::clone(&plan.protocol) };
         tokio::spawn(following.keep());
@@ -105,13 +105,13 @@
 fn follow_changes(
     shared: &Arc<SharedState>,
     table: &TableHandle,
-    bounds: &Arc<CallerBounds>,
+    bounds: &Arc<ConnectionTimeouts>,
 ) -> Box<dyn Fn() + Send + Sync> {
     let (shared, table, bounds) = (Arc::clone(shared), table.clone(), Arc::clone(bounds));
     Box::new(move || {
         let sight = shared.sight();
-        bounds.set_idle(sight.state.desired.limits.idle_time);
-        bounds.set_head(sight.state.desired.limits.header_time);
+        bounds.set_idle_timeout(sight.state.desired.limits.idle_time);
+        bounds.set_head_timeout(sight.state.desired.limits.header_time);
         table.tell(TableCommand::Fleet);
     })
 }
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -14,28 +14,28 @@
     has_configuration && shared.holds_lease(now) && !shared.draining.load(Ordering::SeqCst)
 }
 
-impl Site for Readiness {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for Readiness {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(async move {
             match asked.uri.path() {
                 page if page == self.ready_page => self.ready(),
                 "/metrics" => self.metrics(),
-                "/live" => outcome_bytes(StatusCode::OK, "text/plain", "live\n"),
-                _ => outcome_bytes(StatusCode::NOT_FOUND, "text/plain", "no such page\n"),
+                "/live" => bytes_response(StatusCode::OK, "text/plain", "live\n"),
+                _ => bytes_response(StatusCode::NOT_FOUND, "text/plain", "no such page\n"),
             }
         })
     }
 }
 
 impl Readiness {
-    fn ready(&self) -> WebOutcome {
+    fn ready(&self) -> WebResponse {
         match takes_requests(&self.shared, boot_now()) {
-            true => outcome_bytes(StatusCode::OK, "text/plain", "ready\n"),
-            false => outcome_bytes(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n"),
+            true => bytes_response(StatusCode::OK, "text/plain", "ready\n"),
+            false => bytes_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n"),
         }
     }
 
-    fn metrics(&self) -> WebOutcome {
+    fn metrics(&self) -> WebResponse {
         let counts = &self.shared.counts;
         let counters = [
             ("requests_total", &counts.requests),
@@ -56,6 +56,6 @@
         text.push_str(&format!("haremount_gateway_lease_left_ms {lease_left}\n"));
         let is_passed_over = u8::from(self.shared.watch_grants(|grants| grants.is_passed_over()));
         text.push_str(&format!("haremount_gateway_passed_over {is_passed_over}\n"));
-        outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
+        bytes_response(StatusCode::OK, "text/plain; version=0.0.4", text)
     }
 }
--- a/crates/gateway/src/relay/answer_head.rs
+++ b/crates/gateway/src/relay/answer_head.rs
@@ -15,7 +15,7 @@
     pub(super) headers: HeaderMap,
     pub(super) body: Incoming,
     pub(super) head: AnswerHead,
-    pub(super) connection: KeptConnection,
+    pub(super) connection: PersistentConnection,
     pub(super) address: String,
     pub(super) weights: WeightsEdition,
     pub(super) seat: EngineSeat,
@@ -27,7 +27,7 @@
         &mut self,
         chosen: Chosen,
         seat: EngineSeat,
-        connection: KeptConnection,
+        connection: PersistentConnection,
         response: Response<Incoming>,
     ) -> Result<OpenAnswer, AttemptEnd> {
         let (parts, body) = response.into_parts();
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    async fn connect(&mut self, chosen: &Chosen) -> Result<KeptConnection, AttemptEnd> {
+    async fn connect(&mut self, chosen: &Chosen) -> Result<PersistentConnection, AttemptEnd> {
         let connecting = self.pool.connect(&chosen.address, boot_now()).await;
         let (connection, _) = connecting.map_err(|reason| {
             self.note_unreachable(&chosen.engine, &reason);
@@ -63,7 +63,7 @@
     async fn send(
         &mut self,
         chosen: &Chosen,
-        connection: &mut KeptConnection,
+        connection: &mut PersistentConnection,
         last_event: Option<u64>,
     ) -> Result<Response<Incoming>, AttemptEnd> {
         let sight = self.shared.sight();
@@ -90,7 +90,7 @@
     }
 
     /// The last look before the first byte; what it finds is left in `bar`.
-    fn gate(&self, chosen: &Chosen, salt: Option<Salt>, bar: &FoundBar) -> web::prelude::Gate {
+    fn gate(&self, chosen: &Chosen, salt: Option<Salt>, bar: &FoundBar) -> web::prelude::SendGate {
         let ground = AttemptGround {
             tenant: self.planned.tenant.clone(),
             model: self.planned.head.model.clone(),
--- a/crates/gateway/src/relay/attempt_end.rs
+++ b/crates/gateway/src/relay/attempt_end.rs
@@ -7,7 +7,7 @@
 /// How an attempt ended without an answer that can be passed on.
 pub(super) enum AttemptEnd {
     /// It failed; with the engine's own answer, if there was one.
-    Failed { failure: Failure, answer: Option<WebOutcome> },
+    Failed { failure: Failure, answer: Option<WebResponse> },
     /// No engine could be chosen.
     NoEngine,
     /// What it was chosen on no longer held when its first byte was due.
@@ -23,7 +23,7 @@
 
 impl Relay {
     /// What follows an attempt; or the answer, where that is the engine's own.
-    pub(super) fn after(&mut self, end: AttemptEnd) -> Result<Next, Box<WebOutcome>> {
+    pub(super) fn after(&mut self, end: AttemptEnd) -> Result<Next, Box<WebResponse>> {
         match end {
             AttemptEnd::Failed { failure, answer } => {
                 let next = self.exchange.fail(failure);
@@ -38,7 +38,7 @@
         }
     }
 
-    fn after_bar(&mut self, bar: Bar) -> Result<Next, Box<WebOutcome>> {
+    fn after_bar(&mut self, bar: Bar) -> Result<Next, Box<WebResponse>> {
         match bar {
             Bar::NoLease => Ok(self.exchange.give_up()),
             Bar::KeyMoved => match self.exchange.give_up() {
@@ -50,13 +50,13 @@
         }
     }
 
-    fn key_withdrawn(&self) -> WebOutcome {
+    fn key_withdrawn(&self) -> WebResponse {
         let refusal = Refusal::new(StatusCode::UNAUTHORIZED, "the key was withdrawn");
         own_answer(&*self.protocol, &self.planned.head.attempt, &refusal)
     }
 
     /// The gateway's own last word on a request, counted and noted.
-    pub(super) fn final_answer(&self, answer: FinalAnswer) -> WebOutcome {
+    pub(super) fn final_answer(&self, answer: FinalAnswer) -> WebResponse {
         let refusal = self.count_refusal(answer);
         event!(
             debug,
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -43,7 +43,7 @@
     }
 
     /// Carries on until there is an answer; a stream then goes on by itself.
-    pub async fn carry(mut self) -> WebOutcome {
+    pub async fn carry(mut self) -> WebResponse {
         let mut next = Next::Select { is_further: false };
         loop {
             let is_further = match next {
--- a/crates/gateway/src/relay/pump.rs
+++ b/crates/gateway/src/relay/pump.rs
@@ -18,16 +18,16 @@
 
 impl Relay {
     /// The answer begins: its head goes to the caller, and its events follow.
-    pub(super) fn pass_stream(mut self, begun: Begun) -> WebOutcome {
+    pub(super) fn pass_stream(mut self, begun: Begun) -> WebResponse {
         self.exchange.begin_answer();
-        let (pieces, mut answered) = outcome_pieces(begun.answer.status, "text/event-stream", PIECE_PLACES);
+        let (pieces, mut answered) = streaming_response(begun.answer.status, "text/event-stream", PIECE_PLACES);
         *answered.headers_mut() = end_to_end(&begun.answer.headers);
         tokio::spawn(self.pump(begun, pieces));
         answered
     }
 
     /// Passes events on until the stream ends, at this engine or, where it may be resumed, at others.
-    async fn pump(mut self, mut begun: Begun, pieces: PieceSender) {
+    async fn pump(mut self, mut begun: Begun, pieces: BodySender) {
         loop {
             let reason = match self.pump_one(&mut begun, &pieces).await {
                 PumpEnd::Whole => return self.end_whole(begun, &pieces),
@@ -50,7 +50,7 @@
     }
 
     /// Passes one engine's events on, until its stream ends or cannot go on.
-    async fn pump_one(&self, begun: &mut Begun, pieces: &PieceSender) -> PumpEnd {
+    async fn pump_one(&self, begun: &mut Begun, pieces: &BodySender) -> PumpEnd {
         loop {
             let events = std::mem::take(&mut begun.events);
             if !events.is_empty() && !pieces.send(Bytes::from(events)).await {
@@ -82,7 +82,7 @@
     }
 
     /// The whole stream was passed on: its connection is kept, and the caller is told the end.
-    fn end_whole(&self, begun: Begun, pieces: &PieceSender) {
+    fn end_whole(&self, begun: Begun, pieces: &BodySender) {
         let OpenAnswer { head, connection, address, .. } = begun.answer;
         self.pool.keep(&address, connection, &head, boot_now());
         self.shared.counts.whole.fetch_add(1, Ordering::Relaxed);
--- a/crates/gateway/src/relay/whole_answer.rs
+++ b/crates/gateway/src/relay/whole_answer.rs
@@ -9,7 +9,7 @@
 
 impl Relay {
     /// An answer that is no stream: it is read to its end before any of it is passed on.
-    pub(super) async fn whole_answer(&mut self, is_further: bool) -> Result<WebOutcome, AttemptEnd> {
+    pub(super) async fn whole_answer(&mut self, is_further: bool) -> Result<WebResponse, AttemptEnd> {
         let mut answer = self.attempt(is_further, self.planned.head.last_event).await?;
         self.note_read(&mut answer.seat, answer.weights);
         let answered = self.read_whole_answer(answer).await?;
@@ -18,13 +18,13 @@
     }
 
     /// Reads an answer's body within the request's time, and keeps the connection.
-    pub(super) async fn read_whole_answer(&mut self, answer: OpenAnswer) -> Result<WebOutcome, AttemptEnd> {
+    pub(super) async fn read_whole_answer(&mut self, answer: OpenAnswer) -> Result<WebResponse, AttemptEnd> {
         let OpenAnswer { status, headers, body, head, connection, address, seat, .. } = answer;
         let time_left = self.planned.deadline.since(boot_now()).as_duration();
         match read_whole(body, MOST_ANSWER_BYTES, time_left).await {
             Ok(bytes) => {
                 self.pool.keep(&address, connection, &head, boot_now());
-                let mut answered = outcome_bytes(status, "application/octet-stream", bytes);
+                let mut answered = bytes_response(status, "application/octet-stream", bytes);
                 *answered.headers_mut() = end_to_end(&headers);
                 Ok(answered)
             }
--- a/crates/gateway/src/relay_site.rs
+++ b/crates/gateway/src/relay_site.rs
@@ -15,8 +15,8 @@
     pub shared: Arc<SharedState>,
 }
 
-impl Site for RelaySite {
-    fn outcome(self: Arc<Self>, mut asked: Asked) -> OutcomeFuture {
+impl RequestHandler for RelaySite {
+    fn handle(self: Arc<Self>, mut asked: IncomingRequest) -> ResponseFuture {
         Box::pin(async move {
             if asked.uri.path() == GRANT_PAGE {
                 return self.grant_news();
@@ -24,21 +24,21 @@
             let body = asked.read_body(MOST_QUESTION_BYTES).await.unwrap_or_default();
             let question = rmp_serde::from_slice::<RelayQuestion>(&body);
             let (RELAY_PAGE, Ok(question)) = (asked.uri.path(), question) else {
-                return outcome_bytes(StatusCode::BAD_REQUEST, "text/plain", "a router's question is needed\n");
+                return bytes_response(StatusCode::BAD_REQUEST, "text/plain", "a router's question is needed\n");
             };
             match self.answer(question).await.and_then(|news| rmp_serde::to_vec(&news).ok()) {
-                Some(bytes) => outcome_bytes(StatusCode::OK, "application/octet-stream", bytes),
-                None => outcome_bytes(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "overloaded\n"),
+                Some(bytes) => bytes_response(StatusCode::OK, "application/octet-stream", bytes),
+                None => bytes_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "overloaded\n"),
             }
         })
     }
 }
 
 impl RelaySite {
-    fn grant_news(&self) -> WebOutcome {
+    fn grant_news(&self) -> WebResponse {
         let news = self.shared.watch_grants(|grants| grants.news(boot_now()));
         let bytes = rmp_serde::to_vec(&news).unwrap_or_default();
-        outcome_bytes(StatusCode::OK, "application/octet-stream", bytes)
+        bytes_response(StatusCode::OK, "application/octet-stream", bytes)
     }
 
     async fn answer(&self, question: RelayQuestion) -> Option<RelayNews> {
--- a/crates/keeper/src/bringing.rs
+++ b/crates/keeper/src/bringing.rs
@@ -166,7 +166,7 @@
 }
 
 async fn report_of(orders: &Arc<dyn EngineOrders>, address: &str) -> Option<EngineReport> {
-    let asked = ask_whole(address, orders.report_question(), CONNECT_LIMIT, REPORT_BYTES).await;
+    let asked = fetch_response(address, orders.report_question(), CONNECT_LIMIT, REPORT_BYTES).await;
     let (_, _, body) = asked.ok().filter(|(status, _, _)| status.is_success())?;
     orders.report(&body).ok()
 }
--- a/crates/keeper/src/census.rs
+++ b/crates/keeper/src/census.rs
@@ -69,8 +69,8 @@
 }
 
 async fn read_listing(platform: &str, known_tag: &str) -> Result<Option<(String, Listing)>, String> {
-    let question = web::prelude::Question::get("/v1/engines").header("if-none-match", known_tag);
-    let (status, headers, body) = ask_whole(platform, question, POLL_LIMIT, 4 << 20).await?;
+    let question = web::prelude::OutgoingRequest::get("/v1/engines").header("if-none-match", known_tag);
+    let (status, headers, body) = fetch_response(platform, question, POLL_LIMIT, 4 << 20).await?;
     if status == StatusCode::NOT_MODIFIED {
         return Ok(None);
     }
--- a/crates/keeper/src/conducting.rs
+++ b/crates/keeper/src/conducting.rs
@@ -162,7 +162,7 @@
     let order = EngineOrder { term: term.0, holder: me.to_string(), wish };
     let (shelf, naming) = (Arc::clone(shelf), engine.clone());
     let ordering_task = async move {
-        let question = web::prelude::Question::with_json(Method::POST, "/v1/orders", &json!(order));
+        let question = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/orders", &json!(order));
         let gate_shelf = Arc::clone(&shelf);
         let gate = Box::new(move || {
             let held = look(&gate_shelf).conductor;
@@ -190,8 +190,8 @@
         let (engine, address) = (engine.clone(), listed.address.clone());
         looking.spawn(async move {
             let asked_at = boot_now();
-            let question = web::prelude::Question::get("/v1/state");
-            let (_, _, body) = ask_whole(&address, question, LOOK_LIMIT, 1 << 16).await.ok()?;
+            let question = web::prelude::OutgoingRequest::get("/v1/state");
+            let (_, _, body) = fetch_response(&address, question, LOOK_LIMIT, 1 << 16).await.ok()?;
             let engine_state: EngineState = serde_json::from_slice(&body).ok()?;
             Some((engine, engine_state, asked_at))
         });
--- a/crates/keeper/src/directory.rs
+++ b/crates/keeper/src/directory.rs
@@ -106,7 +106,7 @@
     let mut page_name: Option<String> = None;
     for pages in 1..=MOST_PAGES {
         let question = directory.question(page_name.as_deref());
-        let (status, _, body) = ask_whole(&address, question, PAGE_LIMIT, MOST_PAGE_BYTES).await?;
+        let (status, _, body) = fetch_response(&address, question, PAGE_LIMIT, MOST_PAGE_BYTES).await?;
         if status != StatusCode::OK {
             return Err(format!("status {status}"));
         }
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -14,25 +14,25 @@
     pub census: Arc<CensusLiveness>,
 }
 
-impl Site for OperatorInterface {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for OperatorInterface {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(self.enter(asked))
     }
 }
 
 impl OperatorInterface {
-    async fn enter(self: Arc<Self>, asked: Asked) -> WebOutcome {
-        let (method, segments) = asked.way();
+    async fn enter(self: Arc<Self>, asked: IncomingRequest) -> WebResponse {
+        let (method, segments) = asked.method_and_path();
         match (method.as_str(), segments.as_slice()) {
-            ("GET", ["live"]) => return outcome_bytes(StatusCode::OK, "text/plain", "live\n"),
+            ("GET", ["live"]) => return bytes_response(StatusCode::OK, "text/plain", "live\n"),
             ("GET", ["ready"]) => return self.ready(),
             ("GET", ["metrics"]) => return self.metrics(),
             _ => {}
         }
         let Some(state) = self.read_state().await else { return no_core() };
-        let known_key = asked.bearer().is_some_and(|key| state.is_operator(&sha256_hex(key)));
+        let known_key = asked.bearer_token().is_some_and(|key| state.is_operator(&sha256_hex(key)));
         if !known_key {
-            return refuse(StatusCode::UNAUTHORIZED, "unknown_key", "an operator's key is needed");
+            return error_response(StatusCode::UNAUTHORIZED, "unknown_key", "an operator's key is needed");
         }
         let parts: Vec<String> = segments.iter().map(|segment| (*segment).to_owned()).collect();
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
@@ -48,7 +48,7 @@
                     .get(&TenantName::from(*tenant))
                     .is_some_and(|wish| wish.keys.contains_key(&KeyName::from(*key_name)));
                 if !is_known {
-                    return refuse(StatusCode::NOT_FOUND, "not_found", "no such tenant or key");
+                    return error_response(StatusCode::NOT_FOUND, "not_found", "no such tenant or key");
                 }
                 let patch = json!({"tenants": {*tenant: {"keys": {*key_name: null}}}});
                 self.submit(&asked, Command::Merge { base: None, patch: patch.to_string() }).await
@@ -59,32 +59,32 @@
                         self.executor.ask(Question::Settled { request, fingerprint: None }, READ_LIMIT).await;
                     tell_outcome(request, answer)
                 }
-                Err(_) => refuse(StatusCode::BAD_REQUEST, "bad_request", "a request id has 16 hex digits"),
+                Err(_) => error_response(StatusCode::BAD_REQUEST, "bad_request", "a request id has 16 hex digits"),
             },
             ("POST", ["v1", "intents"]) => self.take_intent(asked).await,
             ("GET", ["v1", "plans"]) => {
                 let plans: Vec<Value> = state.plans.iter().map(|(number, plan)| show_plan(*number, plan)).collect();
-                outcome_json(StatusCode::OK, &json!({"plans": plans}))
+                json_response(StatusCode::OK, &json!({"plans": plans}))
             }
             ("GET", ["v1", "plans", plan]) => match find_plan(&state, plan) {
-                Some((number, plan)) => outcome_json(StatusCode::OK, &show_plan(number, plan)),
-                None => refuse(StatusCode::NOT_FOUND, "not_found", "no such plan"),
+                Some((number, plan)) => json_response(StatusCode::OK, &show_plan(number, plan)),
+                None => error_response(StatusCode::NOT_FOUND, "not_found", "no such plan"),
             },
             ("POST", ["v1", "plans", plan, "confirm"]) => match find_plan(&state, plan) {
                 Some((number, _)) => self.submit(&asked, Command::Confirm { plan: number }).await,
-                None => refuse(StatusCode::NOT_FOUND, "not_found", "no such plan"),
+                None => error_response(StatusCode::NOT_FOUND, "not_found", "no such plan"),
             },
             ("POST", ["v1", "policies", "check"]) => check_policy(&state, asked).await,
             ("GET", ["v1", "policies", policy]) => match state.desired.policies.get(*policy) {
-                Some(found) => outcome_json(StatusCode::OK, &show_table(&state, found)),
-                None => refuse(StatusCode::NOT_FOUND, "not_found", "no such policy"),
+                Some(found) => json_response(StatusCode::OK, &show_table(&state, found)),
+                None => error_response(StatusCode::NOT_FOUND, "not_found", "no such policy"),
             },
             ("GET", ["v1", "fleet"]) => self.show_fleet(&state).await,
             ("GET", ["v1", "adapters"]) => match self.executor.ask(Question::Demand, READ_LIMIT).await {
-                AskOutcome::Demand(heard) => outcome_json(StatusCode::OK, &show_adapters(&state, &heard)),
+                AskOutcome::Demand(heard) => json_response(StatusCode::OK, &show_adapters(&state, &heard)),
                 _ => no_core(),
             },
-            _ => no_such_page(),
+            _ => not_found_response(),
         }
     }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    async fn change_document(&self, mut asked: Asked, is_whole: bool) -> WebOutcome {
+    async fn change_document(&self, mut asked: IncomingRequest, is_whole: bool) -> WebResponse {
         let base = match read_if_match(&asked) {
             Ok(base) => base,
             Err(answered) => return *answered,
@@ -103,12 +103,12 @@
         let body = match asked.read_body(MOST_BODY).await {
             Ok(body) => body,
             Err(web::prelude::BodyFault::TooLarge) => {
-                return refuse(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "at most 1 MiB");
+                return error_response(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "at most 1 MiB");
             }
-            Err(_) => return refuse(StatusCode::BAD_REQUEST, "bad_request", "the body did not arrive whole"),
+            Err(_) => return error_response(StatusCode::BAD_REQUEST, "bad_request", "the body did not arrive whole"),
         };
         let Ok(text) = String::from_utf8(body.to_vec()) else {
-            return refuse(StatusCode::BAD_REQUEST, "bad_request", "not UTF-8");
+            return error_response(StatusCode::BAD_REQUEST, "bad_request", "not UTF-8");
         };
         let document = match parse_bounded(&text, DOCUMENT_BOUNDS) {
             Ok(document) => document,
@@ -129,7 +129,7 @@
     }
 
     /// Takes an intent and answers with the plan of steps it became.
-    async fn take_intent(&self, mut asked: Asked) -> WebOutcome {
+    async fn take_intent(&self, mut asked: IncomingRequest) -> WebResponse {
         let intent = match read_document_of(&mut asked).await.and_then(|document| read_intent(&document)) {
             Ok(intent) => intent,
             Err(complaints) => return tell_complaints(&complaints),
@@ -142,12 +142,12 @@
         let AskOutcome::Settled(Settled::Taken(number)) = answer else { return tell_outcome(request, answer) };
         let Some(state) = self.read_state().await else { return no_core() };
         match state.plans.get(&number) {
-            Some(plan) => outcome_json(StatusCode::CREATED, &show_plan(number, plan)),
+            Some(plan) => json_response(StatusCode::CREATED, &show_plan(number, plan)),
             None => no_core(),
         }
     }
 
-    async fn put_key(&self, mut asked: Asked, tenant: &str, key_name: &str) -> WebOutcome {
+    async fn put_key(&self, mut asked: IncomingRequest, tenant: &str, key_name: &str) -> WebResponse {
         let body = asked.read_body(4096).await.unwrap_or_default();
         let given: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let hash = match (given["key"].as_str(), given["sha256"].as_str()) {
@@ -155,14 +155,14 @@
             (None, Some(hash)) => hash.to_owned(),
             _ => {
                 let reason = "expected {\"key\": at least 8 characters} or {\"sha256\": hex}";
-                return refuse(StatusCode::BAD_REQUEST, "bad_request", reason);
+                return error_response(StatusCode::BAD_REQUEST, "bad_request", reason);
             }
         };
         let patch = json!({"tenants": {tenant: {"keys": {key_name: hash}}}});
         self.submit(&asked, Command::Merge { base: None, patch: patch.to_string() }).await
     }
 
-    async fn submit(&self, asked: &Asked, command: Command) -> WebOutcome {
+    async fn submit(&self, asked: &IncomingRequest, command: Command) -> WebResponse {
         let request = match read_request_id(asked) {
             Ok(request) => request,
             Err(answered) => return *answered,
@@ -171,13 +171,13 @@
         tell_outcome(request, answer)
     }
 
-    fn ready(&self) -> WebOutcome {
+    fn ready(&self) -> WebResponse {
         let seen = look(&self.shelf);
         let tail_lives = seen.view.tail().is_some_and(|tail| seen.alive.contains(&tail));
         if seen.view.takes_writes() && tail_lives {
-            outcome_bytes(StatusCode::OK, "text/plain", "ready\n")
+            bytes_response(StatusCode::OK, "text/plain", "ready\n")
         } else {
-            outcome_bytes(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
+            bytes_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
         }
     }
 
@@ -186,7 +186,7 @@
         (last_read > 0).then(|| (boot_now().0 / 1_000_000).saturating_sub(last_read))
     }
 
-    fn metrics(&self) -> WebOutcome {
+    fn metrics(&self) -> WebResponse {
         let seen = look(&self.shelf);
         let text = format!(
             "haremount_keeper_view {}\nharemount_keeper_edition {}\nharemount_keeper_tail_active {}\n\
@@ -200,10 +200,10 @@
             self.listing_age().map_or(-1, |age| age as i64),
             u64::from(seen.disk_refuses),
         );
-        outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
+        bytes_response(StatusCode::OK, "text/plain; version=0.0.4", text)
     }
 
-    async fn show_fleet(&self, state: &FleetState) -> WebOutcome {
+    async fn show_fleet(&self, state: &FleetState) -> WebResponse {
         let seen = look(&self.shelf);
         let nodes = match self.executor.ask(Question::Nodes, READ_LIMIT).await {
             AskOutcome::Nodes(nodes) => nodes,
@@ -253,11 +253,11 @@
             "listing": {"number": state.listing.number.0, "read_ms_ago": self.listing_age(),
                         "reachable": self.listing_age().is_some_and(|age| age < 1500)},
         });
-        outcome_json(StatusCode::OK, &answer)
+        json_response(StatusCode::OK, &answer)
     }
 }
 
-async fn read_document_of(asked: &mut Asked) -> Result<JsonValue, Vec<Complaint>> {
+async fn read_document_of(asked: &mut IncomingRequest) -> Result<JsonValue, Vec<Complaint>> {
     let unreadable = |reason: &str| vec![Complaint::at("", reason)];
     let body = asked.read_body(1 << 20).await.map_err(|fault| unreadable(&format!("{fault:?}")))?;
     let text = std::str::from_utf8(&body).map_err(|_| unreadable("not UTF-8"))?;
@@ -302,7 +302,7 @@
 }
 
 /// Reads a policy as it would stand in the document, and shows its table; nothing is changed.
-async fn check_policy(state: &FleetState, mut asked: Asked) -> WebOutcome {
+async fn check_policy(state: &FleetState, mut asked: IncomingRequest) -> WebResponse {
     let document = match read_document_of(&mut asked).await {
         Ok(document) => document,
         Err(complaints) => return tell_complaints(&complaints),
@@ -313,64 +313,65 @@
     merge(&mut whole, &patch);
     match read_document(&whole) {
         Ok(desired) => match desired.policies.get("checked") {
-            Some(policy) => outcome_json(StatusCode::OK, &show_table(state, policy)),
-            None => refuse(StatusCode::BAD_REQUEST, "bad_request", "no policy"),
+            Some(policy) => json_response(StatusCode::OK, &show_table(state, policy)),
+            None => error_response(StatusCode::BAD_REQUEST, "bad_request", "no policy"),
         },
         Err(complaints) => tell_complaints(&complaints),
     }
 }
 
-fn no_core() -> WebOutcome {
-    refuse(StatusCode::SERVICE_UNAVAILABLE, "no_core", "the core does not answer now; a majority may be away")
+fn no_core() -> WebResponse {
+    error_response(StatusCode::SERVICE_UNAVAILABLE, "no_core", "the core does not answer now; a majority may be away")
         .with_header("retry-after", "2")
 }
 
-fn show_desired(state: &FleetState) -> WebOutcome {
+fn show_desired(state: &FleetState) -> WebResponse {
     let text = if state.desired_text.is_empty() { "{}" } else { &state.desired_text };
-    outcome_bytes(StatusCode::OK, "application/json", text.to_owned())
+    bytes_response(StatusCode::OK, "application/json", text.to_owned())
         .with_header("etag", &format!("\"{}\"", state.desired_edition))
 }
 
-fn read_if_match(asked: &Asked) -> Result<Edition, Box<WebOutcome>> {
+fn read_if_match(asked: &IncomingRequest) -> Result<Edition, Box<WebResponse>> {
     let Some(tag) = asked.header("if-match") else {
         let reason = "If-Match with the edition this change is based on is needed";
-        return Err(Box::new(refuse(StatusCode::PRECONDITION_REQUIRED, "no_base", reason)));
+        return Err(Box::new(error_response(StatusCode::PRECONDITION_REQUIRED, "no_base", reason)));
     };
     tag.trim().trim_matches('"').parse().map(Edition).map_err(|_| {
         let reason = "If-Match carries an edition number in quotes";
-        Box::new(refuse(StatusCode::BAD_REQUEST, "bad_request", reason))
+        Box::new(error_response(StatusCode::BAD_REQUEST, "bad_request", reason))
     })
 }
 
 /// The id under which an operator submits, and may submit the same again.
-fn read_request_id(asked: &Asked) -> Result<RequestId, Box<WebOutcome>> {
+fn read_request_id(asked: &IncomingRequest) -> Result<RequestId, Box<WebResponse>> {
     let Some(text) = asked.header("x-request-id") else { return Ok(RequestId::random()) };
-    text.parse()
-        .map_err(|_| Box::new(refuse(StatusCode::BAD_REQUEST, "bad_request", "x-request-id has 16 hex digits")))
+    text.parse().map_err(|_| {
+        Box::new(error_response(StatusCode::BAD_REQUEST, "bad_request", "x-request-id has 16 hex digits"))
+    })
 }
 
-fn tell_complaints(complaints: &[Complaint]) -> WebOutcome {
+fn tell_complaints(complaints: &[Complaint]) -> WebResponse {
     let listed: Vec<Value> =
         complaints.iter().map(|complaint| json!({"path": complaint.path, "reason": complaint.reason})).collect();
     let answer = json!({"error": {"type": "refused", "message": "the change was refused", "complaints": listed}});
-    outcome_json(StatusCode::UNPROCESSABLE_ENTITY, &answer)
+    json_response(StatusCode::UNPROCESSABLE_ENTITY, &answer)
 }
 
-fn tell_outcome(request: RequestId, outcome: AskOutcome) -> WebOutcome {
+fn tell_outcome(request: RequestId, outcome: AskOutcome) -> WebResponse {
     let answered = match outcome {
         AskOutcome::Settled(Settled::Taken(edition)) => {
-            outcome_json(StatusCode::OK, &json!({"edition": edition.0, "request": request.to_string()}))
+            json_response(StatusCode::OK, &json!({"edition": edition.0, "request": request.to_string()}))
                 .with_header("etag", &format!("\"{edition}\""))
         }
         AskOutcome::Settled(Settled::Stale { now }) => {
             let shown = json!({"error": {"type": "stale", "message": "the desired state has moved"}, "now": now.0});
-            outcome_json(StatusCode::PRECONDITION_FAILED, &shown).with_header("etag", &format!("\"{now}\""))
+            json_response(StatusCode::PRECONDITION_FAILED, &shown).with_header("etag", &format!("\"{now}\""))
         }
         AskOutcome::Settled(Settled::Refused(complaints)) => tell_complaints(&complaints),
         _ => {
             let reason = "not known to be in force; ask again under this request id";
             let shown = json!({"error": {"type": "unknown", "message": reason}, "request": request.to_string()});
-            outcome_json(StatusCode::GATEWAY_TIMEOUT, &shown)
+            json_response(StatusCode::GATEWAY_TIMEOUT, &shown)
         }
     };
     answered.with_header("x-request-id", &request.to_string())
--- a/crates/keeper/src/ports.rs
+++ b/crates/keeper/src/ports.rs
@@ -15,7 +15,7 @@
 pub trait EngineDirectory: Send + Sync + 'static {
     fn address(&self) -> String;
     /// Asks for the first page, or for the one that a page named.
-    fn question(&self, page: Option<&str>) -> web::prelude::Question;
+    fn question(&self, page: Option<&str>) -> web::prelude::OutgoingRequest;
     fn page(&self, body: &[u8]) -> Result<DirectoryPage, String>;
 }
 
@@ -41,9 +41,9 @@
 
 /// Orders to engines and their reports.
 pub trait EngineOrders: Send + Sync + 'static {
-    fn load(&self, order: &LoadOrder) -> web::prelude::Question;
+    fn load(&self, order: &LoadOrder) -> web::prelude::OutgoingRequest;
     fn answer(&self, status: StatusCode) -> OrderAnswer;
-    fn report_question(&self) -> web::prelude::Question;
+    fn report_question(&self) -> web::prelude::OutgoingRequest;
     fn report(&self, body: &[u8]) -> Result<EngineReport, String>;
 }
 
--- a/crates/keeper/src/prelude.rs
+++ b/crates/keeper/src/prelude.rs
@@ -38,9 +38,9 @@
 pub use timing::prelude::Timing;
 pub(crate) use tokio::sync::oneshot;
 pub(crate) use units::prelude::*;
+pub use web::prelude::{HeaderMap, Method, StatusCode, bind};
 pub(crate) use web::prelude::{
-    Asked, OutcomeFuture, Site, WebOutcome, WebOutcomeExt, ask_whole, no_such_page, open_stream, outcome_bytes,
-    outcome_json, refuse, serve, small_runtime,
+    IncomingRequest, RequestHandler, ResponseFuture, WebResponse, WebResponseExt, bytes_response, error_response,
+    fetch_response, json_response, not_found_response, open_stream, serve, small_runtime,
 };
-pub use web::prelude::{HeaderMap, Method, StatusCode, bind};
 pub(crate) use wire::prelude::Inbound;
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -17,25 +17,25 @@
     pub protocol: Arc<dyn OperatorProtocol>,
 }
 
-impl Site for ProtocolInterface {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for ProtocolInterface {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(self.enter(asked))
     }
 }
 
 impl ProtocolInterface {
-    async fn enter(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
-        let (_, segments) = asked.way();
-        let Some(page) = self.protocol.page(&asked.method, &segments) else { return no_such_page() };
+    async fn enter(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
+        let (_, segments) = asked.method_and_path();
+        let Some(page) = self.protocol.page(&asked.method, &segments) else { return not_found_response() };
         if page == OperatorPage::ReadBack {
             return self.read_back().await;
         }
         let body = match asked.read_body(BODY_BOUNDS.bytes).await {
             Ok(body) => body,
             Err(web::prelude::BodyFault::TooLarge) => {
-                return refuse(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "the body is too large");
+                return error_response(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "the body is too large");
             }
-            Err(_) => return refuse(StatusCode::BAD_REQUEST, "bad_request", "the body did not arrive whole"),
+            Err(_) => return error_response(StatusCode::BAD_REQUEST, "bad_request", "the body did not arrive whole"),
         };
         let read = std::str::from_utf8(&body).map_err(|_| Complaint::at("", "not UTF-8"));
         let body = match read.and_then(|text| parse_bounded(text, BODY_BOUNDS)) {
@@ -45,16 +45,16 @@
         match page {
             OperatorPage::NameWeights => self.name_weights(&body).await,
             OperatorPage::Replace | OperatorPage::Patch => self.change(page, &asked.headers, &body).await,
-            OperatorPage::ReadBack => no_such_page(),
+            OperatorPage::ReadBack => not_found_response(),
         }
     }
 
-    async fn read_back(&self) -> WebOutcome {
+    async fn read_back(&self) -> WebResponse {
         match self.configuration().await {
             Some((_, source)) if source.is_empty() => {
-                refuse(StatusCode::NOT_FOUND, "not_found", "no configuration was taken yet")
+                error_response(StatusCode::NOT_FOUND, "not_found", "no configuration was taken yet")
             }
-            Some((revision, source)) => outcome_bytes(StatusCode::OK, "application/json", source)
+            Some((revision, source)) => bytes_response(StatusCode::OK, "application/json", source)
                 .with_header("etag", &format!("\"{revision}\"")),
             None => not_known(),
         }
@@ -67,10 +67,10 @@
         }
     }
 
-    async fn change(&self, page: OperatorPage, headers: &HeaderMap, body: &JsonValue) -> WebOutcome {
+    async fn change(&self, page: OperatorPage, headers: &HeaderMap, body: &JsonValue) -> WebResponse {
         let base = match self.protocol.base(headers) {
             Ok(base) => base,
-            Err(reason) => return refuse(StatusCode::BAD_REQUEST, "no_base", &reason),
+            Err(reason) => return error_response(StatusCode::BAD_REQUEST, "no_base", &reason),
         };
         let fingerprint = fingerprint_of(page, base, &write_sorted(body));
         match page {
@@ -84,7 +84,7 @@
         base: Revision,
         fingerprint: BlockHash,
         read: Result<ReadConfiguration, Vec<Complaint>>,
-    ) -> WebOutcome {
+    ) -> WebResponse {
         let ReadConfiguration { revision, document, source } = match read {
             Ok(read) => read,
             Err(complaints) => return tell_faults(&complaints),
@@ -107,7 +107,7 @@
     /// Named items make a whole configuration of the one they build on, while that is in force. Else the chain
     /// says whether this very change was taken before; it is stale otherwise, unless its base has come into force
     /// meanwhile.
-    async fn patch(&self, base: Revision, fingerprint: BlockHash, body: &JsonValue) -> WebOutcome {
+    async fn patch(&self, base: Revision, fingerprint: BlockHash, body: &JsonValue) -> WebResponse {
         for _ in 0..MOST_READINGS {
             let Some((in_force, source)) = self.configuration().await else { return not_known() };
             if in_force == base {
@@ -122,14 +122,14 @@
         not_known()
     }
 
-    async fn name_weights(&self, body: &JsonValue) -> WebOutcome {
+    async fn name_weights(&self, body: &JsonValue) -> WebResponse {
         let (model, weights) = match self.protocol.weights(body) {
             Ok(named) => named,
             Err(complaints) => return tell_faults(&complaints),
         };
         match self.settle(Command::NameWeights { model, weights }).await {
             // Newer ones were named since.
-            AskOutcome::Settled(Settled::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
+            AskOutcome::Settled(Settled::Refused(_)) => json_response(StatusCode::OK, &json!({})),
             outcome => tell(outcome),
         }
     }
@@ -149,12 +149,12 @@
     }
 }
 
-fn tell(outcome: AskOutcome) -> WebOutcome {
+fn tell(outcome: AskOutcome) -> WebResponse {
     match outcome {
-        AskOutcome::Settled(Settled::Taken(edition)) => outcome_json(StatusCode::OK, &json!({"edition": edition.0})),
+        AskOutcome::Settled(Settled::Taken(edition)) => json_response(StatusCode::OK, &json!({"edition": edition.0})),
         AskOutcome::Settled(Settled::Stale { now }) => {
             let reason = format!("another revision is in force: {now}");
-            refuse(StatusCode::PRECONDITION_FAILED, "stale", &reason)
+            error_response(StatusCode::PRECONDITION_FAILED, "stale", &reason)
         }
         AskOutcome::Settled(Settled::Refused(complaints)) => tell_faults(&complaints),
         _ => not_known(),
@@ -167,14 +167,14 @@
     BlockHash::over(&[kind, &base.0.to_le_bytes(), canonical.as_bytes()])
 }
 
-fn not_known() -> WebOutcome {
-    refuse(StatusCode::SERVICE_UNAVAILABLE, "unknown", "not known to be in force; send it again")
+fn not_known() -> WebResponse {
+    error_response(StatusCode::SERVICE_UNAVAILABLE, "unknown", "not known to be in force; send it again")
         .with_header("retry-after", RETRY_AFTER)
 }
 
-fn tell_faults(complaints: &[Complaint]) -> WebOutcome {
+fn tell_faults(complaints: &[Complaint]) -> WebResponse {
     let listed: Vec<Value> =
         complaints.iter().map(|complaint| json!({"path": complaint.path, "reason": complaint.reason})).collect();
     let answer = json!({"error": {"type": "refused", "message": "the change was refused", "complaints": listed}});
-    outcome_json(StatusCode::BAD_REQUEST, &answer)
+    json_response(StatusCode::BAD_REQUEST, &answer)
 }
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -134,7 +134,7 @@
             runtime.spawn(bring(orders, Arc::clone(&shelf), client.clone(), identity, plan.timing))
         }
     };
-    let site: Arc<dyn Site> = match plan.operators {
+    let site: Arc<dyn RequestHandler> = match plan.operators {
         OperatorSource::Own => Arc::new(OperatorInterface {
             executor: client,
             shelf: Arc::clone(&shelf),
--- a/crates/platform/src/main.rs
+++ b/crates/platform/src/main.rs
@@ -20,45 +20,46 @@
         self.listing.lock().expect("no holder of this lock panics")
     }
 
-    async fn enter(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
-        let (method, segments) = asked.way();
+    async fn enter(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
+        let (method, segments) = asked.method_and_path();
         match (method.as_str(), segments.as_slice()) {
             ("GET", ["v1", "engines"]) => {
                 let listing = self.listing().clone();
                 let tag = format!("\"{}-{}\"", listing.boot, listing.number);
                 if asked.header("if-none-match") == Some(tag.as_str()) {
-                    return outcome_bytes(StatusCode::NOT_MODIFIED, "application/json", "").with_header("etag", &tag);
+                    return bytes_response(StatusCode::NOT_MODIFIED, "application/json", "")
+                        .with_header("etag", &tag);
                 }
-                outcome_json(StatusCode::OK, &json!(listing)).with_header("etag", &tag)
+                json_response(StatusCode::OK, &json!(listing)).with_header("etag", &tag)
             }
             ("PUT", ["v1", "engines", name]) => {
                 let name = (*name).to_owned();
                 let body = asked.read_body(1 << 16).await.unwrap_or_default();
                 let Ok(engine) = serde_json::from_slice::<PlatformEngine>(&body) else {
-                    return refuse(StatusCode::BAD_REQUEST, "bad_request", "no engine");
+                    return error_response(StatusCode::BAD_REQUEST, "bad_request", "no engine");
                 };
                 if engine.name != name {
-                    return refuse(StatusCode::BAD_REQUEST, "bad_request", "name differs from path");
+                    return error_response(StatusCode::BAD_REQUEST, "bad_request", "name differs from path");
                 }
                 let mut listing = self.listing();
                 listing.engines.retain(|known| known.name != name);
                 listing.engines.push(engine);
                 listing.number += 1;
-                outcome_json(StatusCode::OK, &json!({"number": listing.number}))
+                json_response(StatusCode::OK, &json!({"number": listing.number}))
             }
             ("DELETE", ["v1", "engines", name]) => {
                 let mut listing = self.listing();
                 listing.engines.retain(|known| known.name != *name);
                 listing.number += 1;
-                outcome_json(StatusCode::OK, &json!({"number": listing.number}))
+                json_response(StatusCode::OK, &json!({"number": listing.number}))
             }
-            _ => no_such_page(),
+            _ => not_found_response(),
         }
     }
 }
 
-impl Site for PlatformSite {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for PlatformSite {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(self.enter(asked))
     }
 }
--- a/crates/replay/src/live.rs
+++ b/crates/replay/src/live.rs
@@ -70,8 +70,8 @@
         "model": run.model, "prompt": made_up_prompt(run), "max_tokens": run.max_tokens, "stream": run.streams,
         "kind": run.kind, "repeatable": run.repeatable,
     });
-    let question =
-        Question::with_json(Method::POST, "/v1/completions", &body).header("authorization", format!("Bearer {key}"));
+    let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
+        .header("authorization", format!("Bearer {key}"));
     let began = boot_now();
     let whole_call = async {
         let stream = open_stream(router, Span::seconds(1)).await.map_err(|_| "no_answer")?;
@@ -81,7 +81,7 @@
         }
         let mut first_ms = None;
         loop {
-            match replied.next_piece().await {
+            match replied.next_chunk().await {
                 Ok(Some(_)) => first_ms = first_ms.or(Some(boot_now().since(began).as_millis())),
                 Ok(None) => return Ok(first_ms),
                 Err(_) => return Err("cut"),
--- a/crates/replay/src/prelude.rs
+++ b/crates/replay/src/prelude.rs
@@ -14,4 +14,4 @@
 pub(crate) use std::sync::{Arc, Mutex};
 pub(crate) use std::time::Duration;
 pub(crate) use units::prelude::*;
-pub(crate) use web::prelude::{Method, Question, open_stream, small_runtime};
+pub(crate) use web::prelude::{Method, OutgoingRequest, open_stream, small_runtime};
--- a/crates/router/src/allowing.rs
+++ b/crates/router/src/allowing.rs
@@ -46,7 +46,7 @@
 /// Tells the engine; a process that was frozen before the first byte left does not say what is old.
 async fn allow(address: &str, page: &str, more: Allowance, now: Instant) -> bool {
     let allowed_ms = more.left(now).as_millis().to_string();
-    let question = Question::with_json(Method::POST, page, &json!({})).header(LIMIT_HEADER, allowed_ms);
+    let question = OutgoingRequest::with_json(Method::POST, page, &json!({})).header(LIMIT_HEADER, allowed_ms);
     let gate = Box::new(move || match boot_now().since(now) < ASK_LIMIT {
         true => Ok(()),
         false => Err("too late".into()),
--- a/crates/router/src/followers.rs
+++ b/crates/router/src/followers.rs
@@ -67,7 +67,7 @@
 ) -> Result<(), String> {
     let asked = boot_now();
     if asked.since(*last_count) >= COUNT_EVERY && engine.as_str() != STORE_SOURCE {
-        let (_, _, body) = stream.ask_again(Question::get("/metrics"), POLL_LIMIT, 1 << 20).await?;
+        let (_, _, body) = stream.send_keep_alive(OutgoingRequest::get("/metrics"), POLL_LIMIT, 1 << 20).await?;
         if let Some(running) = read_running(&String::from_utf8_lossy(&body)) {
             table.tell(TableCommand::Count { engine: engine.clone(), running, asked });
         }
@@ -78,7 +78,7 @@
     let Some(place) = place else { return take_snapshot(engine, stream, table).await };
     let path = format!("/v1/kept/events?from={}&wait_ms={POLL_WAIT_MS}", place.next_number);
     let asked = boot_now();
-    let (_, _, body) = stream.ask_again(Question::get(&path), POLL_LIMIT, MOST_BYTES).await?;
+    let (_, _, body) = stream.send_keep_alive(OutgoingRequest::get(&path), POLL_LIMIT, MOST_BYTES).await?;
     let answered = boot_now();
     let batch: EventBatch = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
     let events: Option<Vec<KeptEvent>> = batch.events.iter().map(EngineEvent::read).collect();
@@ -95,7 +95,8 @@
 
 async fn take_snapshot(engine: &EngineName, stream: &mut OpenStream, table: &TableAsker) -> Result<(), String> {
     let asked = boot_now();
-    let (_, _, body) = stream.ask_again(Question::get("/v1/kept/snapshot"), POLL_LIMIT, MOST_BYTES).await?;
+    let (_, _, body) =
+        stream.send_keep_alive(OutgoingRequest::get("/v1/kept/snapshot"), POLL_LIMIT, MOST_BYTES).await?;
     let snapshot: KeptSnapshot = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
     let names = read_hashes(&snapshot.block_hashes).ok_or("a block name is unreadable")?;
     event!(debug, "snapshot_taken", engine = engine, blocks = names.len());
--- a/crates/router/src/forward/answer.rs
+++ b/crates/router/src/forward/answer.rs
@@ -14,7 +14,7 @@
 
 impl Forwarder {
     /// The first piece came: the engine has the blocks now, and a stream to the caller opens.
-    pub(super) fn begin_answer(&mut self) -> Option<WebOutcome> {
+    pub(super) fn begin_answer(&mut self) -> Option<WebResponse> {
         self.first_ms = Some(boot_now().since(self.run.plan.began).as_millis());
         if let Some(attempt) = &self.attempt {
             let chosen = &attempt.placement.chosen;
@@ -34,7 +34,7 @@
         let (sink, answered) = match held_run {
             Some(held_run) => (Sink::Book(Arc::clone(&held_run)), held_run.stream_from(0)),
             None => {
-                let (pieces, answered) = outcome_pieces(StatusCode::OK, "text/event-stream", PIECE_PLACES);
+                let (pieces, answered) = streaming_response(StatusCode::OK, "text/event-stream", PIECE_PLACES);
                 (Sink::Caller(pieces), answered.with_header("cache-control", "no-store"))
             }
         };
@@ -52,13 +52,13 @@
     }
 
     /// The whole answer of a request that does not stream.
-    pub(super) fn answer_whole(&mut self, completion: Completion) -> WebOutcome {
+    pub(super) fn answer_whole(&mut self, completion: Completion) -> WebResponse {
         let plan = &self.run.plan;
         Counts::add(&self.run.shared.counts.whole, 1);
         self.run.record("whole", self.first_ms);
         event!(info, "request_ended", run = plan.run, tenant = plan.tenant, outcome = "whole");
         let adapter = completion.adapter.clone();
-        let answered = outcome_json(StatusCode::OK, &shape_whole(completion, &plan.run, plan.form))
+        let answered = json_response(StatusCode::OK, &shape_whole(completion, &plan.run, plan.form))
             .with_header(RUN_HEADER, &plan.run)
             .with_header(OUTCOME_HEADER, "whole");
         match adapter {
@@ -68,7 +68,7 @@
     }
 
     /// The head of a stream names the adapter that it is made on.
-    fn named_after_adapter(&self, answered: WebOutcome) -> WebOutcome {
+    fn named_after_adapter(&self, answered: WebResponse) -> WebResponse {
         match self.attempt.as_ref().and_then(|attempt| attempt.adapter.as_ref()) {
             Some(adapter) => answered.with_header(ADAPTER_HEADER, &adapter.to_string()),
             None => answered,
@@ -116,7 +116,7 @@
     }
 
     /// The final answer, given at once, with when to come back.
-    pub(super) fn give_up(&self, given_up: GivenUp) -> WebOutcome {
+    pub(super) fn give_up(&self, given_up: GivenUp) -> WebResponse {
         let counts = &self.run.shared.counts;
         let plan = &self.run.plan;
         let GivenUp { kind, ran, reason } = given_up;
@@ -124,7 +124,7 @@
             Counts::add(&counts.refused, 1);
             let message = "this key is claimed by an earlier request; it is not run again";
             let told = json!({"error": {"type": "claimed", "message": message}, "run": reason});
-            return outcome_json(StatusCode::CONFLICT, &told).with_header(OUTCOME_HEADER, "claimed");
+            return json_response(StatusCode::CONFLICT, &told).with_header(OUTCOME_HEADER, "claimed");
         }
         let may_have_run = ran == Ran::Perhaps;
         let (counter, outcome) =
@@ -143,7 +143,7 @@
         if kind == GivenUpKind::AdapterCold {
             Counts::add(&counts.adapter_cold, 1);
         }
-        refuse(status, error_type, told)
+        error_response(status, error_type, told)
             .with_header(OUTCOME_HEADER, outcome)
             .with_header(RUN_HEADER, &plan.run)
             .with_header("retry-after", back_after)
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -18,7 +18,7 @@
     pub(super) adapter: Option<AdapterId>,
     pub(super) place: AttemptPlace,
     stream: Option<OpenStream>,
-    replied: Option<Replied>,
+    replied: Option<IncomingResponse>,
     reader: EventReader,
     /// Allows its engine more time; ends with the attempt.
     allowing: Option<Allowing>,
@@ -74,7 +74,7 @@
                 }
                 None => {}
             }
-            match replied.next_piece().await {
+            match replied.next_chunk().await {
                 Ok(Some(bytes)) => {
                     if let Err(reason) = self.reader.feed(&bytes) {
                         return Input::Broken(reason);
@@ -147,7 +147,7 @@
         let allowed_ms = allowance.left(boot_now()).as_millis().max(1);
         attempt.allowing =
             Some(Allowing::begin(shared, &attempt.placement.address, &attempt_name, plan.limit, allowance));
-        let question = Question::with_json(Method::POST, "/v1/completions", &json!(engine_request))
+        let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &json!(engine_request))
             .header(SHOT_HEADER, attempt_name)
             .header(WEIGHTS_HEADER, ground.weights.to_string())
             .header(LIMIT_HEADER, allowed_ms.to_string());
@@ -172,7 +172,7 @@
     }
 
     /// The head of the engine's answer: it began, or why it did not.
-    async fn read_head(&mut self, replied: Replied) -> Input {
+    async fn read_head(&mut self, replied: IncomingResponse) -> Input {
         if replied.status != StatusCode::OK {
             return self.read_refusal(replied).await;
         }
@@ -183,7 +183,7 @@
         Input::Head { head: ResponseClass::Success, detail: String::new() }
     }
 
-    async fn read_refusal(&self, mut replied: Replied) -> Input {
+    async fn read_refusal(&self, mut replied: IncomingResponse) -> Input {
         let body = read_whole(&mut replied.body, MOST_REFUSAL_BYTES, REFUSAL_LIMIT).await.unwrap_or_default();
         let told: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let told_kind = told["error"]["type"].as_str().unwrap_or("");
@@ -244,7 +244,7 @@
 }
 
 /// A question about a prompt names the adapter that the prompt runs on.
-pub(super) fn name_adapter(question: Question, adapter: Option<&AdapterId>) -> Question {
+pub(super) fn name_adapter(question: OutgoingRequest, adapter: Option<&AdapterId>) -> OutgoingRequest {
     match adapter {
         Some(adapter) => question.header(ADAPTER_HEADER, adapter.to_string()),
         None => question,
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -46,7 +46,7 @@
 
 impl Run {
     /// Forwards the request until there is an answer; a stream then goes on by itself.
-    pub async fn forward(self) -> WebOutcome {
+    pub async fn forward(self) -> WebResponse {
         Forwarder::new(self).drive().await
     }
 }
@@ -75,7 +75,7 @@
         }
     }
 
-    async fn drive(mut self) -> WebOutcome {
+    async fn drive(mut self) -> WebResponse {
         let mut plan = self.carriage.step(Input::Begin);
         loop {
             if let Some(answered) = self.carry_out(plan) {
@@ -148,7 +148,7 @@
     }
 
     /// Does what the machine wishes; an answer for the caller, if there is one now.
-    fn carry_out(&mut self, plan: Vec<Effect>) -> Option<WebOutcome> {
+    fn carry_out(&mut self, plan: Vec<Effect>) -> Option<WebResponse> {
         let mut answered = None;
         for effect in plan {
             match effect {
--- a/crates/router/src/forward/prefill.rs
+++ b/crates/router/src/forward/prefill.rs
@@ -12,7 +12,7 @@
         let allowance = Allowance::under(self.shared.lease_until(), self.plan.limit);
         let allowed_ms = allowance.left(boot_now()).min(half_left).as_millis().max(1);
         let question =
-            Question::with_json(Method::POST, "/v1/prefill", &json!(PrefillRequest { prompt, cache_salt }))
+            OutgoingRequest::with_json(Method::POST, "/v1/prefill", &json!(PrefillRequest { prompt, cache_salt }))
                 .header(SHOT_HEADER, attempt_name)
                 .header(WEIGHTS_HEADER, ground.weights.to_string())
                 .header(LIMIT_HEADER, allowed_ms.to_string());
--- a/crates/router/src/forward/sink.rs
+++ b/crates/router/src/forward/sink.rs
@@ -4,7 +4,7 @@
 
 /// Where the pieces go: to the caller, or into the book that callers are served from.
 pub(super) enum Sink {
-    Caller(PieceSender),
+    Caller(BodySender),
     Book(Arc<HeldRun>),
 }
 
--- a/crates/router/src/plan.rs
+++ b/crates/router/src/plan.rs
@@ -52,8 +52,8 @@
     }
 
     /// Nothing of the request has run or will run.
-    pub fn into_outcome(self) -> WebOutcome {
-        let answered = refuse(self.status, self.kind, &self.reason).with_header(OUTCOME_HEADER, "not_run");
+    pub fn into_outcome(self) -> WebResponse {
+        let answered = error_response(self.status, self.kind, &self.reason).with_header(OUTCOME_HEADER, "not_run");
         match self.retry_after {
             Some(seconds) => answered.with_header("retry-after", &seconds.to_string()),
             None => answered,
@@ -175,7 +175,7 @@
 }
 
 impl HeaderFields {
-    pub fn read(asked: &Asked) -> Result<HeaderFields, Refusal> {
+    pub fn read(asked: &IncomingRequest) -> Result<HeaderFields, Refusal> {
         let bad = |reason: &str| Refusal::new(StatusCode::BAD_REQUEST, "bad_request", reason);
         let limit_ms = match asked.header("x-haremount-limit-ms") {
             None => None,
@@ -194,7 +194,7 @@
         Ok(HeaderFields {
             idempotency_key,
             resumes: asked.header("x-haremount-resume") == Some("true"),
-            key_hash: asked.bearer().map(sha256_hex),
+            key_hash: asked.bearer_token().map(sha256_hex),
             kind: asked.header("x-haremount-kind").map(str::to_owned),
             limit_ms,
             repeatable,
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -34,8 +34,9 @@
 pub use tokio::sync::oneshot;
 pub use units::prelude::*;
 pub use web::prelude::{
-    Asked, BodyFault, Bytes, Method, OpenStream, OutcomeFuture, PieceSender, Question, Replied, SendFault, Site,
-    StatusCode, WebOutcome, WebOutcomeExt, bind, no_such_page, open_stream, outcome_bytes, outcome_json,
-    outcome_pieces, read_whole, refuse, serve, small_runtime,
+    BodyFault, BodySender, Bytes, IncomingRequest, IncomingResponse, Method, OpenStream, OutgoingRequest,
+    RequestHandler, ResponseFuture, SendFault, StatusCode, WebResponse, WebResponseExt, bind, bytes_response,
+    error_response, json_response, not_found_response, open_stream, read_whole, serve, small_runtime,
+    streaming_response,
 };
 pub use wire::prelude::{RouterAddress, RouterDown, RouterUp};
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/request_site.rs
@@ -22,15 +22,15 @@
     }
 }
 
-impl Site for RequestSite {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for RequestSite {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(self.respond(asked))
     }
 }
 
 impl RequestSite {
-    async fn respond(self: Arc<Self>, asked: Asked) -> WebOutcome {
-        let (method, segments) = asked.way();
+    async fn respond(self: Arc<Self>, asked: IncomingRequest) -> WebResponse {
+        let (method, segments) = asked.method_and_path();
         match (method.as_str(), segments.as_slice()) {
             ("POST", ["v1", "completions"]) => self.take(asked, Form::Completion).await,
             ("POST", ["v1", "chat", "completions"]) => self.take(asked, Form::Chat).await,
@@ -38,17 +38,17 @@
                 let (run, last_event) = ((*run).to_owned(), asked.header("last-event-id").map(str::to_owned));
                 self.resume(&asked, &run, last_event.as_deref()).await
             }
-            ("GET", ["live"]) => outcome_bytes(StatusCode::OK, "text/plain", "live\n"),
+            ("GET", ["live"]) => bytes_response(StatusCode::OK, "text/plain", "live\n"),
             ("GET", ["ready"]) => self.ready(),
             ("GET", ["metrics"]) => self.metrics(),
-            _ => no_such_page(),
+            _ => not_found_response(),
         }
     }
 
     /// Goes on with a run where the caller left off; never begins one.
-    async fn resume(&self, asked: &Asked, run: &str, last_event: Option<&str>) -> WebOutcome {
-        let bad = |reason: &str| refuse(StatusCode::BAD_REQUEST, "bad_request", reason);
-        let gone = || refuse(StatusCode::GONE, "gone", "this run is not held any more; it is not begun anew");
+    async fn resume(&self, asked: &IncomingRequest, run: &str, last_event: Option<&str>) -> WebResponse {
+        let bad = |reason: &str| error_response(StatusCode::BAD_REQUEST, "bad_request", reason);
+        let gone = || error_response(StatusCode::GONE, "gone", "this run is not held any more; it is not begun anew");
         let Some(named) = EventId::read(run).filter(|named| named.piece.is_none()) else {
             return bad("a run is ROUTER.NUMBER, as told in x-haremount-run");
         };
@@ -64,9 +64,9 @@
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_lease", reason).retry_after(1).into_outcome();
         }
         let sight = self.shared.sight();
-        let key_hash = asked.bearer().map(sha256_hex).unwrap_or_default();
+        let key_hash = asked.bearer_token().map(sha256_hex).unwrap_or_default();
         let Some(tenant) = sight.tenants_by_key.get(&key_hash) else {
-            return refuse(StatusCode::UNAUTHORIZED, "unknown_key", "the key is not known");
+            return error_response(StatusCode::UNAUTHORIZED, "unknown_key", "the key is not known");
         };
         if named.router != self.router {
             let may_carry = asked.header("x-haremount-carried").is_none();
@@ -84,7 +84,7 @@
         held_run.stream_from(first).with_header(RUN_HEADER, run)
     }
 
-    async fn take(&self, mut asked: Asked, form: Form) -> WebOutcome {
+    async fn take(&self, mut asked: IncomingRequest, form: Form) -> WebResponse {
         if let Some(last_event) = asked.header("last-event-id").map(str::to_owned) {
             let run = last_event.rsplit_once('.').map_or("", |(run, _)| run).to_owned();
             return self.resume(&asked, &run, Some(&last_event)).await;
@@ -115,7 +115,7 @@
         }
     }
 
-    async fn admit(&self, asked: &mut Asked, form: Form) -> Result<(Plan, Seat), Refusal> {
+    async fn admit(&self, asked: &mut IncomingRequest, form: Form) -> Result<(Plan, Seat), Refusal> {
         let now = boot_now();
         if self.shared.draining.load(Ordering::SeqCst) {
             let reason = "this router is stopping";
@@ -155,16 +155,16 @@
         Ok((plan, seat))
     }
 
-    fn ready(&self) -> WebOutcome {
+    fn ready(&self) -> WebResponse {
         let is_ready = self.shared.holds_lease(boot_now()) && !self.shared.draining.load(Ordering::SeqCst);
         if is_ready {
-            outcome_bytes(StatusCode::OK, "text/plain", "ready\n")
+            bytes_response(StatusCode::OK, "text/plain", "ready\n")
         } else {
-            outcome_bytes(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
+            bytes_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
         }
     }
 
-    fn metrics(&self) -> WebOutcome {
+    fn metrics(&self) -> WebResponse {
         let counts = &self.shared.counts;
         let now = boot_now();
         let sight = self.shared.sight();
@@ -196,18 +196,18 @@
         text.push_str(&format!("haremount_router_edition {}\n", sight.state.edition));
         text.push_str(&format!("haremount_router_lease_left_ms {}\n", self.shared.lease_left(now).as_millis()));
         text.push_str(&self.shared.policy_metrics());
-        outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
+        bytes_response(StatusCode::OK, "text/plain; version=0.0.4", text)
     }
 }
 
 /// Asks the router that holds the run, and passes its stream on byte by byte.
 async fn carry_resume(
     address: &str,
-    asked: &Asked,
+    asked: &IncomingRequest,
     run: &str,
     last_event: Option<&str>,
-) -> Result<WebOutcome, String> {
-    let mut question = Question::get(&format!("/v1/runs/{run}"))
+) -> Result<WebResponse, String> {
+    let mut question = OutgoingRequest::get(&format!("/v1/runs/{run}"))
         .header("authorization", asked.header("authorization").unwrap_or(""))
         .header("x-haremount-carried", "true");
     if let Some(last_event) = last_event {
@@ -218,13 +218,13 @@
     if replied.status != StatusCode::OK {
         let status = replied.status;
         let body = read_whole(&mut replied.body, 1 << 16, Duration::from_secs(2)).await.unwrap_or_default();
-        return Ok(outcome_bytes(status, "application/json", body));
+        return Ok(bytes_response(status, "application/json", body));
     }
-    let (pieces, answered) = outcome_pieces(StatusCode::OK, "text/event-stream", 32);
+    let (pieces, answered) = streaming_response(StatusCode::OK, "text/event-stream", 32);
     tokio::spawn(async move {
         loop {
             let piece = tokio::select! {
-                piece = replied.next_piece() => piece,
+                piece = replied.next_chunk() => piece,
                 () = pieces.gone() => return,
             };
             match piece {
--- a/crates/router/src/runs.rs
+++ b/crates/router/src/runs.rs
@@ -67,8 +67,8 @@
     }
 
     /// Streams the events from a place on, as far as they have come, and on as they come.
-    pub fn stream_from(self: Arc<Self>, first: usize) -> WebOutcome {
-        let (pieces, answered) = outcome_pieces(StatusCode::OK, "text/event-stream", 32);
+    pub fn stream_from(self: Arc<Self>, first: usize) -> WebResponse {
+        let (pieces, answered) = streaming_response(StatusCode::OK, "text/event-stream", 32);
         tokio::spawn(async move {
             let mut news = self.news.subscribe();
             let mut place = first;
--- a/crates/standin/src/prelude.rs
+++ b/crates/standin/src/prelude.rs
@@ -3,4 +3,4 @@
 pub use crate::serving::*;
 pub(crate) use process::prelude::*;
 pub(crate) use std::sync::Arc;
-pub(crate) use web::prelude::{Site, bind, serve, small_runtime};
+pub(crate) use web::prelude::{RequestHandler, bind, serve, small_runtime};
--- a/crates/standin/src/serving.rs
+++ b/crates/standin/src/serving.rs
@@ -3,7 +3,11 @@
 use crate::prelude::*;
 
 /// Serves a site on the address of the setting `listen` until SIGTERM.
-pub fn serve_standin(trade: &'static Trade, settings: &Settings, site: Arc<dyn Site>) -> Result<(), Report> {
+pub fn serve_standin(
+    trade: &'static Trade,
+    settings: &Settings,
+    site: Arc<dyn RequestHandler>,
+) -> Result<(), Report> {
     let _logs = start_logs(trade.program, settings.text("log_level")?)?;
     let listener = bind(settings.address("listen")?).map_err(|fault| miette!("listen: {fault}"))?;
     let address = listener.local_addr().map_err(|fault| miette!("listen: {fault}"))?;
--- a/crates/store/src/main.rs
+++ b/crates/store/src/main.rs
@@ -19,8 +19,8 @@
     news: tokio::sync::watch::Sender<u64>,
 }
 
-impl Site for StoreSite {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for StoreSite {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(self.enter(asked))
     }
 }
@@ -30,8 +30,8 @@
         self.memory.lock().expect("no holder of this lock panics")
     }
 
-    async fn enter(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
-        let (method, segments) = asked.way();
+    async fn enter(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
+        let (method, segments) = asked.method_and_path();
         match (method.as_str(), segments.as_slice()) {
             ("GET", ["v1", "kept", "events"]) => {
                 let number = asked.query_value("from").and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -41,25 +41,25 @@
             }
             ("GET", ["v1", "kept", "snapshot"]) => {
                 let snapshot = self.memory().snapshot();
-                outcome_json(StatusCode::OK, &json!(snapshot))
+                json_response(StatusCode::OK, &json!(snapshot))
             }
-            ("GET", ["live"]) => outcome_bytes(StatusCode::OK, "text/plain", "live\n"),
+            ("GET", ["live"]) => bytes_response(StatusCode::OK, "text/plain", "live\n"),
             ("GET", ["metrics"]) => {
                 let text = format!("haremount_store_kept_share {:.4}\n", self.memory().kept_share());
-                outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
+                bytes_response(StatusCode::OK, "text/plain; version=0.0.4", text)
             }
             ("POST", ["v1", "blocks"]) => {
                 let Some(names) = read_names(&mut asked).await else { return bad_names() };
                 self.memory().keep(&names);
                 self.news.send_modify(|count| *count += 1);
-                outcome_json(StatusCode::OK, &json!(Found { found: names.len() as u64 }))
+                json_response(StatusCode::OK, &json!(Found { found: names.len() as u64 }))
             }
             ("POST", ["v1", "kept", "blocks"]) => {
                 let Some(names) = read_names(&mut asked).await else { return bad_names() };
                 let found = self.memory().overlap(&names) as u64;
-                outcome_json(StatusCode::OK, &json!(Found { found }))
+                json_response(StatusCode::OK, &json!(Found { found }))
             }
-            _ => no_such_page(),
+            _ => not_found_response(),
         }
     }
 }
--- a/crates/testbed/src/asking.rs
+++ b/crates/testbed/src/asking.rs
@@ -14,15 +14,15 @@
         body: Option<&Value>,
     ) -> Result<(u16, Value), String> {
         let question = match body {
-            Some(value) => Question::with_json(method, path, value),
-            None => Question { method, ..Question::get(path) },
+            Some(value) => OutgoingRequest::with_json(method, path, value),
+            None => OutgoingRequest { method, ..OutgoingRequest::get(path) },
         };
         self.ask_question(address, question)
     }
 
     /// Asks a process; the status and the answer.
-    pub fn ask_question(&self, address: &str, question: Question) -> Result<(u16, Value), String> {
-        let (status, value) = self.runtime.block_on(ask_json(address, question, ASK_LIMIT))?;
+    pub fn ask_question(&self, address: &str, question: OutgoingRequest) -> Result<(u16, Value), String> {
+        let (status, value) = self.runtime.block_on(fetch_json(address, question, ASK_LIMIT))?;
         Ok((status.as_u16(), value))
     }
 
@@ -57,8 +57,8 @@
         if_match: Option<u64>,
     ) -> Result<(u16, Value), String> {
         let mut question = match body {
-            Some(value) => Question::with_json(method, path, value),
-            None => Question { method, ..Question::get(path) },
+            Some(value) => OutgoingRequest::with_json(method, path, value),
+            None => OutgoingRequest { method, ..OutgoingRequest::get(path) },
         };
         question = question.header("authorization", format!("Bearer {}", self.operator_key));
         if let Some(edition) = if_match {
@@ -70,7 +70,7 @@
     /// One request to a router; the status and the answer.
     pub fn complete(&self, router: usize, tenant: usize, prompt: &str) -> Result<(u16, Value), String> {
         let body = json!({"model": "model", "prompt": prompt, "max_tokens": 4});
-        let question = Question::with_json(Method::POST, "/v1/completions", &body)
+        let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", self.tenants[tenant].1));
         self.ask_question(&self.router_address(router), question)
     }
--- a/crates/testbed/src/documents.rs
+++ b/crates/testbed/src/documents.rs
@@ -6,10 +6,10 @@
     /// The number of the document in force.
     pub fn desired_edition(&self) -> Result<u64, String> {
         for keeper in self.keepers.iter().filter(|keeper| keeper.process.is_some()) {
-            let question =
-                Question::get("/v1/desired-state").header("authorization", format!("Bearer {}", self.operator_key));
+            let question = OutgoingRequest::get("/v1/desired-state")
+                .header("authorization", format!("Bearer {}", self.operator_key));
             let Ok((status, headers, _)) =
-                self.runtime.block_on(ask_whole(&keeper.door, question, ASK_LIMIT, 4 << 20))
+                self.runtime.block_on(fetch_response(&keeper.door, question, ASK_LIMIT, 4 << 20))
             else {
                 continue;
             };
--- a/crates/testbed/src/prelude.rs
+++ b/crates/testbed/src/prelude.rs
@@ -21,4 +21,4 @@
 pub(crate) use units::prelude::*;
 pub use verdict::prelude::{CallerLine, Record, Violation, WorldLine, judge};
 pub use web::prelude::{Method, StatusCode};
-pub(crate) use web::prelude::{Question, ask_json, ask_whole, small_runtime};
+pub(crate) use web::prelude::{OutgoingRequest, fetch_json, fetch_response, small_runtime};
--- a/crates/testbed/src/starting.rs
+++ b/crates/testbed/src/starting.rs
@@ -140,10 +140,10 @@
         };
         let body = json!({"name": engine.name, "address": engine.address, "zone": engine.zone, "model": "model", "role": role, "state": state});
         let question = match state {
-            "gone" => Question { method: Method::DELETE, ..Question::get(&path) },
-            _ => Question::with_json(Method::PUT, &path, &body),
+            "gone" => OutgoingRequest { method: Method::DELETE, ..OutgoingRequest::get(&path) },
+            _ => OutgoingRequest::with_json(Method::PUT, &path, &body),
         };
-        self.runtime.block_on(ask_json(&self.platform.address(), question, ASK_LIMIT))?;
+        self.runtime.block_on(fetch_json(&self.platform.address(), question, ASK_LIMIT))?;
         let (at, engine) = (boot_millis(), engine.name.clone());
         self.note(if state == "open" {
             WorldLine::ListedOpen { at, engine }
--- a/crates/testbed/src/watching.rs
+++ b/crates/testbed/src/watching.rs
@@ -19,13 +19,13 @@
 
     /// What a process says of its readiness.
     pub fn is_ready(&self, address: &str) -> Result<bool, String> {
-        let asked = ask_whole(address, Question::get("/ready"), Span::seconds(2), 1 << 10);
+        let asked = fetch_response(address, OutgoingRequest::get("/ready"), Span::seconds(2), 1 << 10);
         self.runtime.block_on(asked).map(|(status, _, _)| status == StatusCode::OK)
     }
 
     /// What a process says on its page of metrics.
     pub fn metrics(&self, address: &str) -> Result<String, String> {
-        let asked = ask_whole(address, Question::get("/metrics"), Span::seconds(2), 16 << 20);
+        let asked = fetch_response(address, OutgoingRequest::get("/metrics"), Span::seconds(2), 16 << 20);
         let (_, _, body) = self.runtime.block_on(asked)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
--- a/crates/testbed/tests/adapters.rs
+++ b/crates/testbed/tests/adapters.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use testbed::prelude::*;
 use units::prelude::*;
-use web::prelude::{Question, Replied, open_stream, read_whole, small_runtime};
+use web::prelude::{IncomingResponse, OutgoingRequest, open_stream, read_whole, small_runtime};
 
 const QUESTION_MS: u64 = 10_000;
 const ATTEMPT_MS: u64 = 3_500;
@@ -112,7 +112,7 @@
         let prompt = format!("{:-<640}", format!("question {number} "));
         let body = json!({"model": "model", "prompt": prompt, "max_tokens": TOKENS, "stream": line.streams,
                           "repeatable": line.repeatable, "limit_ms": limit_ms});
-        let question = Question::with_json(Method::POST, "/v1/completions", &body)
+        let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", line.key));
         line.outcome = "no_answer".into();
         let Ok(stream) = open_stream(router, Span::millis(700)).await else {
@@ -151,8 +151,8 @@
     }
 }
 
-async fn read_answer(replied: Replied, prompt: &str, line: &mut CallerLine) -> bool {
-    let Replied { body, .. } = replied;
+async fn read_answer(replied: IncomingResponse, prompt: &str, line: &mut CallerLine) -> bool {
+    let IncomingResponse { body, .. } = replied;
     let Ok(body) = read_whole(body, 1 << 20, Duration::from_secs(8)).await else { return false };
     let Ok(answer) = serde_json::from_slice::<Value>(&body) else { return false };
     line.first_ms = Some(boot_millis() - line.at);
@@ -164,9 +164,9 @@
     true
 }
 
-async fn read_stream(replied: &mut Replied, prompt: &str, line: &mut CallerLine) -> bool {
+async fn read_stream(replied: &mut IncomingResponse, prompt: &str, line: &mut CallerLine) -> bool {
     let mut text = String::new();
-    while let Ok(Some(bytes)) = replied.next_piece().await {
+    while let Ok(Some(bytes)) = replied.next_chunk().await {
         text.push_str(&String::from_utf8_lossy(&bytes));
         while let Some((event, rest)) = text.clone().split_once("\n\n") {
             text = rest.to_owned();
@@ -346,22 +346,22 @@
 }
 
 /// A request to an engine or a router, with all that its head says.
-fn ask_head(address: &str, question: Question) -> (u16, Value, String) {
+fn ask_head(address: &str, question: OutgoingRequest) -> (u16, Value, String) {
     let runtime = small_runtime(1).unwrap();
     let (status, headers, body) =
-        runtime.block_on(web::prelude::ask_whole(address, question, Span::seconds(12), 1 << 20)).unwrap();
+        runtime.block_on(web::prelude::fetch_response(address, question, Span::seconds(12), 1 << 20)).unwrap();
     let told = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned();
     let head = format!("{} {} {}", told("x-haremount-adapter"), told("x-haremount-outcome"), told("retry-after"));
     (status.as_u16(), serde_json::from_slice(&body).unwrap_or(Value::Null), head)
 }
 
-fn completion(key: &str, adapter: &str) -> Question {
+fn completion(key: &str, adapter: &str) -> OutgoingRequest {
     let body = json!({"model": "model", "prompt": "one", "max_tokens": 2, "stream": false, "cache_salt": "w1.x"});
     let mut body = body;
     if adapter.is_empty() {
         body.as_object_mut().unwrap().remove("cache_salt");
     }
-    let question = Question::with_json(Method::POST, "/v1/completions", &body);
+    let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body);
     match adapter {
         "" => question.header("authorization", format!("Bearer {key}")),
         adapter => question.header("x-haremount-adapter", adapter),
--- a/crates/testbed/tests/data.rs
+++ b/crates/testbed/tests/data.rs
@@ -28,7 +28,7 @@
 }
 
 fn post(fleet: &Fleet, body: &Value) -> (u16, Value) {
-    let question = web::prelude::Question::with_json(Method::POST, "/v1/completions", body)
+    let question = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/completions", body)
         .header("authorization", format!("Bearer {}", fleet.tenants[0].1));
     fleet.ask_question(&fleet.router_address(0), question).unwrap()
 }
--- a/crates/testbed/tests/later.rs
+++ b/crates/testbed/tests/later.rs
@@ -171,7 +171,7 @@
     let fleet = Fleet::start(FleetPlan::small()).unwrap();
     let ask = |router: usize, tenant: usize, key: &str, model: &str| {
         let body = json!({"model": model, "prompt": "pay once", "max_tokens": 2});
-        let question = web::prelude::Question::with_json(Method::POST, "/v1/completions", &body)
+        let question = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", fleet.tenants[tenant].1))
             .header("idempotency-key", key);
         fleet.ask_question(&fleet.router_address(router), question).unwrap()
--- a/crates/testbed/tests/strangers.rs
+++ b/crates/testbed/tests/strangers.rs
@@ -45,7 +45,7 @@
     let prefills: Vec<_> =
         record.engines.iter().filter(|line| matches!(line, testbed::prelude::EngineLine::Prefill(_))).collect();
     assert!(!prefills.is_empty() && prefills.len() <= 4, "prefills are told as work: {prefills:?}");
-    let other_weights = web::prelude::Question::with_json(
+    let other_weights = web::prelude::OutgoingRequest::with_json(
         Method::POST,
         "/v1/prefill",
         &json!({"prompt": prompt, "cache_salt": "w9.x"}),
--- a/crates/testbed/tests/withdrawn.rs
+++ b/crates/testbed/tests/withdrawn.rs
@@ -152,7 +152,7 @@
     let (status, _) = fleet
         .ask_question(
             &fleet.router_address(0),
-            web::prelude::Question::get(&format!("/v1/runs/{}", held.run))
+            web::prelude::OutgoingRequest::get(&format!("/v1/runs/{}", held.run))
                 .header("authorization", format!("Bearer {}", fleet.tenants[3].1)),
         )
         .unwrap();
--- a/crates/web/src/ask.rs
+++ b/crates/web/src/ask.rs
@@ -5,7 +5,7 @@
 use crate::prelude::*;
 
 /// The last look before the first byte: what it refuses is never sent.
-pub type Gate = Box<dyn FnOnce() -> Result<(), String> + Send>;
+pub type SendGate = Box<dyn FnOnce() -> Result<(), String> + Send>;
 
 /// An open stream to the other side, on which nothing was said yet.
 pub struct OpenStream {
@@ -30,14 +30,14 @@
 
 #[derive(Default)]
 pub(crate) struct GateCell {
-    gate: std::sync::Mutex<Option<Gate>>,
+    gate: std::sync::Mutex<Option<SendGate>>,
     byte_left: std::sync::atomic::AtomicBool,
     refusal: std::sync::Mutex<Option<String>>,
 }
 
 impl GateCell {
     /// Sets the gate for the next request on the stream.
-    pub(crate) fn arm(&self, gate: Gate) {
+    pub(crate) fn arm(&self, gate: SendGate) {
         self.byte_left.store(false, std::sync::atomic::Ordering::SeqCst);
         if let Ok(mut gate_slot) = self.gate.lock() {
             *gate_slot = Some(gate);
@@ -105,20 +105,20 @@
 
 /// A question to the other side.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct OutgoingRequest {
     pub method: Method,
     pub path: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: Bytes,
 }
 
-impl Question {
-    pub fn get(path: &str) -> Question {
-        Question { method: Method::GET, path: path.to_owned(), headers: Vec::new(), body: Bytes::new() }
+impl OutgoingRequest {
+    pub fn get(path: &str) -> OutgoingRequest {
+        OutgoingRequest { method: Method::GET, path: path.to_owned(), headers: Vec::new(), body: Bytes::new() }
     }
 
-    pub fn with_json(method: Method, path: &str, value: &Value) -> Question {
-        Question {
+    pub fn with_json(method: Method, path: &str, value: &Value) -> OutgoingRequest {
+        OutgoingRequest {
             method,
             path: path.to_owned(),
             headers: vec![("content-type", "application/json".into())],
@@ -126,27 +126,27 @@
         }
     }
 
-    pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Question {
+    pub fn header(mut self, name: &'static str, value: impl Into<String>) -> OutgoingRequest {
         self.headers.push((name, value.into()));
         self
     }
 }
 
 /// What came back; the body is still on its way, and dropping this ends the stream.
-pub struct Replied {
+pub struct IncomingResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Incoming,
     _stream: OpenStream,
 }
 
-impl Replied {
+impl IncomingResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
     /// The next piece; nothing at the clean end.
-    pub async fn next_piece(&mut self) -> Result<Option<Bytes>, String> {
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, String> {
         while let Some(frame) = self.body.frame().await {
             let frame = frame.map_err(|fault| fault.to_string())?;
             if let Ok(data) = frame.into_data() {
@@ -178,22 +178,22 @@
 
 impl OpenStream {
     /// Sends the question. From here on the other side may have got it.
-    pub async fn send(self, question: Question) -> Result<Replied, SendFault> {
+    pub async fn send(self, question: OutgoingRequest) -> Result<IncomingResponse, SendFault> {
         let request = self.request(question, true);
         self.carry_out(request).await
     }
 
     /// Sends the question if the gate, asked at the first write, lets it pass.
-    pub async fn send_gated(self, question: Question, gate: Gate) -> Result<Replied, SendFault> {
+    pub async fn send_gated(self, question: OutgoingRequest, gate: SendGate) -> Result<IncomingResponse, SendFault> {
         self.gate.arm(gate);
         let request = self.request(question, true);
         self.carry_out(request).await
     }
 
     /// Asks on a stream that is kept, for polls; an answer is read whole.
-    pub async fn ask_again(
+    pub async fn send_keep_alive(
         &mut self,
-        question: Question,
+        question: OutgoingRequest,
         limit: Span,
         most_bytes: usize,
     ) -> Result<(StatusCode, HeaderMap, Bytes), String> {
@@ -209,7 +209,7 @@
         tokio::time::timeout(limit.as_duration(), whole_call).await.unwrap_or_else(|_| Err("limit passed".into()))
     }
 
-    fn request(&self, question: Question, closes: bool) -> Result<Request<Full<Bytes>>, String> {
+    fn request(&self, question: OutgoingRequest, closes: bool) -> Result<Request<Full<Bytes>>, String> {
         let mut request =
             Request::builder().method(question.method).uri(&question.path).header("host", &self.address);
         if closes {
@@ -221,12 +221,15 @@
         request.body(Full::new(question.body)).map_err(|fault| fault.to_string())
     }
 
-    async fn carry_out(mut self, request: Result<Request<Full<Bytes>>, String>) -> Result<Replied, SendFault> {
+    async fn carry_out(
+        mut self,
+        request: Result<Request<Full<Bytes>>, String>,
+    ) -> Result<IncomingResponse, SendFault> {
         let request = request.map_err(|reason| SendFault { reason, byte_left: false })?;
         match self.sender.send_request(request).await {
             Ok(response) => {
                 let (parts, body) = response.into_parts();
-                Ok(Replied { status: parts.status, headers: parts.headers, body, _stream: self })
+                Ok(IncomingResponse { status: parts.status, headers: parts.headers, body, _stream: self })
             }
             Err(fault) => Err(self.gate.fault(fault.to_string())),
         }
@@ -234,15 +237,15 @@
 }
 
 /// A whole call within one limit: status, headers and body.
-pub async fn ask_whole(
+pub async fn fetch_response(
     address: &str,
-    question: Question,
+    question: OutgoingRequest,
     limit: Span,
     most_bytes: usize,
 ) -> Result<(StatusCode, HeaderMap, Bytes), String> {
     let whole_call = async {
         let replied = open_stream(address, limit).await?.send(question).await.map_err(|fault| fault.reason)?;
-        let Replied { status, headers, body, _stream } = replied;
+        let IncomingResponse { status, headers, body, _stream } = replied;
         let bytes = read_whole(body, most_bytes, limit.as_duration()).await.map_err(|fault| format!("{fault:?}"))?;
         Ok((status, headers, bytes))
     };
@@ -253,8 +256,12 @@
 }
 
 /// A whole call whose answer is JSON.
-pub async fn ask_json(address: &str, question: Question, limit: Span) -> Result<(StatusCode, Value), String> {
-    let (status, _, bytes) = ask_whole(address, question, limit, 16 << 20).await?;
+pub async fn fetch_json(
+    address: &str,
+    question: OutgoingRequest,
+    limit: Span,
+) -> Result<(StatusCode, Value), String> {
+    let (status, _, bytes) = fetch_response(address, question, limit, 16 << 20).await?;
     let value = if bytes.is_empty() {
         Value::Null
     } else {
--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -41,7 +41,7 @@
 
 /// The sending end of a streamed answer. The stream ends cleanly only if that was said: dropped without
 /// it, in whatever way, the caller sees what was sent before, the last words, and an aborted stream.
-pub struct PieceSender {
+pub struct BodySender {
     pieces: mpsc::Sender<Bytes>,
     ending: Arc<std::sync::Mutex<Ending>>,
 }
@@ -52,7 +52,7 @@
     last_words: Option<Bytes>,
 }
 
-impl PieceSender {
+impl BodySender {
     /// False once the caller is gone.
     pub async fn send(&self, bytes: Bytes) -> bool {
         self.pieces.send(bytes).await.is_ok()
@@ -119,13 +119,17 @@
 }
 
 /// An answer whose body is sent piece by piece.
-pub fn outcome_pieces(status: StatusCode, content_type: &'static str, places: usize) -> (PieceSender, WebOutcome) {
+pub fn streaming_response(
+    status: StatusCode,
+    content_type: &'static str,
+    places: usize,
+) -> (BodySender, WebResponse) {
     let (sender, receiver) = mpsc::channel(places);
     let ending = Arc::new(std::sync::Mutex::new(Ending::default()));
     let body = PieceBody { pieces: receiver, ending: Arc::clone(&ending), aborts: false };
     let mut answered = Response::new(UnsyncBoxBody::new(body));
     *answered.status_mut() = status;
-    (PieceSender { pieces: sender, ending }, answered.with_header("content-type", content_type))
+    (BodySender { pieces: sender, ending }, answered.with_header("content-type", content_type))
 }
 
 #[cfg(test)]
@@ -133,7 +137,7 @@
     use crate::prelude::*;
 
     /// What a caller gets of a stream, and whether it ended cleanly.
-    async fn read(answered: WebOutcome) -> (String, bool) {
+    async fn read(answered: WebResponse) -> (String, bool) {
         let mut body = answered.into_body();
         let mut text = String::new();
         while let Some(frame) = body.frame().await {
@@ -148,7 +152,7 @@
         let runtime = small_runtime(1).unwrap();
         runtime.block_on(async {
             let full = || async {
-                let (pieces, answered) = outcome_pieces(StatusCode::OK, "text/event-stream", 2);
+                let (pieces, answered) = streaming_response(StatusCode::OK, "text/event-stream", 2);
                 assert!(pieces.send(Bytes::from_static(b"a")).await && pieces.send(Bytes::from_static(b"b")).await);
                 (pieces, answered)
             };
--- a/crates/web/src/guard.rs
+++ b/crates/web/src/guard.rs
@@ -7,25 +7,25 @@
 
 /// Bounds on callers; they may change while connections are open.
 #[derive(Debug)]
-pub struct CallerBounds {
+pub struct ConnectionTimeouts {
     idle_millis: AtomicU64,
     head_millis: AtomicU64,
 }
 
-impl Default for CallerBounds {
-    fn default() -> CallerBounds {
-        CallerBounds { idle_millis: AtomicU64::new(30_000), head_millis: AtomicU64::new(30_000) }
+impl Default for ConnectionTimeouts {
+    fn default() -> ConnectionTimeouts {
+        ConnectionTimeouts { idle_millis: AtomicU64::new(30_000), head_millis: AtomicU64::new(30_000) }
     }
 }
 
-impl CallerBounds {
+impl ConnectionTimeouts {
     /// How long a connection may lie still.
-    pub fn set_idle(&self, span: Span) {
+    pub fn set_idle_timeout(&self, span: Span) {
         self.idle_millis.store(span.as_millis(), Ordering::Relaxed);
     }
 
     /// How long the head of a request may take to come.
-    pub fn set_head(&self, span: Span) {
+    pub fn set_head_timeout(&self, span: Span) {
         self.head_millis.store(span.as_millis(), Ordering::Relaxed);
     }
 
@@ -44,7 +44,7 @@
 pub(crate) struct GuardedStream {
     stream: TcpStream,
     idle: Pin<Box<tokio::time::Sleep>>,
-    bounds: Arc<CallerBounds>,
+    bounds: Arc<ConnectionTimeouts>,
     framing: RequestFraming,
     /// When the head that is coming now began to come.
     head_began: Option<tokio::time::Instant>,
@@ -57,7 +57,7 @@
     pub(crate) fn new(
         stream: TcpStream,
         seat: tokio::sync::OwnedSemaphorePermit,
-        bounds: Arc<CallerBounds>,
+        bounds: Arc<ConnectionTimeouts>,
     ) -> GuardedStream {
         let idle = Box::pin(tokio::time::sleep(bounds.idle()));
         let framing = RequestFraming::default();
--- a/crates/web/src/kept.rs
+++ b/crates/web/src/kept.rs
@@ -4,21 +4,21 @@
 use crate::prelude::*;
 
 /// An open connection to one address.
-pub struct KeptConnection {
+pub struct PersistentConnection {
     sender: hyper::client::conn::http1::SendRequest<Full<Bytes>>,
     driver: tokio::task::AbortHandle,
     cell: Arc<GateCell>,
 }
 
-impl Drop for KeptConnection {
+impl Drop for PersistentConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-impl KeptConnection {
+impl PersistentConnection {
     /// Connects within a limit; unacknowledged bytes end the connection after `user_timeout`.
-    pub async fn open(address: &str, limit: Span, user_timeout: Span) -> Result<KeptConnection, String> {
+    pub async fn open(address: &str, limit: Span, user_timeout: Span) -> Result<PersistentConnection, String> {
         let socket_address: std::net::SocketAddr = address.parse().map_err(|_| format!("{address} is no address"))?;
         let connecting = TcpStream::connect(socket_address);
         let stream = match tokio::time::timeout(limit.as_duration(), connecting).await {
@@ -35,7 +35,7 @@
         let driver = tokio::spawn(async move {
             let _ = connection.await;
         });
-        Ok(KeptConnection { sender, driver: driver.abort_handle(), cell })
+        Ok(PersistentConnection { sender, driver: driver.abort_handle(), cell })
     }
 
     /// Whether another request may be sent now: the one before has ended cleanly.
@@ -44,7 +44,11 @@
     }
 
     /// Sends a request if the gate, asked at its first write, lets it pass.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>, gate: Gate) -> Result<Response<Incoming>, SendFault> {
+    pub async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+        gate: SendGate,
+    ) -> Result<Response<Incoming>, SendFault> {
         self.cell.arm(gate);
         match self.sender.send_request(request).await {
             Ok(response) => Ok(response),
@@ -53,7 +57,7 @@
     }
 
     /// Asks and reads the answer whole, within one limit.
-    pub async fn ask(
+    pub async fn fetch(
         &mut self,
         request: Request<Full<Bytes>>,
         limit: Span,
--- a/crates/web/src/serve.rs
+++ b/crates/web/src/serve.rs
@@ -14,7 +14,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// A request as a site sees it; the body is still on its way.
-pub struct Asked {
+pub struct IncomingRequest {
     pub method: Method,
     pub segments: Vec<String>,
     pub query: String,
@@ -23,24 +23,24 @@
     pub body: std::sync::Mutex<GothamBody>,
 }
 
-pub type WebOutcome = Response<GothamBody>;
-pub type OutcomeFuture = Pin<Box<dyn Future<Output = WebOutcome> + Send>>;
+pub type WebResponse = Response<GothamBody>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = WebResponse> + Send>>;
 
 /// What a program serves.
-pub trait Site: Send + Sync + 'static {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture;
+pub trait RequestHandler: Send + Sync + 'static {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture;
 }
 
 /// Taking a request out of gotham's state.
 pub trait StateExt {
-    fn take_asked(&mut self) -> Asked;
+    fn take_asked(&mut self) -> IncomingRequest;
 }
 
 impl StateExt for State {
-    fn take_asked(&mut self) -> Asked {
+    fn take_asked(&mut self) -> IncomingRequest {
         let uri = Uri::take_from(self);
         let segments = uri.path().split('/').filter(|part| !part.is_empty()).map(str::to_owned).collect();
-        Asked {
+        IncomingRequest {
             method: Method::take_from(self),
             segments,
             query: uri.query().unwrap_or("").to_owned(),
@@ -51,9 +51,9 @@
     }
 }
 
-impl Asked {
+impl IncomingRequest {
     /// Method and path, ready to be matched.
-    pub fn way(&self) -> (String, Vec<&str>) {
+    pub fn method_and_path(&self) -> (String, Vec<&str>) {
         (self.method.as_str().to_owned(), self.segments.iter().map(String::as_str).collect())
     }
 
@@ -61,7 +61,7 @@
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    pub fn bearer(&self) -> Option<&str> {
+    pub fn bearer_token(&self) -> Option<&str> {
         self.header("authorization")?.strip_prefix("Bearer ").map(str::trim)
     }
 
@@ -77,11 +77,11 @@
 }
 
 /// Answers and their headers.
-pub trait WebOutcomeExt {
+pub trait WebResponseExt {
     fn with_header(self, name: &'static str, value: &str) -> Self;
 }
 
-impl WebOutcomeExt for WebOutcome {
+impl WebResponseExt for WebResponse {
     fn with_header(mut self, name: &'static str, value: &str) -> Self {
         if let Ok(header_value) = HeaderValue::from_str(value) {
             self.headers_mut().insert(HeaderName::from_static(name), header_value);
@@ -90,24 +90,24 @@
     }
 }
 
-pub fn outcome_bytes(status: StatusCode, content_type: &'static str, bytes: impl Into<Bytes>) -> WebOutcome {
+pub fn bytes_response(status: StatusCode, content_type: &'static str, bytes: impl Into<Bytes>) -> WebResponse {
     let body = Full::new(bytes.into()).map_err(|never| match never {});
     let mut answered = Response::new(UnsyncBoxBody::new(body));
     *answered.status_mut() = status;
     answered.with_header("content-type", content_type)
 }
 
-pub fn outcome_json(status: StatusCode, value: &Value) -> WebOutcome {
-    outcome_bytes(status, "application/json", value.to_string())
+pub fn json_response(status: StatusCode, value: &Value) -> WebResponse {
+    bytes_response(status, "application/json", value.to_string())
 }
 
 /// A refusal: what is wrong, as JSON.
-pub fn refuse(status: StatusCode, kind: &str, reason: &str) -> WebOutcome {
-    outcome_json(status, &json!({"error": {"type": kind, "message": reason}}))
+pub fn error_response(status: StatusCode, kind: &str, reason: &str) -> WebResponse {
+    json_response(status, &json!({"error": {"type": kind, "message": reason}}))
 }
 
-pub fn no_such_page() -> WebOutcome {
-    refuse(StatusCode::NOT_FOUND, "not_found", "no such page")
+pub fn not_found_response() -> WebResponse {
+    error_response(StatusCode::NOT_FOUND, "not_found", "no such page")
 }
 
 /// A runtime with few threads, for HTTP alone.
@@ -123,16 +123,16 @@
 }
 
 /// Serves a site for ever on a bound listener.
-pub async fn serve(listener: std::net::TcpListener, site: Arc<dyn Site>) -> io::Result<()> {
-    serve_within(listener, site, Arc::default(), Arc::default()).await
+pub async fn serve(listener: std::net::TcpListener, site: Arc<dyn RequestHandler>) -> io::Result<()> {
+    serve_with_timeouts(listener, site, Arc::default(), Arc::default()).await
 }
 
 /// Serves a site for ever, within bounds on callers that may change meanwhile. Connections can be told to
 /// end, also after this was given up.
-pub async fn serve_within(
+pub async fn serve_with_timeouts(
     listener: std::net::TcpListener,
-    site: Arc<dyn Site>,
-    bounds: Arc<CallerBounds>,
+    site: Arc<dyn RequestHandler>,
+    bounds: Arc<ConnectionTimeouts>,
     connections: Arc<OpenConnections>,
 ) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
@@ -180,10 +180,10 @@
     handler: Arc<SiteHandler>,
     request: Request<Incoming>,
     address: std::net::SocketAddr,
-) -> gotham::anyhow::Result<WebOutcome> {
+) -> gotham::anyhow::Result<WebResponse> {
     if head_bytes(request.headers()) > MOST_HEAD_BYTES {
         let reason = format!("at most {MOST_HEAD_BYTES} bytes of headers");
-        let refusal = refuse(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head_too_large", &reason);
+        let refusal = error_response(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head_too_large", &reason);
         return Ok(refusal.with_header("connection", "close"));
     }
     let state = State::from_request(request, address);
@@ -195,7 +195,7 @@
     headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum()
 }
 
-struct SiteHandler(std::panic::AssertUnwindSafe<Arc<dyn Site>>);
+struct SiteHandler(std::panic::AssertUnwindSafe<Arc<dyn RequestHandler>>);
 
 impl gotham::handler::NewHandler for SiteHandler {
     type Instance = SiteHandler;
@@ -209,7 +209,7 @@
     fn handle(self, mut state: State) -> Pin<Box<HandlerFuture>> {
         let asked = state.take_asked();
         Box::pin(async move {
-            let answered = Arc::clone(&self.0).outcome(asked).await;
+            let answered = Arc::clone(&self.0).handle(asked).await;
             Ok((state, answered))
         })
     }
--- a/crates/web/tests/closing.rs
+++ b/crates/web/tests/closing.rs
@@ -15,13 +15,13 @@
     allowed: Arc<tokio::sync::Semaphore>,
 }
 
-impl Site for Gated {
-    fn outcome(self: Arc<Self>, _asked: Asked) -> OutcomeFuture {
+impl RequestHandler for Gated {
+    fn handle(self: Arc<Self>, _asked: IncomingRequest) -> ResponseFuture {
         Box::pin(async move {
             let _ = self.entered.send(());
             let permit = self.allowed.acquire().await;
             assert!(permit.is_ok(), "it is never closed");
-            outcome_bytes(StatusCode::OK, "text/plain", "done")
+            bytes_response(StatusCode::OK, "text/plain", "done")
         })
     }
 }
@@ -42,7 +42,7 @@
     let allowed = Arc::new(tokio::sync::Semaphore::new(permits));
     let site = Arc::new(Gated { entered: entering, allowed: Arc::clone(&allowed) });
     let connections = Arc::new(OpenConnections::default());
-    runtime.spawn(serve_within(listener, site, Arc::default(), Arc::clone(&connections)));
+    runtime.spawn(serve_with_timeouts(listener, site, Arc::default(), Arc::clone(&connections)));
     Served { address, connections, entered, allowed, _runtime: runtime }
 }
 
--- a/crates/web/tests/heads.rs
+++ b/crates/web/tests/heads.rs
@@ -8,9 +8,9 @@
 
 struct Always;
 
-impl Site for Always {
-    fn outcome(self: Arc<Self>, _asked: Asked) -> OutcomeFuture {
-        Box::pin(async { outcome_bytes(StatusCode::OK, "text/plain", "done") })
+impl RequestHandler for Always {
+    fn handle(self: Arc<Self>, _asked: IncomingRequest) -> ResponseFuture {
+        Box::pin(async { bytes_response(StatusCode::OK, "text/plain", "done") })
     }
 }
 
