--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -4,19 +4,19 @@
 use process::prelude::*;
 use units::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "agent",
     about: "Holds a machine's stream to the core and feeds its router.",
     settings: &[
-        setting("listen", Kind::Address, Some("127.0.0.1:0"), "where this machine's router reaches the agent"),
-        setting("seeds", Kind::Addresses, None, "keepers to make contact with"),
-        setting("zone", Kind::Text, Some("a"), "the zone this machine stands in"),
+        setting("listen", SettingKind::Address, Some("127.0.0.1:0"), "where this machine's router reaches the agent"),
+        setting("seeds", SettingKind::Addresses, None, "keepers to make contact with"),
+        setting("zone", SettingKind::Text, Some("a"), "the zone this machine stands in"),
         LOG_LEVEL,
     ],
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, serve_node)
+    run_program(&TRADE, serve_node)
 }
 
 fn serve_node(settings: Settings) -> Result<(), Report> {
@@ -35,8 +35,8 @@
     run_agent(plan, move |handle| {
         let (stopped, reloaded) = (handle.clone(), handle.clone());
         let reload = move |settings: &Settings| reloaded.set_seeds(settings.addresses("seeds"));
-        tend_signals(&TRADE, settings, logs, move || stopped.stop(), reload)?;
-        say_ready(&[("id", handle.identity.to_string()), ("address", address.to_string())]);
+        handle_signals(&TRADE, settings, logs, move || stopped.stop(), reload)?;
+        print_ready_line(&[("id", handle.identity.to_string()), ("address", address.to_string())]);
         Ok(())
     })
 }
--- a/crates/caller/src/main.rs
+++ b/crates/caller/src/main.rs
@@ -7,25 +7,25 @@
 
 use crate::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "caller",
     about: "Stand-in for an office's callers.",
     settings: &[
-        setting("routers", Kind::Addresses, None, "the routers to call"),
-        setting("office", Kind::Choice(&["engraving", "sms"]), Some("engraving"), "whose day is played"),
-        setting("model", Kind::Text, Some("model"), "the model asked for"),
-        setting("keys", Kind::Path, None, "a JSON file: [[tenant, key], ...], eight of them"),
-        setting("out", Kind::Path, None, "file for the lines"),
-        setting("seconds", Kind::Whole(1, 3600), Some("10"), "how long requests are begun"),
-        setting("rate", Kind::Whole(0, 2000), Some("0"), "requests a second; 0 for the office's own"),
-        setting("limit_ms", Kind::Whole(100, 10_000), Some("8000"), "each request's limit"),
-        setting("seed", Kind::Whole(0, 1 << 53), Some("1"), "same seed, same requests"),
+        setting("routers", SettingKind::Addresses, None, "the routers to call"),
+        setting("office", SettingKind::Choice(&["engraving", "sms"]), Some("engraving"), "whose day is played"),
+        setting("model", SettingKind::Text, Some("model"), "the model asked for"),
+        setting("keys", SettingKind::Path, None, "a JSON file: [[tenant, key], ...], eight of them"),
+        setting("out", SettingKind::Path, None, "file for the lines"),
+        setting("seconds", SettingKind::Integer(1, 3600), Some("10"), "how long requests are begun"),
+        setting("rate", SettingKind::Integer(0, 2000), Some("0"), "requests a second; 0 for the office's own"),
+        setting("limit_ms", SettingKind::Integer(100, 10_000), Some("8000"), "each request's limit"),
+        setting("seed", SettingKind::Integer(0, 1 << 53), Some("1"), "same seed, same requests"),
         LOG_LEVEL,
     ],
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, call)
+    run_program(&TRADE, call)
 }
 
 fn call(settings: Settings) -> Result<(), Report> {
@@ -61,6 +61,6 @@
     let runtime = small_runtime(2).map_err(|fault| miette!("{fault}"))?;
     let (seconds, seed) = (settings.whole("seconds")?, settings.whole("seed")?);
     let request_count = runtime.block_on(day.play(seconds, rate, seed));
-    say_ready(&[("requests", request_count.to_string())]);
+    print_ready_line(&[("requests", request_count.to_string())]);
     Ok(())
 }
--- a/crates/engine/src/site.rs
+++ b/crates/engine/src/site.rs
@@ -51,7 +51,7 @@
 
 /// Opens the file that a setting names, if it names one, for lines to be added.
 fn append_file(settings: &Settings, name: &str) -> Result<Option<std::fs::File>, Report> {
-    let Some(path) = settings.maybe(name) else { return Ok(None) };
+    let Some(path) = settings.get(name) else { return Ok(None) };
     let opened = std::fs::OpenOptions::new().create(true).append(true).open(path);
     opened.map(Some).map_err(|fault| miette!("{name}: {path}: {fault}"))
 }
@@ -69,7 +69,7 @@
             adapter_load_time: settings.millis("adapter_load_ms")?.as_duration(),
             adapters: Mutex::new(AdapterPlaces::new(settings.whole("adapter_places")? as usize)),
             link_block: Duration::from_micros(settings.whole("link_us")?),
-            store: settings.maybe("store").map(str::to_owned),
+            store: settings.get("store").map(str::to_owned),
             fetched: AtomicU64::new(0),
             memory: Mutex::new(Memory::new(boot, settings.whole("blocks")? as usize)),
             news: tokio::sync::watch::channel(0).0,
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -6,35 +6,35 @@
 use std::path::{Path, PathBuf};
 use units::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "keeper",
     about: "Keeps haremount's shared state: a member of the core's chain, and a door for operators.",
     settings: &[
-        setting("listen", Kind::Address, Some("127.0.0.1:0"), "where keepers and agents reach this keeper"),
-        setting("door", Kind::Address, Some("127.0.0.1:0"), "where operators reach it over HTTP"),
-        setting("advertise", Kind::Address, None, "the address others use for listen, if it differs"),
-        setting("advertise_door", Kind::Address, None, "the address others use for door, if it differs"),
-        setting("zone", Kind::Text, Some("a"), "the zone this machine stands in"),
-        setting("data", Kind::Path, None, "the data folder; an empty one makes a new member"),
-        setting("seeds", Kind::Addresses, None, "other keepers to make contact with"),
-        setting("found", Kind::Flag, None, "found a new fleet; refused where one exists"),
-        setting("operator_key_file", Kind::Path, None, "with found: a file holding the first operator's key"),
-        setting("core_size", Kind::Whole(1, 7), Some("4"), "how many keepers the core grows to"),
-        setting("platform", Kind::Address, None, "the platform's listing of engines"),
+        setting("listen", SettingKind::Address, Some("127.0.0.1:0"), "where keepers and agents reach this keeper"),
+        setting("door", SettingKind::Address, Some("127.0.0.1:0"), "where operators reach it over HTTP"),
+        setting("advertise", SettingKind::Address, None, "the address others use for listen, if it differs"),
+        setting("advertise_door", SettingKind::Address, None, "the address others use for door, if it differs"),
+        setting("zone", SettingKind::Text, Some("a"), "the zone this machine stands in"),
+        setting("data", SettingKind::Path, None, "the data folder; an empty one makes a new member"),
+        setting("seeds", SettingKind::Addresses, None, "other keepers to make contact with"),
+        setting("found", SettingKind::Flag, None, "found a new fleet; refused where one exists"),
+        setting("operator_key_file", SettingKind::Path, None, "with found: a file holding the first operator's key"),
+        setting("core_size", SettingKind::Integer(1, 7), Some("4"), "how many keepers the core grows to"),
+        setting("platform", SettingKind::Address, None, "the platform's listing of engines"),
         #[cfg(feature = "faults")]
-        setting("disk_faults", Kind::Path, None, "for tests: a file that says how the disk misbehaves"),
-        setting("threads", Kind::Whole(1, 64), Some("2"), "threads for HTTP"),
+        setting("disk_faults", SettingKind::Path, None, "for tests: a file that says how the disk misbehaves"),
+        setting("threads", SettingKind::Integer(1, 64), Some("2"), "threads for HTTP"),
         LOG_LEVEL,
     ],
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, keep)
+    run_program(&TRADE, keep)
 }
 
 fn keep(settings: Settings) -> Result<(), Report> {
     let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
-    outlive_file_limits()?;
+    ignore_file_size_signal()?;
     let data_folder = settings.text("data")?.to_owned();
     let listener = std::net::TcpListener::bind(settings.address("listen")?)
         .map_err(|fault| miette!("listen: {}: {fault}", settings.text("listen").unwrap_or("")))?;
@@ -46,7 +46,7 @@
     let bound_address = local(listener.local_addr())?;
     let address = advertised(&settings, "advertise", local(listener.local_addr())?)?;
     let operator_address = advertised(&settings, "advertise_door", local(operator_listener.local_addr())?)?;
-    let platform = settings.maybe("platform").map(str::to_owned);
+    let platform = settings.get("platform").map(str::to_owned);
     let plan = KeeperPlan {
         listener,
         operator_listener,
@@ -54,7 +54,7 @@
         operator_address: operator_address.clone(),
         zone: Zone(settings.text("zone")?.to_owned()),
         data_folder: PathBuf::from(data_folder),
-        disk_faults: settings.maybe("disk_faults").map(PathBuf::from),
+        disk_faults: settings.get("disk_faults").map(PathBuf::from),
         seeds: settings.addresses("seeds"),
         founding: founding(&settings).map_err(|reason| miette!("found: {reason}"))?,
         core_size: settings.whole("core_size")? as usize,
@@ -68,10 +68,10 @@
     let tended = move |handle: KeeperHandle| {
         let reloaded = handle.clone();
         let reload = move |settings: &Settings| reloaded.set_seeds(settings.addresses("seeds"));
-        tend_signals(&TRADE, settings, logs, move || handle.stop(), reload)
+        handle_signals(&TRADE, settings, logs, move || handle.stop(), reload)
     };
     run_keeper(plan, tended, move |identity| {
-        say_ready(&[
+        print_ready_line(&[
             ("id", identity.to_string()),
             ("address", address),
             ("door", operator_address),
@@ -82,7 +82,7 @@
 
 /// The address a member is known by; one that is bound to all interfaces cannot be known by that.
 fn advertised(settings: &Settings, key: &str, bound: String) -> Result<String, Report> {
-    if let Some(address) = settings.maybe(key) {
+    if let Some(address) = settings.get(key) {
         return Ok(address.to_owned());
     }
     if bound.starts_with("0.0.0.0:") || bound.starts_with("[::]:") {
@@ -96,7 +96,7 @@
     if !settings.flag("found") {
         return Ok(Founding::Joins);
     }
-    let key_file = settings.maybe("operator_key_file").ok_or("operator_key_file is needed")?;
+    let key_file = settings.get("operator_key_file").ok_or("operator_key_file is needed")?;
     let key = std::fs::read_to_string(Path::new(key_file)).map_err(|fault| format!("{key_file}: {fault}"))?;
     if key.trim().len() < 8 {
         return Err(format!("{key_file}: a key has at least 8 characters"));
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -8,19 +8,19 @@
 
 use crate::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "measure",
     about: "Measures a fleet on this machine: picks, overhead, acks, recovery, pile-up, memory or trials.",
     settings: &[setting(
         "what",
-        Kind::Choice(&["picks", "overhead", "acks", "recovery", "gap", "cuts", "pile-up", "memory", "trials"]),
+        SettingKind::Choice(&["picks", "overhead", "acks", "recovery", "gap", "cuts", "pile-up", "memory", "trials"]),
         None,
         "what to measure",
     )],
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, |settings| {
+    run_program(&TRADE, |settings| {
         let outcome = match settings.text("what")? {
             "picks" => {
                 measure_picks();
--- a/crates/platform/src/main.rs
+++ b/crates/platform/src/main.rs
@@ -5,10 +5,13 @@
 
 use crate::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "platform",
     about: "Stand-in for the platform's listing of engines.",
-    settings: &[setting("listen", Kind::Address, Some("127.0.0.1:0"), "where the listing is served"), LOG_LEVEL],
+    settings: &[
+        setting("listen", SettingKind::Address, Some("127.0.0.1:0"), "where the listing is served"),
+        LOG_LEVEL,
+    ],
 };
 
 struct PlatformSite {
@@ -65,7 +68,7 @@
 }
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, |settings| {
+    run_program(&TRADE, |settings| {
         let listing = PlatformListing { boot: Incarnation::random().to_string(), number: 1, engines: Vec::new() };
         serve_standin(&TRADE, &settings, Arc::new(PlatformSite { listing: Mutex::new(listing) }))
     })
--- a/crates/process/src/logs.rs
+++ b/crates/process/src/logs.rs
@@ -8,12 +8,14 @@
 macro_rules! event {
     ($level:ident, $name:expr $(, $key:ident = $value:expr)* $(,)?) => {
         ::log::$level!(target: "haremount", "event={}{}", $name,
-            <[String]>::concat(&[$(format!(" {}={}", stringify!($key), $crate::prelude::plain(&$value.to_string()))),*]))
+            <[String]>::concat(&[$(format!(
+                " {}={}", stringify!($key), $crate::prelude::quote_value(&$value.to_string())
+            )),*]))
     };
 }
 
 /// A value as it stands in a log line: quoted if it has spaces or quotes, control characters escaped.
-pub fn plain(text: &str) -> String {
+pub fn quote_value(text: &str) -> String {
     let is_plain = !text.is_empty() && text.chars().all(|sign| !sign.is_whitespace() && sign != '"' && sign != '=');
     if is_plain { text.to_owned() } else { format!("\"{}\"", text.escape_debug()) }
 }
@@ -36,7 +38,7 @@
     write!(out, "at={} level={level_text} program={program} ", wall_millis())?;
     match record.target() {
         "haremount" => write!(out, "{}", record.args()),
-        from => write!(out, "event=library from={from} text={}", plain(&record.args().to_string())),
+        from => write!(out, "event=library from={from} text={}", quote_value(&record.args().to_string())),
     }
 }
 
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -5,11 +5,11 @@
 
 /// What values a setting takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum SettingKind {
     /// Any text but an empty one.
     Text,
     /// A whole number within bounds.
-    Whole(u64, u64),
+    Integer(u64, u64),
     /// An IP address and port.
     Address,
     /// Addresses, in the file an array, on the command line separated by commas.
@@ -27,7 +27,7 @@
     /// Its name in the file; as a flag with hyphens.
     pub key: &'static str,
     /// What values it takes.
-    pub kind: Kind,
+    pub kind: SettingKind,
     /// What it is if nothing is given; without one it may be missing.
     pub default: Option<&'static str>,
     /// What it is for, as the help says it.
@@ -35,16 +35,25 @@
 }
 
 /// A setting as a row of a table.
-pub const fn setting(key: &'static str, kind: Kind, default: Option<&'static str>, help: &'static str) -> Setting {
+pub const fn setting(
+    key: &'static str,
+    kind: SettingKind,
+    default: Option<&'static str>,
+    help: &'static str,
+) -> Setting {
     Setting { key, kind, default, help }
 }
 
 /// The setting that most programs have.
-pub const LOG_LEVEL: Setting =
-    setting("log_level", Kind::Choice(&["error", "warn", "info", "debug"]), Some("info"), "how much is logged");
+pub const LOG_LEVEL: Setting = setting(
+    "log_level",
+    SettingKind::Choice(&["error", "warn", "info", "debug"]),
+    Some("info"),
+    "how much is logged",
+);
 
 /// A program and its settings table.
-pub struct Trade {
+pub struct ProgramSpec {
     /// The program's name.
     pub program: &'static str,
     /// What it is, as the help says it.
@@ -69,16 +78,19 @@
 }
 
 /// What the command line asked for.
-pub enum Wanted {
+pub enum CommandLine {
     /// The program is to run with these settings.
     Run(Settings),
     /// Help or version was printed.
     Printed,
 }
 
-impl Trade {
+impl ProgramSpec {
     /// Reads the command line; `--help` and `--version` print and end.
-    pub fn read(&'static self, arguments: impl IntoIterator<Item = std::ffi::OsString>) -> Result<Wanted, Report> {
+    pub fn read(
+        &'static self,
+        arguments: impl IntoIterator<Item = std::ffi::OsString>,
+    ) -> Result<CommandLine, Report> {
         let mut parser = lexopt::Parser::from_args(arguments);
         let mut flags = BTreeMap::new();
         let mut file = None;
@@ -86,11 +98,11 @@
             match argument {
                 lexopt::Arg::Short('h') | lexopt::Arg::Long("help") => {
                     println!("{}", self.help_text());
-                    return Ok(Wanted::Printed);
+                    return Ok(CommandLine::Printed);
                 }
                 lexopt::Arg::Short('V') | lexopt::Arg::Long("version") => {
                     println!("{} {}", self.program, env!("CARGO_PKG_VERSION"));
-                    return Ok(Wanted::Printed);
+                    return Ok(CommandLine::Printed);
                 }
                 lexopt::Arg::Long("settings") => {
                     let path = parser.value().map_err(|fault| miette!("--settings: {fault}"))?;
@@ -101,7 +113,7 @@
                     let Some(setting) = self.settings.iter().find(|setting| setting.key == key) else {
                         return Err(miette!("unknown flag --{name}; see {} --help", self.program));
                     };
-                    let flag_value = if setting.kind == Kind::Flag {
+                    let flag_value = if setting.kind == SettingKind::Flag {
                         parser.optional_value().map_or(Ok("true".into()), |value| value.into_string())
                     } else {
                         parser.value().map_err(|fault| miette!("{fault}"))?.into_string()
@@ -113,15 +125,15 @@
                 other => return Err(miette!("{}; see {} --help", other.unexpected(), self.program)),
             }
         }
-        self.settle(file, flags).map(Wanted::Run)
+        self.merge(file, flags).map(CommandLine::Run)
     }
 
     /// Reads the file again, under the same flags.
     pub fn read_again(&'static self, settings: &Settings) -> Result<Settings, Report> {
-        self.settle(settings.file.clone(), settings.flags.clone())
+        self.merge(settings.file.clone(), settings.flags.clone())
     }
 
-    fn settle(
+    fn merge(
         &'static self,
         file: Option<PathBuf>,
         flags: BTreeMap<&'static str, String>,
@@ -134,7 +146,7 @@
         for (key, flag_value) in &flags {
             values.insert(*key, (format!("--{}", key.replace('_', "-")), flag_value.clone()));
         }
-        let mut settled = Settings { file, flags, ..Settings::default() };
+        let mut merged = Settings { file, flags, ..Settings::default() };
         for setting in self.settings {
             let found = values.remove(setting.key);
             let Some((origin, value)) =
@@ -145,9 +157,9 @@
             if let Err(reason) = check(setting.kind, &value) {
                 faults.push(format!("{origin}: {reason}"));
             }
-            settled.values.insert(setting.key, value);
+            merged.values.insert(setting.key, value);
         }
-        if faults.is_empty() { Ok(settled) } else { Err(miette!("{}", faults.join("\n"))) }
+        if faults.is_empty() { Ok(merged) } else { Err(miette!("{}", faults.join("\n"))) }
     }
 
     fn read_file(
@@ -165,11 +177,11 @@
         if let Some(mut reader) = Reader::open("", &document, &mut complaints) {
             for setting in self.settings {
                 let value = match setting.kind {
-                    Kind::Whole(lowest, highest) => {
+                    SettingKind::Integer(lowest, highest) => {
                         reader.whole(setting.key, lowest, highest).map(|number| number.to_string())
                     }
-                    Kind::Flag => reader.flag(setting.key).map(|flag| flag.to_string()),
-                    Kind::Addresses => reader.texts(setting.key).map(|texts| texts.join(",")),
+                    SettingKind::Flag => reader.flag(setting.key).map(|flag| flag.to_string()),
+                    SettingKind::Addresses => reader.texts(setting.key).map(|texts| texts.join(",")),
                     _ => reader.text(setting.key),
                 };
                 if let Some(value) = value {
@@ -195,55 +207,57 @@
     }
 }
 
-fn describe(kind: Kind) -> String {
+fn describe(kind: SettingKind) -> String {
     match kind {
-        Kind::Text => "TEXT".into(),
-        Kind::Whole(lowest, highest) => format!("{lowest}..{highest}"),
-        Kind::Address => "IP:PORT".into(),
-        Kind::Addresses => "IP:PORT,...".into(),
-        Kind::Path => "PATH".into(),
-        Kind::Flag => String::new(),
-        Kind::Choice(choices) => choices.join("|"),
+        SettingKind::Text => "TEXT".into(),
+        SettingKind::Integer(lowest, highest) => format!("{lowest}..{highest}"),
+        SettingKind::Address => "IP:PORT".into(),
+        SettingKind::Addresses => "IP:PORT,...".into(),
+        SettingKind::Path => "PATH".into(),
+        SettingKind::Flag => String::new(),
+        SettingKind::Choice(choices) => choices.join("|"),
     }
 }
 
-fn check(kind: Kind, value: &str) -> Result<(), String> {
+fn check(kind: SettingKind, value: &str) -> Result<(), String> {
     let is_right = match kind {
-        Kind::Text | Kind::Path => !value.is_empty(),
-        Kind::Whole(lowest, highest) => value.parse::<u64>().is_ok_and(|number| (lowest..=highest).contains(&number)),
-        Kind::Address => value.parse::<SocketAddr>().is_ok(),
-        Kind::Addresses => split(value).all(|address| address.parse::<SocketAddr>().is_ok()),
-        Kind::Flag => matches!(value, "true" | "false"),
-        Kind::Choice(choices) => choices.contains(&value),
+        SettingKind::Text | SettingKind::Path => !value.is_empty(),
+        SettingKind::Integer(lowest, highest) => {
+            value.parse::<u64>().is_ok_and(|number| (lowest..=highest).contains(&number))
+        }
+        SettingKind::Address => value.parse::<SocketAddr>().is_ok(),
+        SettingKind::Addresses => split_list(value).all(|address| address.parse::<SocketAddr>().is_ok()),
+        SettingKind::Flag => matches!(value, "true" | "false"),
+        SettingKind::Choice(choices) => choices.contains(&value),
     };
-    if is_right { Ok(()) } else { Err(format!("{} is not {}", plain(value), wanted(kind))) }
+    if is_right { Ok(()) } else { Err(format!("{} is not {}", quote_value(value), expected(kind))) }
 }
 
-fn wanted(kind: Kind) -> String {
+fn expected(kind: SettingKind) -> String {
     match kind {
-        Kind::Text | Kind::Path => "a text".into(),
-        Kind::Whole(lowest, highest) => format!("a whole number from {lowest} to {highest}"),
-        Kind::Address => "an IP address and port".into(),
-        Kind::Addresses => "a list of IP addresses and ports".into(),
-        Kind::Flag => "true or false".into(),
-        Kind::Choice(choices) => format!("one of {}", choices.join(", ")),
+        SettingKind::Text | SettingKind::Path => "a text".into(),
+        SettingKind::Integer(lowest, highest) => format!("a whole number from {lowest} to {highest}"),
+        SettingKind::Address => "an IP address and port".into(),
+        SettingKind::Addresses => "a list of IP addresses and ports".into(),
+        SettingKind::Flag => "true or false".into(),
+        SettingKind::Choice(choices) => format!("one of {}", choices.join(", ")),
     }
 }
 
-fn split(value: &str) -> impl Iterator<Item = &str> {
+fn split_list(value: &str) -> impl Iterator<Item = &str> {
     value.split(',').map(str::trim).filter(|address| !address.is_empty())
 }
 
 impl Settings {
     /// A setting's text, if there is one.
-    pub fn maybe(&self, key: &str) -> Option<&str> {
+    pub fn get(&self, key: &str) -> Option<&str> {
         self.values.get(key).map(String::as_str)
     }
 
     /// A setting that must be there; one without a default may be missing.
     pub fn text(&self, key: &str) -> Result<&str, Report> {
         let flag_name = key.replace('_', "-");
-        self.maybe(key).ok_or_else(|| miette!("{key} is missing: give it in the settings file or as --{flag_name}"))
+        self.get(key).ok_or_else(|| miette!("{key} is missing: give it in the settings file or as --{flag_name}"))
     }
 
     /// A setting as a whole number.
@@ -263,12 +277,12 @@
 
     /// A setting as a list of addresses; empty if it is missing.
     pub fn addresses(&self, key: &str) -> Vec<String> {
-        self.maybe(key).map(|value| split(value).map(str::to_owned).collect()).unwrap_or_default()
+        self.get(key).map(|value| split_list(value).map(str::to_owned).collect()).unwrap_or_default()
     }
 
     /// Whether a flag is set.
     pub fn flag(&self, key: &str) -> bool {
-        self.maybe(key) == Some("true")
+        self.get(key) == Some("true")
     }
 }
 
@@ -276,13 +290,13 @@
 mod tests {
     use crate::prelude::*;
 
-    static TESTED: Trade = Trade {
+    static TESTED: ProgramSpec = ProgramSpec {
         program: "tested",
         about: "",
         settings: &[
-            setting("listen", Kind::Address, Some("127.0.0.1:0"), ""),
-            setting("share", Kind::Whole(1, 9), Some("3"), ""),
-            setting("seeds", Kind::Addresses, None, ""),
+            setting("listen", SettingKind::Address, Some("127.0.0.1:0"), ""),
+            setting("share", SettingKind::Integer(1, 9), Some("3"), ""),
+            setting("seeds", SettingKind::Addresses, None, ""),
         ],
     };
 
@@ -294,8 +308,8 @@
         let outcome = TESTED.read(arguments.into_iter().skip(1));
         std::fs::remove_file(&path).unwrap();
         match outcome {
-            Ok(Wanted::Run(settings)) => Ok(settings),
-            Ok(Wanted::Printed) => Err("printed".into()),
+            Ok(CommandLine::Run(settings)) => Ok(settings),
+            Ok(CommandLine::Printed) => Err("printed".into()),
             Err(report) => Err(report.to_string().replace(&path.display().to_string(), "FILE")),
         }
     }
--- a/crates/process/src/signals.rs
+++ b/crates/process/src/signals.rs
@@ -24,7 +24,7 @@
 }
 
 /// Lets a write beyond a file-size limit fail as an error instead of ending the process.
-pub fn outlive_file_limits() -> Result<(), Report> {
+pub fn ignore_file_size_signal() -> Result<(), Report> {
     signal_hook::flag::register(signal_hook::consts::SIGXFSZ, std::sync::Arc::default())
         .map(drop)
         .map_err(|fault| miette!("signals cannot be taken: {fault}"))
@@ -32,8 +32,8 @@
 
 /// A daemon's signals: stop, and reload under the same flags. Settings that are faulty are refused
 /// whole, and those in force stay.
-pub fn tend_signals(
-    trade: &'static Trade,
+pub fn handle_signals(
+    spec: &'static ProgramSpec,
     settings: Settings,
     logs: LogsHandle,
     mut stop: impl FnMut() + Send + 'static,
@@ -42,9 +42,9 @@
     let mut settings_now = settings;
     on_signals(move |signal| match signal {
         Signal::Stop => stop(),
-        Signal::Reload => match trade.read_again(&settings_now) {
+        Signal::Reload => match spec.read_again(&settings_now) {
             Ok(read_settings) => {
-                let _ = logs.set_level(read_settings.maybe("log_level").unwrap_or("info"));
+                let _ = logs.set_level(read_settings.get("log_level").unwrap_or("info"));
                 reload(&read_settings);
                 settings_now = read_settings;
                 event!(info, "settings_reloaded");
@@ -55,32 +55,35 @@
 }
 
 /// The one line on standard output that says a daemon serves, and where.
-pub fn say_ready(details: &[(&str, String)]) {
+pub fn print_ready_line(details: &[(&str, String)]) {
     let mut line = String::from("ready");
     for (key, value) in details {
-        line.push_str(&format!(" {key}={}", plain(value)));
+        line.push_str(&format!(" {key}={}", quote_value(value)));
     }
     println!("{line}");
     let _ = std::io::stdout().flush();
 }
 
 /// Runs a daemon's body and turns its outcome into an exit code.
-pub fn run_trade(trade: &'static Trade, body: impl FnOnce(Settings) -> Result<(), Report>) -> std::process::ExitCode {
-    let settings = match trade.read(std::env::args_os().skip(1)) {
-        Ok(Wanted::Run(settings)) => settings,
-        Ok(Wanted::Printed) => return std::process::ExitCode::SUCCESS,
-        Err(report) => return complain(trade.program, &report, EXIT_USAGE),
+pub fn run_program(
+    spec: &'static ProgramSpec,
+    body: impl FnOnce(Settings) -> Result<(), Report>,
+) -> std::process::ExitCode {
+    let settings = match spec.read(std::env::args_os().skip(1)) {
+        Ok(CommandLine::Run(settings)) => settings,
+        Ok(CommandLine::Printed) => return std::process::ExitCode::SUCCESS,
+        Err(report) => return print_report(spec.program, &report, EXIT_USAGE),
     };
     match body(settings) {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(report) => {
             let is_usage = report.to_string().contains("is missing: give it");
-            complain(trade.program, &report, if is_usage { EXIT_USAGE } else { EXIT_FAULT })
+            print_report(spec.program, &report, if is_usage { EXIT_USAGE } else { EXIT_FAULT })
         }
     }
 }
 
-fn complain(program: &str, report: &Report, code: u8) -> std::process::ExitCode {
+fn print_report(program: &str, report: &Report, code: u8) -> std::process::ExitCode {
     for line in report.to_string().lines() {
         eprintln!("{program}: {line}");
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -2,23 +2,28 @@
 
 use router::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "router",
     about: "Chooses each prompt's engine and carries the stream.",
     settings: &[
-        setting("listen", Kind::Address, Some("127.0.0.1:0"), "where callers are served"),
-        setting("agent", Kind::Address, None, "this machine's agent, on loopback"),
-        setting("zone", Kind::Text, Some("a"), "the zone this machine stands in"),
-        setting("drain_s", Kind::Whole(0, 600), Some("12"), "seconds that running streams get when stopping"),
-        setting("record", Kind::Path, None, "folder for recordings of the day; none if left out"),
-        setting("record_mb", Kind::Whole(1, 4096), Some("64"), "size of a recording file; four are kept"),
-        setting("threads", Kind::Whole(1, 64), Some("2"), "threads for HTTP"),
+        setting("listen", SettingKind::Address, Some("127.0.0.1:0"), "where callers are served"),
+        setting("agent", SettingKind::Address, None, "this machine's agent, on loopback"),
+        setting("zone", SettingKind::Text, Some("a"), "the zone this machine stands in"),
+        setting(
+            "drain_s",
+            SettingKind::Integer(0, 600),
+            Some("12"),
+            "seconds that running streams get when stopping",
+        ),
+        setting("record", SettingKind::Path, None, "folder for recordings of the day; none if left out"),
+        setting("record_mb", SettingKind::Integer(1, 4096), Some("64"), "size of a recording file; four are kept"),
+        setting("threads", SettingKind::Integer(1, 64), Some("2"), "threads for HTTP"),
         LOG_LEVEL,
     ],
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, route)
+    run_program(&TRADE, route)
 }
 
 fn route(settings: Settings) -> Result<(), Report> {
@@ -44,7 +49,7 @@
         },
         core_line: Arc::clone(&core_line),
     });
-    let recorder = match settings.maybe("record") {
+    let recorder = match settings.get("record") {
         Some(folder) => Recorder::start(folder, router, settings.whole("record_mb")? << 20)?,
         None => Recorder::default(),
     };
@@ -63,8 +68,8 @@
     runtime.spawn(serve(listener, request_site));
     let stop = Arc::new(tokio::sync::Notify::new());
     let stop_notice = Arc::clone(&stop);
-    tend_signals(&TRADE, settings, logs, move || stop_notice.notify_one(), |_| {})?;
-    say_ready(&[("id", router.to_string()), ("address", address.to_string())]);
+    handle_signals(&TRADE, settings, logs, move || stop_notice.notify_one(), |_| {})?;
+    print_ready_line(&[("id", router.to_string()), ("address", address.to_string())]);
     event!(info, "started", id = router, address = address);
     runtime.block_on(async {
         stop.notified().await;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -5,33 +5,33 @@
 use std::collections::BTreeMap;
 use units::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "simulator",
     about: "Plays the fleet's pure machines under seeded faults in virtual time.",
     settings: &[
-        setting("seed", Kind::Whole(0, 1 << 53), Some("1"), "the first seed"),
-        setting("count", Kind::Whole(1, 1_000_000), Some("1"), "how many seeds"),
-        setting("trouble_s", Kind::Whole(1, 600), Some("30"), "how long faults go on"),
-        setting("pause_ms", Kind::Whole(1, 60_000), Some("1500"), "mean pause between faults"),
+        setting("seed", SettingKind::Integer(0, 1 << 53), Some("1"), "the first seed"),
+        setting("count", SettingKind::Integer(1, 1_000_000), Some("1"), "how many seeds"),
+        setting("trouble_s", SettingKind::Integer(1, 600), Some("30"), "how long faults go on"),
+        setting("pause_ms", SettingKind::Integer(1, 60_000), Some("1500"), "mean pause between faults"),
         setting(
             "lasting",
-            Kind::Choice(&["nothing", "deaf", "one-way"]),
+            SettingKind::Choice(&["nothing", "deaf", "one-way"]),
             Some("nothing"),
             "a cut that stays to the end",
         ),
-        setting("disorder", Kind::Flag, None, "the core alone, with everything in any order"),
+        setting("disorder", SettingKind::Flag, None, "the core alone, with everything in any order"),
         setting(
             "adapters",
-            Kind::Choice(&["nothing", "trouble", "foreign", "shift", "leave"]),
+            SettingKind::Choice(&["nothing", "trouble", "foreign", "shift", "leave"]),
             Some("nothing"),
             "requests on adapters: under all faults, also with foreign answers and moving bindings, or in a shift between regions with losses or engines that leave",
         ),
-        setting("notes", Kind::Flag, None, "print what happened"),
+        setting("notes", SettingKind::Flag, None, "print what happened"),
     ],
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, |settings| {
+    run_program(&TRADE, |settings| {
         let fault_pause_ms = settings.whole("pause_ms")?;
         let lasting = match settings.text("lasting")? {
             "deaf" => Lasting::DeafKeeper,
--- a/crates/standin/src/serving.rs
+++ b/crates/standin/src/serving.rs
@@ -4,7 +4,7 @@
 
 /// Serves a site on the address of the setting `listen` until SIGTERM.
 pub fn serve_standin(
-    trade: &'static Trade,
+    trade: &'static ProgramSpec,
     settings: &Settings,
     site: Arc<dyn RequestHandler>,
 ) -> Result<(), Report> {
@@ -19,7 +19,7 @@
             stop_notice.notify_one();
         }
     })?;
-    say_ready(&[("address", address.to_string())]);
+    print_ready_line(&[("address", address.to_string())]);
     let serving = runtime.spawn(serve(listener, site));
     runtime.block_on(stop.notified());
     serving.abort();
--- a/crates/store/src/main.rs
+++ b/crates/store/src/main.rs
@@ -4,12 +4,12 @@
 use engine::prelude::*;
 use standin::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "store",
     about: "Stand-in for the prompt store.",
     settings: &[
-        setting("listen", Kind::Address, Some("127.0.0.1:0"), "where blocks are put and asked for"),
-        setting("blocks", Kind::Whole(16, 1 << 24), Some("65536"), "how many blocks it keeps"),
+        setting("listen", SettingKind::Address, Some("127.0.0.1:0"), "where blocks are put and asked for"),
+        setting("blocks", SettingKind::Integer(16, 1 << 24), Some("65536"), "how many blocks it keeps"),
         LOG_LEVEL,
     ],
 };
@@ -65,7 +65,7 @@
 }
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, |settings| {
+    run_program(&TRADE, |settings| {
         let memory = Memory::new(Incarnation::random().to_string(), settings.whole("blocks")? as usize);
         let site = StoreSite { memory: Mutex::new(memory), news: tokio::sync::watch::channel(0).0 };
         serve_standin(&TRADE, &settings, Arc::new(site))
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -3,34 +3,39 @@
 use process::prelude::*;
 use testbed::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "testbed",
     about: "Runs a whole fleet on this machine, plays an office's day, and reports.",
     settings: &[
-        setting("office", Kind::Choice(&["engraving", "sms"]), Some("engraving"), "whose day is played"),
-        setting("seconds", Kind::Whole(1, 3600), Some("20"), "how long the day lasts"),
-        setting("rate", Kind::Whole(0, 2000), Some("0"), "requests a second; 0 for the office's own"),
-        setting("seed", Kind::Whole(0, 1 << 53), Some("1"), "same seed, same requests"),
-        setting("nodes", Kind::Whole(1, 32), Some("9"), "edge machines"),
-        setting("engines", Kind::Whole(1, 64), Some("20"), "engines"),
+        setting("office", SettingKind::Choice(&["engraving", "sms"]), Some("engraving"), "whose day is played"),
+        setting("seconds", SettingKind::Integer(1, 3600), Some("20"), "how long the day lasts"),
+        setting("rate", SettingKind::Integer(0, 2000), Some("0"), "requests a second; 0 for the office's own"),
+        setting("seed", SettingKind::Integer(0, 1 << 53), Some("1"), "same seed, same requests"),
+        setting("nodes", SettingKind::Integer(1, 32), Some("9"), "edge machines"),
+        setting("engines", SettingKind::Integer(1, 64), Some("20"), "engines"),
         setting(
             "sight",
-            Kind::Choice(&["events", "history", "occupancy"]),
+            SettingKind::Choice(&["events", "history", "occupancy"]),
             Some("events"),
             "where overlap comes from",
         ),
-        setting("weight", Kind::Whole(0, 1000), Some("1"), "the default policy's weight"),
-        setting("kills", Kind::Flag, None, "kill and restart a keeper, a router, an agent and an engine meanwhile"),
-        setting("trouble", Kind::Whole(0, 1 << 53), None, "seed of a schedule of trouble for the day"),
-        setting("records", Kind::Flag, None, "routers record the day under the folder"),
-        setting("serve", Kind::Flag, None, "serve until stopped instead of playing a day"),
-        setting("folder", Kind::Path, None, "keep data and logs here"),
+        setting("weight", SettingKind::Integer(0, 1000), Some("1"), "the default policy's weight"),
+        setting(
+            "kills",
+            SettingKind::Flag,
+            None,
+            "kill and restart a keeper, a router, an agent and an engine meanwhile",
+        ),
+        setting("trouble", SettingKind::Integer(0, 1 << 53), None, "seed of a schedule of trouble for the day"),
+        setting("records", SettingKind::Flag, None, "routers record the day under the folder"),
+        setting("serve", SettingKind::Flag, None, "serve until stopped instead of playing a day"),
+        setting("folder", SettingKind::Path, None, "keep data and logs here"),
         LOG_LEVEL,
     ],
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, |settings| run(settings).map_err(|reason| miette!("{reason}")))
+    run_program(&TRADE, |settings| run(settings).map_err(|reason| miette!("{reason}")))
 }
 
 fn run(settings: Settings) -> Result<(), String> {
@@ -41,16 +46,16 @@
         engines: whole("engines")? as usize,
         sight: text("sight")?,
         records: settings.flag("records"),
-        relayed: settings.maybe("trouble").is_some(),
+        relayed: settings.get("trouble").is_some(),
         weight: whole("weight")? as f64,
         log_level: text("log_level")?,
         ..FleetPlan::office(&text("office")?)
     };
-    let mut fleet = match settings.maybe("folder") {
+    let mut fleet = match settings.get("folder") {
         Some(folder) => Fleet::start_in(plan, folder.into(), true)?,
         None => Fleet::start(plan)?,
     };
-    say_ready(&[
+    print_ready_line(&[
         ("routers", (0..fleet.nodes.len()).map(|number| fleet.router_address(number)).collect::<Vec<_>>().join(",")),
         ("doors", fleet.keepers.iter().map(|keeper| keeper.door.clone()).collect::<Vec<_>>().join(",")),
     ]);
@@ -72,7 +77,7 @@
     let seconds = whole("seconds")?;
     let (calling, calls) = fleet.start_caller("day", seconds, whole("rate")?, whole("seed")?)?;
     let began = boot_millis();
-    let mut trouble = match settings.maybe("trouble") {
+    let mut trouble = match settings.get("trouble") {
         Some(_) => Some(FaultSchedule::draw(whole("trouble")?, seconds, &fleet.plan)),
         None => settings.flag("kills").then(|| FaultSchedule::of(kills(seconds))),
     };
