--- a/crates/agent/src/prelude.rs
+++ b/crates/agent/src/prelude.rs
@@ -2,7 +2,7 @@
 
 pub use crate::run::*;
 pub(crate) use coordinator::prelude::NodeDown;
-pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, Purpose, accept_links, dial_and_hold};
+pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, Purpose, accept_links, dial_and_run};
 pub(crate) use process::prelude::*;
 pub(crate) use queues::prelude::*;
 pub(crate) use std::sync::Arc;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -117,7 +117,7 @@
                         self.core = Some(link);
                         self.step(SubscriptionInput::CoreUp);
                     }
-                    LinkEvent::Said(_, message) => self.step(SubscriptionInput::Core(message)),
+                    LinkEvent::Message(_, message) => self.step(SubscriptionInput::Core(message)),
                     LinkEvent::Down(..) => {}
                 }
             }
@@ -151,7 +151,7 @@
                 event!(info, "router_up", router = hello.speaker);
                 self.step(SubscriptionInput::RouterUp);
             }
-            LinkEvent::Said(id, message) => {
+            LinkEvent::Message(id, message) => {
                 if self.is_router(id) {
                     self.step(SubscriptionInput::Router(message));
                 }
@@ -171,12 +171,12 @@
             SubscriptionEffect::Dial(address) => self.dial(address),
             SubscriptionEffect::SayCore(message) => {
                 if let Some(core) = &self.core {
-                    core.say(&wire::prelude::Inbound::Node(message));
+                    core.send(&wire::prelude::Inbound::Node(message));
                 }
             }
             SubscriptionEffect::SayRouter(message) => {
                 if let Some(router) = &self.router {
-                    router.say(&message);
+                    router.send(&message);
                 }
             }
             SubscriptionEffect::Note { event, detail } => log::warn!(target: "haremount", "event={event} {detail}"),
@@ -194,7 +194,7 @@
         event!(debug, "dials", address = address);
         duty("core-link", move || {
             let tell = |link_event| queue.send(AgentCommand::Core { dial_number, link_event }).is_ok();
-            if let Err(reason) = dial_and_hold(&address, own_hello, &tell) {
+            if let Err(reason) = dial_and_run(&address, own_hello, &tell) {
                 event!(debug, "dial_fault", address = address, reason = reason);
             }
             let _ = queue.send(AgentCommand::CoreEnded { dial_number });
--- a/crates/keeper/src/executor.rs
+++ b/crates/keeper/src/executor.rs
@@ -68,7 +68,7 @@
 pub struct Executor {
     pub coordinator: Coordinator,
     pub filing: Filing,
-    pub post: Post,
+    pub post: PeerSender,
     pub shelf: Shelf,
     pub fleet: Arc<AtomicU64>,
     patience: Patience,
@@ -89,7 +89,7 @@
     pub fn new(
         coordinator: Coordinator,
         filing: Filing,
-        post: Post,
+        post: PeerSender,
         shelf: Shelf,
         fleet: Arc<AtomicU64>,
         life: u64,
@@ -196,7 +196,7 @@
     fn take_link_event(&mut self, link_event: LinkEvent<Inbound>, plan: &mut Vec<Effect>) {
         match link_event {
             LinkEvent::Up(link, hello) => self.take_link(link, hello, plan),
-            LinkEvent::Said(id, message) => {
+            LinkEvent::Message(id, message) => {
                 let Some(place) = self.links.get(&id) else { return };
                 let from = place.hello.speaker;
                 let input = match (place.hello.purpose, message) {
@@ -289,7 +289,7 @@
             Effect::Send { address, envelope, .. } => self.post.send(&address, &Inbound::Core(envelope)),
             Effect::Tell { node, message, .. } => {
                 let Some(place) = self.nodes.get(&node).and_then(|id| self.links.get(id)) else { return };
-                place.link.say(&message);
+                place.link.send(&message);
             }
             Effect::Outcome { ticket, outcome } => {
                 if let Some(reply) = self.replies.remove(&ticket) {
--- a/crates/keeper/src/prelude.rs
+++ b/crates/keeper/src/prelude.rs
@@ -26,7 +26,7 @@
     write_sorted,
 };
 pub(crate) use ledger::prelude::{DataFolder, DiskFault, Row};
-pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, Post, Purpose, accept_links};
+pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, PeerSender, Purpose, accept_links};
 pub(crate) use process::prelude::*;
 pub(crate) use queues::prelude::*;
 pub(crate) use serde_json::{Value, json};
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -114,7 +114,7 @@
     });
     let shelf = Shelf::default();
     let mut executor =
-        Executor::new(coordinator, filing, Post::new(own_hello), Arc::clone(&shelf), fleet, life, patience);
+        Executor::new(coordinator, filing, PeerSender::new(own_hello), Arc::clone(&shelf), fleet, life, patience);
     let client = ExecutorClient { queue: queue.clone() };
     let health = Arc::new(CensusLiveness::default());
     let runtime = small_runtime(plan.threads).map_err(|fault| miette!("{fault}"))?;
@@ -230,6 +230,6 @@
 
 fn existing_fleet(seed: &str, me: NodeId) -> Option<FleetId> {
     let hello = Hello::new(FleetId(0), me, Purpose::Keeper);
-    let their_hello = links::prelude::greet(seed, &hello).ok()?;
+    let their_hello = links::prelude::exchange_hellos(seed, &hello).ok()?;
     (their_hello.fleet != FleetId(0)).then_some(their_hello.fleet)
 }
--- a/crates/keeper/tests/patience.rs
+++ b/crates/keeper/tests/patience.rs
@@ -3,7 +3,7 @@
 use coordinator::prelude::{AskOutcome, Question};
 use keeper::prelude::*;
 use ledger::prelude::DiskFault;
-use links::prelude::{Hello, LinkEvent, Purpose, accept_links, dial_and_hold};
+use links::prelude::{Hello, LinkEvent, Purpose, accept_links, dial_and_run};
 use queues::prelude::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -94,7 +94,7 @@
     std::thread::spawn(move || {
         let hello = Hello::new(FleetId(1), NodeId::random(), purpose);
         let events = Mutex::new(Vec::new());
-        let _ = dial_and_hold::<u64>(&address, hello, &|event| {
+        let _ = dial_and_run::<u64>(&address, hello, &|event| {
             events.lock().unwrap().push(event);
             true
         });
--- a/crates/links/src/held.rs
+++ b/crates/links/src/held.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub enum LinkEvent<M> {
     Up(Link, Hello),
-    Said(LinkId, M),
+    Message(LinkId, M),
     Down(LinkId, String),
 }
 
@@ -29,7 +29,7 @@
 
 impl Link {
     /// Queues a message; a ring that is full means a reader that stands still, and ends the link.
-    pub fn say<T: Serialize>(&self, message: &T) -> bool {
+    pub fn send<T: Serialize>(&self, message: &T) -> bool {
         let Ok(frame) = encode(message) else { return false };
         if self.frames.try_send(frame).is_err() {
             self.close();
@@ -77,7 +77,7 @@
 }
 
 /// Dials an address; the events of the stream, if it comes up, are told. Returns when it is over.
-pub fn dial_and_hold<M>(address: &str, own_hello: Hello, tell: &impl Fn(LinkEvent<M>) -> bool) -> Result<(), String>
+pub fn dial_and_run<M>(address: &str, own_hello: Hello, tell: &impl Fn(LinkEvent<M>) -> bool) -> Result<(), String>
 where
     M: DeserializeOwned + Send + 'static,
 {
@@ -86,7 +86,7 @@
 }
 
 /// Only says hello, and tells who answered.
-pub fn greet(address: &str, own_hello: &Hello) -> Result<Hello, String> {
+pub fn exchange_hellos(address: &str, own_hello: &Hello) -> Result<Hello, String> {
     shake_hands(&mut dial(address)?, own_hello)
 }
 
@@ -133,7 +133,7 @@
     let reason = loop {
         match read_frame::<M>(&mut buffered_stream) {
             Ok(message) => {
-                if !tell(LinkEvent::Said(id, message)) {
+                if !tell(LinkEvent::Message(id, message)) {
                     return Ok(());
                 }
             }
--- a/crates/links/src/post.rs
+++ b/crates/links/src/post.rs
@@ -8,14 +8,14 @@
 const MOST_ADDRESSES: usize = 64;
 const LONGEST_PAUSE: Duration = Duration::from_millis(400);
 
-pub struct Post {
+pub struct PeerSender {
     own_hello: Arc<dyn Fn() -> Hello + Send + Sync>,
     boxes: HashMap<String, Sender<Vec<u8>>>,
 }
 
-impl Post {
-    pub fn new(own_hello: impl Fn() -> Hello + Send + Sync + 'static) -> Post {
-        Post { own_hello: Arc::new(own_hello), boxes: HashMap::new() }
+impl PeerSender {
+    pub fn new(own_hello: impl Fn() -> Hello + Send + Sync + 'static) -> PeerSender {
+        PeerSender { own_hello: Arc::new(own_hello), boxes: HashMap::new() }
     }
 
     pub fn send<T: Serialize>(&mut self, address: &str, message: &T) {
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -18,7 +18,7 @@
 impl CoreLine {
     pub(crate) fn say(&self, message: &RouterUp) {
         if let Some(link) = self.link.lock().expect("no holder of this lock panics").as_ref() {
-            link.say(message);
+            link.send(message);
         }
     }
 
@@ -74,7 +74,7 @@
         };
         loop {
             let own_hello = Hello::new(FleetId(0), router, Purpose::Router);
-            if let Err(reason) = dial_and_hold(&agent_address, own_hello, &tell) {
+            if let Err(reason) = dial_and_run(&agent_address, own_hello, &tell) {
                 event!(debug, "agent_unreachable", reason = reason);
             }
             let _ = pause.recv_timeout(REDIAL_PAUSE);
@@ -104,21 +104,21 @@
                 self.link = None;
                 event!(warn, "agent_down", reason = reason);
             }
-            LinkEvent::Said(_, RouterDown::Settled { ticket, outcome }) => {
+            LinkEvent::Message(_, RouterDown::Settled { ticket, outcome }) => {
                 self.plan.core_line.settle(ticket, outcome);
             }
-            LinkEvent::Said(_, RouterDown::Routers(routers)) => self.plan.shared.know_routers(routers),
-            LinkEvent::Said(_, RouterDown::Lease { asked, until, disturbed }) => {
+            LinkEvent::Message(_, RouterDown::Routers(routers)) => self.plan.shared.know_routers(routers),
+            LinkEvent::Message(_, RouterDown::Lease { asked, until, disturbed }) => {
                 self.plan.shared.renew_lease(asked, until);
                 self.plan.shared.note_disturbed(disturbed);
             }
-            LinkEvent::Said(_, RouterDown::Snapshot { state, gave_way }) => {
+            LinkEvent::Message(_, RouterDown::Snapshot { state, gave_way }) => {
                 let current = self.plan.shared.sight();
                 if state.edition > current.state.edition {
                     self.put_in_force(current.starting_over(*state, &gave_way, boot_now()));
                 }
             }
-            LinkEvent::Said(_, RouterDown::Push { number, submission, committed }) => {
+            LinkEvent::Message(_, RouterDown::Push { number, submission, committed }) => {
                 let current = self.plan.shared.sight();
                 if number <= current.state.edition {
                     return;
@@ -148,7 +148,7 @@
 
     fn say_applied(&self, edition: Edition) {
         if let Some(link) = &self.link {
-            link.say(&RouterUp::Applied { edition });
+            link.send(&RouterUp::Applied { edition });
         }
     }
 }
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -21,7 +21,7 @@
 pub use desired::prelude::{Command, Settled, Submission};
 pub use figures::prelude::{Figures, PolicyBook};
 pub use lease::prelude::{GrantNews, GrantWatch, Timing};
-pub use links::prelude::{Hello, Link, LinkEvent, Purpose, dial_and_hold};
+pub use links::prelude::{Hello, Link, LinkEvent, Purpose, dial_and_run};
 pub use placement::prelude::*;
 pub use process::prelude::*;
 pub use queues::prelude::*;
