--- a/crates/ledger/src/frail.rs
+++ b/crates/ledger/src/faulty_disk.rs
@@ -1,26 +1,27 @@
-//! A pretended disk behind a real file, for keepers in tests: writes stay in memory until synced, so a
-//! killed process loses what was not; and a control file says, at each sync, how the disk misbehaves:
-//! `slow MILLIS`, `stall` (until it says otherwise), `full`, `fail`, or nothing.
+//! A simulated disk in front of a real file, for keepers in tests. Writes stay in memory until synced, so a
+//! killed process loses what was not synced. A control file, read at each operation, sets how the disk fails:
+//! `slow MILLIS`, `stall` (until the file changes), `full`, `fail`, or nothing.
 
 use crate::prelude::*;
 
+/// The simulated disk, with the file that holds its synced content and the control file.
 #[derive(Clone, Debug)]
-pub(crate) struct FrailMedium {
+pub(crate) struct FaultyMedium {
     disk: SimulatedDisk,
     file: PathBuf,
     control: PathBuf,
 }
 
 #[derive(Debug)]
-struct FrailStorage {
-    medium: FrailMedium,
+struct FaultyStorage {
+    medium: FaultyMedium,
     storage: SimulatedStorage,
-    part: Part,
+    which: LedgerFile,
 }
 
-impl FrailMedium {
-    pub(crate) fn new(data_folder: &Path, control: &Path) -> FrailMedium {
-        let medium = FrailMedium {
+impl FaultyMedium {
+    pub(crate) fn new(data_folder: &Path, control: &Path) -> FaultyMedium {
+        let medium = FaultyMedium {
             disk: SimulatedDisk::default(),
             file: data_folder.join("ledger.redb"),
             control: control.to_owned(),
@@ -31,10 +32,10 @@
         medium
     }
 
-    /// Sets the disk to what the control file says now; true while it says to stall.
-    fn obey(&self) -> bool {
-        let wish = std::fs::read_to_string(&self.control).unwrap_or_default();
-        let mut words = wish.split_whitespace();
+    /// Applies the control file to the disk and returns whether it asks for a stall.
+    fn apply_control_file(&self) -> bool {
+        let command = std::fs::read_to_string(&self.control).unwrap_or_default();
+        let mut words = command.split_whitespace();
         let word = words.next().unwrap_or("");
         let millis = words.next().and_then(|text| text.parse().ok()).unwrap_or(0);
         self.disk.sync_millis.store(if word == "slow" { millis } else { 0 }, Ordering::SeqCst);
@@ -43,8 +44,8 @@
         word == "stall"
     }
 
-    fn stand_while_stalled(&self) {
-        while self.obey() {
+    fn wait_while_stalled(&self) {
+        while self.apply_control_file() {
             std::thread::park_timeout(std::time::Duration::from_millis(5));
         }
     }
@@ -56,7 +57,7 @@
     }
 }
 
-impl Medium for FrailMedium {
+impl Medium for FaultyMedium {
     fn prepare(&self) -> io::Result<()> {
         self.file.parent().map_or(Ok(()), std::fs::create_dir_all)
     }
@@ -65,29 +66,29 @@
         self.disk.has_current()
     }
 
-    fn open(&self, part: Part) -> io::Result<Box<dyn StorageBackend>> {
-        self.obey();
-        let storage = self.disk.open_part(part)?;
-        Ok(Box::new(FrailStorage { medium: self.clone(), storage, part }))
+    fn open(&self, which: LedgerFile) -> io::Result<Box<dyn StorageBackend>> {
+        self.apply_control_file();
+        let storage = self.disk.open_file(which)?;
+        Ok(Box::new(FaultyStorage { medium: self.clone(), storage, which }))
     }
 
     fn replace(&self) -> io::Result<()> {
-        self.obey();
+        self.apply_control_file();
         self.disk.replace()?;
         self.write_durable()
     }
 
-    fn settle(&self) -> io::Result<()> {
-        self.stand_while_stalled();
-        self.disk.settle()
+    fn sync_folder(&self) -> io::Result<()> {
+        self.wait_while_stalled();
+        self.disk.sync_folder()
     }
 
-    fn drop_new(&self) {
-        self.disk.drop_new();
+    fn remove_replacement(&self) {
+        self.disk.remove_replacement();
     }
 }
 
-impl StorageBackend for FrailStorage {
+impl StorageBackend for FaultyStorage {
     fn len(&self) -> io::Result<u64> {
         self.storage.len()
     }
@@ -97,21 +98,21 @@
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.medium.obey();
+        self.medium.apply_control_file();
         self.storage.set_len(length)
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.medium.stand_while_stalled();
+        self.medium.wait_while_stalled();
         let outcome = self.storage.sync_data();
-        if self.part == Part::Current {
+        if self.which == LedgerFile::Current {
             self.medium.write_durable()?;
         }
         outcome
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.medium.obey();
+        self.medium.apply_control_file();
         self.storage.write(offset, data)
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,13 +1,13 @@
-//! The data folder: one redb file with plain rows and numbered rows. Whatever one batch stores goes
-//! into one transaction, synced before the call returns. A disk that refuses is an outcome, after which the
-//! same batch may be stored again. What the rows mean is the keeper's matter.
+//! The data folder: one redb file that holds key-value rows and consecutively numbered records. Each batch
+//! is written in one transaction, which is synced before the call returns. Disk errors are returned to the
+//! caller, who may then store the same batch again. The keeper defines what the rows contain.
 
 pub mod prelude;
 
-mod fault;
+mod data_folder;
+mod disk_fault;
 #[cfg(feature = "faults")]
-mod faults;
-mod folder;
-#[cfg(feature = "faults")]
-mod frail;
+mod faulty_disk;
 mod medium;
+#[cfg(feature = "faults")]
+mod simulated_disk;
--- a/crates/ledger/src/medium.rs
+++ b/crates/ledger/src/medium.rs
@@ -1,46 +1,51 @@
-//! Where a ledger's bytes lie: two files under the data folder, the ledger and one that is to take its
-//! place; for tests, a pretended disk.
+//! Storage under the ledger: the ledger file and its replacement in the data folder, or a simulated disk in
+//! tests.
 
 use crate::prelude::*;
 
+/// The two files of a data folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum LedgerFile {
+    /// The ledger in use.
     Current,
-    /// What is to take the current one's place.
-    New,
+    /// A new ledger, renamed over the current one when it is complete.
+    Replacement,
 }
 
+/// Where the ledger file and its replacement are stored.
 pub(crate) trait Medium: Send {
-    /// Makes the folder itself, if need be.
+    /// Creates the folder if it does not exist.
     fn prepare(&self) -> io::Result<()>;
+    /// Whether a ledger that is not empty exists.
     fn has_current(&self) -> io::Result<bool>;
-    /// Opens the current ledger as it stands, or a new one that is empty.
-    fn open(&self, part: Part) -> io::Result<Box<dyn StorageBackend>>;
-    /// The new one takes the current one's place.
+    /// Opens the current ledger, or truncates and opens the replacement.
+    fn open(&self, file: LedgerFile) -> io::Result<Box<dyn StorageBackend>>;
+    /// Renames the replacement over the current ledger.
     fn replace(&self) -> io::Result<()>;
-    /// Syncs which file is the ledger.
-    fn settle(&self) -> io::Result<()>;
-    /// Frees what a copy that was not finished takes up.
-    fn drop_new(&self);
-    /// Notes for later lives that a sync of the ledger failed, as far as the disk takes the note. It need not
-    /// outlive a loss of power: with that goes whatever was seen and not on the disk.
-    fn note_doubt(&self) {}
-    fn has_doubt(&self) -> bool {
+    /// Syncs the folder, so that a rename survives a power loss.
+    fn sync_folder(&self) -> io::Result<()>;
+    /// Removes a replacement that was left unfinished.
+    fn remove_replacement(&self);
+    /// Records for later starts of the process that a sync of the ledger failed, on a best-effort basis. The
+    /// mark need not survive a power loss, which also discards the unsynced data that it warns of.
+    fn mark_failed_sync(&self) {}
+    fn has_failed_sync_mark(&self) -> bool {
         false
     }
-    fn drop_doubt(&self) {}
+    fn clear_failed_sync_mark(&self) {}
 }
 
+/// A data folder in the file system.
 pub(crate) struct FolderMedium {
     pub(crate) folder: PathBuf,
 }
 
 impl FolderMedium {
-    fn path(&self, part: Part) -> PathBuf {
-        self.folder.join(if part == Part::Current { "ledger.redb" } else { "ledger.new" })
+    fn path(&self, file: LedgerFile) -> PathBuf {
+        self.folder.join(if file == LedgerFile::Current { "ledger.redb" } else { "ledger.new" })
     }
 
-    fn doubt_path(&self) -> PathBuf {
+    fn failed_sync_mark_path(&self) -> PathBuf {
         self.folder.join("ledger.doubt")
     }
 }
@@ -51,56 +56,56 @@
     }
 
     fn has_current(&self) -> io::Result<bool> {
-        match std::fs::metadata(self.path(Part::Current)) {
+        match std::fs::metadata(self.path(LedgerFile::Current)) {
             Ok(found) => Ok(found.len() > 0),
             Err(fault) if fault.kind() == io::ErrorKind::NotFound => Ok(false),
             Err(fault) => Err(fault),
         }
     }
 
-    fn open(&self, part: Part) -> io::Result<Box<dyn StorageBackend>> {
+    fn open(&self, file: LedgerFile) -> io::Result<Box<dyn StorageBackend>> {
         let mut options = std::fs::OpenOptions::new();
         options.read(true).write(true);
-        if part == Part::New {
+        if file == LedgerFile::Replacement {
             options.create(true).truncate(true);
         }
-        let backend = FileBackend::new(options.open(self.path(part))?).map_err(io::Error::other)?;
+        let backend = FileBackend::new(options.open(self.path(file))?).map_err(io::Error::other)?;
         Ok(Box::new(backend))
     }
 
     fn replace(&self) -> io::Result<()> {
-        std::fs::rename(self.path(Part::New), self.path(Part::Current))
+        std::fs::rename(self.path(LedgerFile::Replacement), self.path(LedgerFile::Current))
     }
 
-    fn settle(&self) -> io::Result<()> {
+    fn sync_folder(&self) -> io::Result<()> {
         std::fs::File::open(&self.folder)?.sync_all()
     }
 
-    fn drop_new(&self) {
-        let _ = std::fs::remove_file(self.path(Part::New));
+    fn remove_replacement(&self) {
+        let _ = std::fs::remove_file(self.path(LedgerFile::Replacement));
     }
 
-    fn note_doubt(&self) {
-        let _ = std::fs::File::create(self.doubt_path());
+    fn mark_failed_sync(&self) {
+        let _ = std::fs::File::create(self.failed_sync_mark_path());
     }
 
-    fn has_doubt(&self) -> bool {
-        self.doubt_path().exists()
+    fn has_failed_sync_mark(&self) -> bool {
+        self.failed_sync_mark_path().exists()
     }
 
-    fn drop_doubt(&self) {
-        let _ = std::fs::remove_file(self.doubt_path());
+    fn clear_failed_sync_mark(&self) {
+        let _ = std::fs::remove_file(self.failed_sync_mark_path());
     }
 }
 
-/// A storage that remembers that a sync of it failed.
+/// Passes every call to the inner storage and sets a flag when a sync fails.
 #[derive(Debug)]
-pub(crate) struct WatchedStorage {
+pub(crate) struct SyncObserver {
     pub(crate) inner: Box<dyn StorageBackend>,
     pub(crate) sync_failed: Arc<AtomicBool>,
 }
 
-impl StorageBackend for WatchedStorage {
+impl StorageBackend for SyncObserver {
     fn len(&self) -> io::Result<u64> {
         self.inner.len()
     }
@@ -154,20 +159,21 @@
     }
 }
 
-/// Copies a ledger whole and syncs the copy; a disk that still fails is noticed after the first piece.
+/// Copies a whole ledger and syncs the copy. The first chunk is synced by itself, so that a disk that still fails
+/// is noticed before the rest is copied.
 pub(crate) fn copy_bytes(from: &dyn StorageBackend, to: &dyn StorageBackend) -> io::Result<()> {
     let length = from.len()?;
-    let mut piece = vec![0u8; 64 << 10];
-    let mut place = 0;
+    let mut chunk = vec![0u8; 64 << 10];
+    let mut offset = 0;
     to.set_len(length)?;
-    while place < length {
-        let count = (length - place).min(piece.len() as u64) as usize;
-        from.read(place, &mut piece[..count])?;
-        to.write(place, &piece[..count])?;
-        if place == 0 {
+    while offset < length {
+        let count = (length - offset).min(chunk.len() as u64) as usize;
+        from.read(offset, &mut chunk[..count])?;
+        to.write(offset, &chunk[..count])?;
+        if offset == 0 {
             to.sync_data()?;
         }
-        place += count as u64;
+        offset += count as u64;
     }
     to.sync_data()
 }
--- a/crates/ledger/src/prelude.rs
+++ b/crates/ledger/src/prelude.rs
@@ -1,12 +1,12 @@
-//! The one import of this package's files.
+//! Common imports of this package's files.
 
-pub use crate::fault::*;
+pub use crate::data_folder::*;
+pub use crate::disk_fault::*;
 #[cfg(feature = "faults")]
-pub use crate::faults::*;
-pub use crate::folder::*;
-#[cfg(feature = "faults")]
-pub(crate) use crate::frail::*;
+pub(crate) use crate::faulty_disk::*;
 pub(crate) use crate::medium::*;
+#[cfg(feature = "faults")]
+pub use crate::simulated_disk::*;
 pub(crate) use redb::backends::FileBackend;
 pub(crate) use redb::{
     BackendError, Database, ReadOnlyTable, ReadableDatabase, StorageBackend, TableDefinition, TableError,
--- a/crates/ledger/tests/disks.rs
+++ b/crates/ledger/tests/disks.rs
@@ -1,4 +1,4 @@
-//! The ledger on a pretended disk: slow, full, failing for a while at any moment, and without power.
+//! The ledger on a simulated disk that is slow, full or failing for a time, or that loses power.
 
 use ledger::prelude::*;
 use std::sync::atomic::Ordering;
@@ -8,26 +8,30 @@
     folder.store(&[Row::record(number, &format!("record {number}"))?, Row::key_value("last", &number)?])
 }
 
-/// What a machine finds after it lost power.
-fn found(disk: &SimulatedDisk) -> (usize, Option<u64>) {
+/// Loses power, reopens the ledger and returns the number of records and the last stored number.
+fn state_after_power_loss(disk: &SimulatedDisk) -> (usize, Option<u64>) {
     disk.lose_power();
     let mut folder = DataFolder::on_simulated_disk(disk);
     (folder.records_after::<String>(0).unwrap().len(), folder.read_value("last").unwrap())
 }
 
 #[test]
-fn what_was_stored_outlives_the_loss_of_power_and_a_batch_is_whole_or_not_there() {
+fn stored_batches_survive_power_loss_and_are_atomic() {
     let disk = SimulatedDisk::default();
     for number in 1..=20 {
         let mut folder = DataFolder::on_simulated_disk(&disk);
         store(&mut folder, number).unwrap();
         std::mem::forget(folder);
-        assert_eq!(found(&disk), (number as usize, Some(number)), "power lost right after the store returned");
+        assert_eq!(
+            state_after_power_loss(&disk),
+            (number as usize, Some(number)),
+            "power lost right after store returned"
+        );
     }
 }
 
 #[test]
-fn a_disk_that_fails_or_is_full_is_an_outcome_and_leaves_the_last_good_state() {
+fn a_failing_or_full_disk_returns_an_error_and_keeps_the_last_synced_state() {
     for full in [true, false] {
         let disk = SimulatedDisk::default();
         let mut folder = DataFolder::on_simulated_disk(&disk);
@@ -37,25 +41,25 @@
         assert!(store(&mut folder, 2).is_err());
         std::mem::forget(folder);
         switch.store(false, Ordering::SeqCst);
-        assert_eq!(found(&disk), (1, Some(1)));
+        assert_eq!(state_after_power_loss(&disk), (1, Some(1)));
     }
 }
 
 #[test]
-fn a_slow_disk_holds_the_store_until_it_has_synced() {
+fn store_returns_only_after_a_slow_sync() {
     let disk = SimulatedDisk::default();
     let mut folder = DataFolder::on_simulated_disk(&disk);
     folder.ensure_open().unwrap();
     disk.sync_millis.store(60, Ordering::SeqCst);
     let began = std::time::Instant::now();
     store(&mut folder, 1).unwrap();
-    assert!(began.elapsed().as_millis() >= 60, "the store returned before the sync");
+    assert!(began.elapsed().as_millis() >= 60, "store returned before the sync");
     std::mem::forget(folder);
-    assert_eq!(found(&disk), (1, Some(1)));
+    assert_eq!(state_after_power_loss(&disk), (1, Some(1)));
 }
 
 #[test]
-fn the_same_batch_is_stored_once_the_disk_takes_writes_again() {
+fn a_failed_batch_can_be_stored_again_when_the_disk_recovers() {
     for full in [true, false] {
         let disk = SimulatedDisk::default();
         let mut folder = DataFolder::on_simulated_disk(&disk);
@@ -70,20 +74,20 @@
         store(&mut folder, 2).unwrap();
         store(&mut folder, 3).unwrap();
         std::mem::forget(folder);
-        assert_eq!(found(&disk), (3, Some(3)));
+        assert_eq!(state_after_power_loss(&disk), (3, Some(3)));
     }
 }
 
-/// A failed sync leaves the system taking for written what is not: a ledger opened again shows the batch,
-/// storing it again finds nothing to change, and no later sync brings it to the disk.
+/// After a failed sync the system takes the data for written although it is not. A reopened ledger then shows the
+/// batch, storing it again changes nothing, and no later sync writes it to the disk.
 #[test]
-fn a_batch_seen_after_a_failed_sync_is_brought_to_the_disk_nonetheless() {
-    for (first_dropped, restarts) in [(5, false), (17, false), (30, false), (5, true), (17, true), (30, true)] {
+fn a_batch_visible_after_a_failed_sync_becomes_durable_when_stored_again() {
+    for (first_deleted, restarts) in [(5, false), (17, false), (30, false), (5, true), (17, true), (30, true)] {
         let disk = SimulatedDisk::default();
         let mut folder = DataFolder::on_simulated_disk(&disk);
         let rows: Vec<Row> = (1..=40).map(|number| Row::record(number, &"x".repeat(900)).unwrap()).collect();
         folder.store(&rows).unwrap();
-        let batch = [Row::DeleteThrough(first_dropped)];
+        let batch = [Row::DeleteThrough(first_deleted)];
         disk.sync_faults.store(true, Ordering::SeqCst);
         assert!(folder.store(&batch).unwrap_err().is_transient);
         if restarts {
@@ -95,7 +99,7 @@
         std::mem::forget(folder);
         disk.lose_power();
         let mut folder = DataFolder::on_simulated_disk(&disk);
-        assert_eq!(folder.records_after::<String>(first_dropped).unwrap().len() as u64, 40 - first_dropped);
+        assert_eq!(folder.records_after::<String>(first_deleted).unwrap().len() as u64, 40 - first_deleted);
     }
 }
 
@@ -109,40 +113,40 @@
     batch
 }
 
-fn check_after(disk: &SimulatedDisk, number: u64, told: &str) {
-    let copied = SimulatedDisk::default();
-    copied.fill(disk.durable());
-    let mut folder = DataFolder::on_simulated_disk(&copied);
-    assert_eq!(folder.read_value::<u64>("last").unwrap(), Some(number), "{told}");
-    let dropped = number - number % 4;
-    assert_eq!(folder.records_after::<String>(dropped).unwrap().len() as u64, number - dropped, "{told}");
+fn assert_durable_through(disk: &SimulatedDisk, number: u64, context: &str) {
+    let copy = SimulatedDisk::default();
+    copy.fill(disk.durable());
+    let mut folder = DataFolder::on_simulated_disk(&copy);
+    assert_eq!(folder.read_value::<u64>("last").unwrap(), Some(number), "{context}");
+    let deleted = number - number % 4;
+    assert_eq!(folder.records_after::<String>(deleted).unwrap().len() as u64, number - deleted, "{context}");
     let snapshot = folder.read_value::<(u64, String)>("snapshot").unwrap();
-    assert_eq!(snapshot.map_or(0, |(number, _)| number), dropped, "{told}");
+    assert_eq!(snapshot.map_or(0, |(number, _)| number), deleted, "{context}");
 }
 
-/// At each write and sync of a ledger's life a spell of faults begins, short or long.
+/// Starts a short or long run of disk errors at every write and sync of a sequence of batches.
 #[test]
-fn a_spell_of_faults_at_any_moment_costs_no_batch() {
+fn a_run_of_disk_errors_at_any_operation_loses_no_batch() {
     let mut operations = 0;
-    for faulty in [1, 2, 5, 40] {
-        for well in 0.. {
+    for failures in [1, 2, 5, 40] {
+        for successes in 0.. {
             let disk = SimulatedDisk::default();
-            *disk.fault_window.lock().unwrap() = Some(FaultWindow { successes: well, failures: faulty });
-            let told = format!("{faulty} faults after {well}");
+            *disk.fault_window.lock().unwrap() = Some(FaultWindow { successes, failures });
+            let context = format!("{failures} failures after {successes} successes");
             let mut folder = DataFolder::on_simulated_disk(&disk);
             for number in 1..=9 {
                 let batch = large_batch(number);
                 let mut tries = 0;
                 while let Err(fault) = folder.store(&batch) {
-                    assert!(fault.is_transient, "{told}: {fault}");
+                    assert!(fault.is_transient, "{context}: {fault}");
                     tries += 1;
-                    assert!(tries <= 60, "{told}: {fault}");
+                    assert!(tries <= 60, "{context}: {fault}");
                 }
-                check_after(&disk, number, &told);
+                assert_durable_through(&disk, number, &context);
             }
             drop(folder);
             disk.lose_power();
-            check_after(&disk, 9, &told);
+            assert_durable_through(&disk, 9, &context);
             operations += 1;
             if disk.fault_window.lock().unwrap().is_some_and(|window| window.successes > 0) {
                 break;
@@ -153,10 +157,10 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_yet_is_made_later_and_keeps_its_identity() {
-    for well in 0..30 {
+fn a_folder_whose_creation_failed_is_created_later_and_keeps_its_identity() {
+    for successes in 0..30 {
         let disk = SimulatedDisk::default();
-        *disk.fault_window.lock().unwrap() = Some(FaultWindow { successes: well, failures: 7 });
+        *disk.fault_window.lock().unwrap() = Some(FaultWindow { successes, failures: 7 });
         let mut folder = DataFolder::on_simulated_disk(&disk);
         let mut tries = 0;
         while let Err(fault) = folder.ensure_open() {
@@ -173,7 +177,7 @@
 }
 
 #[test]
-fn a_ledger_that_lost_what_was_synced_is_damaged() {
+fn a_ledger_that_lost_synced_batches_is_a_permanent_fault() {
     let disk = SimulatedDisk::default();
     let mut folder = DataFolder::on_simulated_disk(&disk);
     store(&mut folder, 1).unwrap();
@@ -192,30 +196,30 @@
     store(&mut folder, 3).unwrap();
 }
 
-/// Power is lost again and again, also in the midst of what follows a failed sync, and each name that was made,
-/// renamed or removed without a sync of its folder is kept or lost by itself.
+/// Loses power repeatedly, also during the recovery from a failed sync. Each power loss keeps or discards every
+/// unsynced creation, renaming or removal of a file independently.
 #[test]
-fn names_lost_one_by_one_cost_no_batch() {
+fn independently_lost_file_names_lose_no_batch() {
     let (mut losses, mut names) = (0, std::collections::BTreeMap::new());
     for seed in 1..=400 {
         let mut draw = Draw::new(seed);
         let disk = SimulatedDisk::default();
         let mut identity = None;
         let mut stored = 0;
-        for life in 0..6 {
+        for restart in 0..6 {
             let window = FaultWindow { successes: draw.below(40), failures: 1 + draw.below(12) };
             *disk.fault_window.lock().unwrap() = Some(window);
             let mut folder = DataFolder::on_simulated_disk(&disk);
             for _ in 0..1 + draw.below(6) {
                 match store(&mut folder, stored + 1) {
                     Ok(()) => stored += 1,
-                    Err(fault) => assert!(fault.is_transient, "seed {seed} life {life}: {fault}"),
+                    Err(fault) => assert!(fault.is_transient, "seed {seed} restart {restart}: {fault}"),
                 }
             }
             if stored > 0
                 && let Ok(found) = folder.identity()
             {
-                assert_eq!(*identity.get_or_insert(found), found, "seed {seed} life {life}");
+                assert_eq!(*identity.get_or_insert(found), found, "seed {seed} restart {restart}");
             }
             std::mem::forget(folder);
             disk.lose_power_keeping(|name| {
@@ -226,12 +230,16 @@
             *disk.fault_window.lock().unwrap() = None;
             let mut folder = DataFolder::on_simulated_disk(&disk);
             let last = folder.read_value::<u64>("last").unwrap().unwrap_or(0);
-            // A batch that failed may be there all the same.
-            assert!(last == stored || last == stored + 1, "seed {seed} life {life}: {last}, {stored} stored");
-            assert_eq!(folder.records_after::<String>(0).unwrap().len() as u64, last, "seed {seed} life {life}");
+            // A batch whose store failed may still be present.
+            assert!(last == stored || last == stored + 1, "seed {seed} restart {restart}: {last}, {stored} stored");
+            assert_eq!(
+                folder.records_after::<String>(0).unwrap().len() as u64,
+                last,
+                "seed {seed} restart {restart}"
+            );
             stored = last;
             std::mem::forget(folder);
         }
     }
-    assert!(losses > 2000 && names.len() == 3, "each name was once at stake: {names:?}");
+    assert!(losses > 2000 && names.len() == 3, "too few power losses, or a file name was never unsynced: {names:?}");
 }
--- a/crates/ledger/tests/folder.rs
+++ b/crates/ledger/tests/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder on real files: how it is made, and what is found damaged, foreign or out of reach.
+//! The data folder on real files: its creation, and ledgers that are damaged, inaccessible or of another format.
 
 use ledger::prelude::*;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_making_that_was_broken_off_leaves_nothing_behind() {
+fn an_interrupted_creation_leaves_no_files_behind() {
     let path = new_path();
     std::fs::create_dir_all(&path).unwrap();
     std::fs::write(path.join("ledger.new"), "half a ledger").unwrap();
@@ -24,22 +24,22 @@
 }
 
 #[test]
-fn damage_and_folders_out_of_reach_do_not_pass() {
+fn damage_and_inaccessible_folders_are_permanent_faults() {
     let path = new_path();
     let mut folder = DataFolder::open(&path).unwrap();
     folder.write_value("format", &99u64).unwrap();
     drop(folder);
-    let foreign = DataFolder::open(&path).err().unwrap();
-    assert!(!foreign.is_transient && foreign.reason.contains("format 99"), "{foreign}");
+    let other_format = DataFolder::open(&path).err().unwrap();
+    assert!(!other_format.is_transient && other_format.reason.contains("format 99"), "{other_format}");
     let ledger = path.join("ledger.redb");
     let bytes = std::fs::read(&ledger).unwrap();
     std::fs::write(&ledger, &bytes[..bytes.len() / 2]).unwrap();
-    let cut = DataFolder::open(&path).err().unwrap();
-    assert!(!cut.is_transient, "{cut}");
+    let truncated = DataFolder::open(&path).err().unwrap();
+    assert!(!truncated.is_transient, "{truncated}");
     std::fs::write(&ledger, "this is no ledger").unwrap();
-    let no_ledger = DataFolder::open(&path).err().unwrap();
-    assert!(!no_ledger.is_transient, "{no_ledger}");
-    let in_a_file = DataFolder::open(&ledger.join("folder")).err().unwrap();
-    assert!(!in_a_file.is_transient, "{in_a_file}");
+    let not_a_ledger = DataFolder::open(&path).err().unwrap();
+    assert!(!not_a_ledger.is_transient, "{not_a_ledger}");
+    let below_a_file = DataFolder::open(&ledger.join("folder")).err().unwrap();
+    assert!(!below_a_file.is_transient, "{below_a_file}");
     std::fs::remove_dir_all(&path).unwrap();
 }
