--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -1,7 +1,8 @@
-//! Bodies: read whole within bounds, or streamed piece by piece.
+//! Message bodies: read whole within limits, or streamed.
 
 use crate::prelude::*;
 
+/// Why a body was not read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyFault {
     TooLarge,
@@ -9,83 +10,85 @@
     Broken(String),
 }
 
+/// A body without content.
 pub fn empty_body() -> GothamBody {
     UnsyncBoxBody::new(Full::new(Bytes::new()).map_err(|never| match never {}))
 }
 
-/// Reads a body to its clean end, at most so many bytes in at most so long.
-pub async fn read_whole<B>(body: B, most_bytes: usize, limit: Duration) -> Result<Bytes, BodyFault>
+/// Reads a body to its clean end, within a size limit and a time limit.
+pub async fn read_whole<B>(body: B, max_bytes: usize, limit: Duration) -> Result<Bytes, BodyFault>
 where
     B: Body<Data = Bytes> + Send,
     B::Error: std::fmt::Display,
 {
     let mut body = std::pin::pin!(body);
-    let mut gathered = Vec::new();
+    let mut received = Vec::new();
     let reading = async {
         while let Some(frame) = body.as_mut().frame().await {
             let frame = frame.map_err(|fault| BodyFault::Broken(fault.to_string()))?;
             if let Some(data) = frame.data_ref() {
-                if gathered.len() + data.len() > most_bytes {
+                if received.len() + data.len() > max_bytes {
                     return Err(BodyFault::TooLarge);
                 }
-                gathered.extend_from_slice(data);
+                received.extend_from_slice(data);
             }
         }
         Ok(())
     };
     match tokio::time::timeout(limit, reading).await {
-        Ok(outcome) => outcome.map(|()| Bytes::from(gathered)),
+        Ok(outcome) => outcome.map(|()| Bytes::from(received)),
         Err(_) => Err(BodyFault::TooSlow),
     }
 }
 
-/// The sending end of a streamed answer. The stream ends cleanly only if that was said: dropped without
-/// it, in whatever way, the caller sees what was sent before, the last words, and an aborted stream.
+/// The sending end of a streamed response. The stream ends cleanly only after `finish`. If the sender is dropped
+/// without it, the client receives what was sent, the final chunk given to `cut` if any, and an aborted stream.
 pub struct BodySender {
-    pieces: mpsc::Sender<Bytes>,
+    chunks: mpsc::Sender<Bytes>,
     ending: Arc<std::sync::Mutex<Ending>>,
 }
 
+/// How a streamed response is to end.
 #[derive(Default)]
 struct Ending {
-    is_whole: bool,
-    last_words: Option<Bytes>,
+    is_complete: bool,
+    final_chunk: Option<Bytes>,
 }
 
 impl BodySender {
-    /// False once the caller is gone.
+    /// Queues a chunk and waits for space; returns false once the client has disconnected.
     pub async fn send(&self, bytes: Bytes) -> bool {
-        self.pieces.send(bytes).await.is_ok()
+        self.chunks.send(bytes).await.is_ok()
     }
 
     fn ending(&self) -> std::sync::MutexGuard<'_, Ending> {
         self.ending.lock().expect("no holder of this lock panics")
     }
 
-    /// The stream is whole: it ends cleanly after what was sent.
+    /// Ends the stream cleanly after what was sent.
     pub fn finish(&self) {
-        self.ending().is_whole = true;
+        self.ending().is_complete = true;
     }
 
-    /// The stream is cut: these words come after what was sent, then the abort.
-    pub fn cut(&self, last_words: Bytes) {
-        self.ending().last_words = Some(last_words);
+    /// Aborts the stream after what was sent, followed by this final chunk.
+    pub fn cut(&self, final_chunk: Bytes) {
+        self.ending().final_chunk = Some(final_chunk);
     }
 
-    /// Resolves when the caller is gone.
+    /// Resolves when the client has disconnected.
     pub async fn gone(&self) {
-        self.pieces.closed().await;
+        self.chunks.closed().await;
     }
 }
 
-struct PieceBody {
-    pieces: mpsc::Receiver<Bytes>,
+struct ChannelBody {
+    chunks: mpsc::Receiver<Bytes>,
     ending: Arc<std::sync::Mutex<Ending>>,
-    /// The abort waits for one turn, so that what came before it is flushed first.
+    /// The abort is delayed by one poll, so that earlier chunks are flushed first.
     aborts: bool,
 }
 
-impl Body for PieceBody {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -94,21 +97,21 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         if self.aborts {
-            return Poll::Ready(Some(Err(io::Error::other("the stream was cut"))));
+            return Poll::Ready(Some(Err(io::Error::other("the response stream was aborted"))));
         }
-        match self.pieces.poll_recv(context) {
+        match self.chunks.poll_recv(context) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Some(piece)) => Poll::Ready(Some(Ok(Frame::data(piece)))),
+            Poll::Ready(Some(chunk)) => Poll::Ready(Some(Ok(Frame::data(chunk)))),
             Poll::Ready(None) => {
-                let last_words = {
+                let final_chunk = {
                     let mut ending = self.ending.lock().expect("no holder of this lock panics");
-                    if ending.is_whole {
+                    if ending.is_complete {
                         return Poll::Ready(None);
                     }
-                    ending.last_words.take()
+                    ending.final_chunk.take()
                 };
-                if let Some(last_words) = last_words {
-                    return Poll::Ready(Some(Ok(Frame::data(last_words))));
+                if let Some(final_chunk) = final_chunk {
+                    return Poll::Ready(Some(Ok(Frame::data(final_chunk))));
                 }
                 self.aborts = true;
                 context.waker().wake_by_ref();
@@ -118,27 +121,27 @@
     }
 }
 
-/// An answer whose body is sent piece by piece.
+/// A response whose body is streamed through a channel with a number of slots.
 pub fn streaming_response(
     status: StatusCode,
     content_type: &'static str,
-    places: usize,
+    capacity: usize,
 ) -> (BodySender, WebResponse) {
-    let (sender, receiver) = mpsc::channel(places);
+    let (sender, receiver) = mpsc::channel(capacity);
     let ending = Arc::new(std::sync::Mutex::new(Ending::default()));
-    let body = PieceBody { pieces: receiver, ending: Arc::clone(&ending), aborts: false };
-    let mut answered = Response::new(UnsyncBoxBody::new(body));
-    *answered.status_mut() = status;
-    (BodySender { pieces: sender, ending }, answered.with_header("content-type", content_type))
+    let body = ChannelBody { chunks: receiver, ending: Arc::clone(&ending), aborts: false };
+    let mut response = Response::new(UnsyncBoxBody::new(body));
+    *response.status_mut() = status;
+    (BodySender { chunks: sender, ending }, response.with_header("content-type", content_type))
 }
 
 #[cfg(test)]
 mod tests {
     use crate::prelude::*;
 
-    /// What a caller gets of a stream, and whether it ended cleanly.
-    async fn read(answered: WebResponse) -> (String, bool) {
-        let mut body = answered.into_body();
+    /// The received text, and whether the stream ended cleanly.
+    async fn read(response: WebResponse) -> (String, bool) {
+        let mut body = response.into_body();
         let mut text = String::new();
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return (text, false) };
@@ -148,25 +151,29 @@
     }
 
     #[test]
-    fn a_stream_ends_cleanly_only_if_that_was_said() {
+    fn a_stream_ends_cleanly_only_after_finish() {
         let runtime = small_runtime(1).unwrap();
         runtime.block_on(async {
             let full = || async {
-                let (pieces, answered) = streaming_response(StatusCode::OK, "text/event-stream", 2);
-                assert!(pieces.send(Bytes::from_static(b"a")).await && pieces.send(Bytes::from_static(b"b")).await);
-                (pieces, answered)
+                let (sender, response) = streaming_response(StatusCode::OK, "text/event-stream", 2);
+                assert!(sender.send(Bytes::from_static(b"a")).await && sender.send(Bytes::from_static(b"b")).await);
+                (sender, response)
             };
-            let (pieces, answered) = full().await;
-            pieces.finish();
-            drop(pieces);
-            assert_eq!(read(answered).await, ("ab".into(), true));
-            let (pieces, answered) = full().await;
-            pieces.cut(Bytes::from_static(b"!"));
-            drop(pieces);
-            assert_eq!(read(answered).await, ("ab!".into(), false), "a slow caller's full ring hides no cut");
-            let (pieces, answered) = full().await;
-            drop(pieces);
-            assert_eq!(read(answered).await, ("ab".into(), false), "a lost sender is no clean end");
+            let (sender, response) = full().await;
+            sender.finish();
+            drop(sender);
+            assert_eq!(read(response).await, ("ab".into(), true));
+            let (sender, response) = full().await;
+            sender.cut(Bytes::from_static(b"!"));
+            drop(sender);
+            assert_eq!(
+                read(response).await,
+                ("ab!".into(), false),
+                "an abort is visible even when the channel is full"
+            );
+            let (sender, response) = full().await;
+            drop(sender);
+            assert_eq!(read(response).await, ("ab".into(), false), "a dropped sender is not a clean end");
         });
     }
 }
--- a/crates/web/src/ask.rs
+++ b/crates/web/src/client.rs
@@ -1,33 +1,37 @@
-//! The calling side. A call opens its own stream, and the request is sent only after the caller had
-//! a last look; so a fault before that surely left no byte with the other side. Streams are never
-//! used twice.
+//! The HTTP client. A call opens its own connection, and its first byte is written only if the caller's gate still
+//! allows it, so a failure before that has sent nothing. Connections are not reused, except by `send_keep_alive`.
 
 use crate::prelude::*;
 
-/// The last look before the first byte: what it refuses is never sent.
+const MAX_JSON_BYTES: usize = 16 << 20;
+
+/// A last check before the first byte of a request; a request that it refuses is never sent.
 pub type SendGate = Box<dyn FnOnce() -> Result<(), String> + Send>;
 
-/// An open stream to the other side, on which nothing was said yet.
+/// An open connection to a server.
 pub struct OpenStream {
     address: String,
     sender: hyper::client::conn::http1::SendRequest<Full<Bytes>>,
-    driver: tokio::task::AbortHandle,
+    connection_task: tokio::task::AbortHandle,
     gate: Arc<GateCell>,
 }
 
 impl Drop for OpenStream {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.connection_task.abort();
     }
 }
 
-/// Why a question has no answer, and whether a byte of it may have left.
+/// Why a request has no response, and whether any byte of it may have been sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendFault {
+    /// What failed.
     pub reason: String,
+    /// Whether any byte of the request may have been sent.
     pub byte_left: bool,
 }
 
+/// The gate of the next request on a connection, and the outcome of the latest one.
 #[derive(Default)]
 pub(crate) struct GateCell {
     gate: std::sync::Mutex<Option<SendGate>>,
@@ -36,7 +40,7 @@
 }
 
 impl GateCell {
-    /// Sets the gate for the next request on the stream.
+    /// Sets the gate for the next request on the connection.
     pub(crate) fn arm(&self, gate: SendGate) {
         self.byte_left.store(false, std::sync::atomic::Ordering::SeqCst);
         if let Ok(mut gate_slot) = self.gate.lock() {
@@ -44,7 +48,7 @@
         }
     }
 
-    /// Why the latest request was not answered, and whether a byte of it may have left.
+    /// The fault of the latest request: the gate's reason if it refused, else the given one.
     pub(crate) fn fault(&self, reason: String) -> SendFault {
         let refusal = self.refusal.lock().ok().and_then(|mut refusal| refusal.take());
         let byte_left = self.byte_left.load(std::sync::atomic::Ordering::SeqCst);
@@ -66,7 +70,7 @@
     }
 }
 
-/// Asks the gate at the first write after it was set, in the very call that would write.
+/// Runs the gate at the first write after it was set, in the same call that would write.
 pub(crate) struct GatedStream {
     stream: TcpStream,
     cell: Arc<GateCell>,
@@ -103,7 +107,7 @@
     }
 }
 
-/// A question to the other side.
+/// A request to a server.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
     pub method: Method,
@@ -113,10 +117,12 @@
 }
 
 impl OutgoingRequest {
+    /// A GET request without a body.
     pub fn get(path: &str) -> OutgoingRequest {
         OutgoingRequest { method: Method::GET, path: path.to_owned(), headers: Vec::new(), body: Bytes::new() }
     }
 
+    /// A request with a JSON body.
     pub fn with_json(method: Method, path: &str, value: &Value) -> OutgoingRequest {
         OutgoingRequest {
             method,
@@ -126,13 +132,14 @@
         }
     }
 
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> OutgoingRequest {
         self.headers.push((name, value.into()));
         self
     }
 }
 
-/// What came back; the body is still on its way, and dropping this ends the stream.
+/// A response whose body is still being received. Dropping it closes the connection.
 pub struct IncomingResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
@@ -141,11 +148,12 @@
 }
 
 impl IncomingResponse {
+    /// The value of a header, if it is readable text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The next piece; nothing at the clean end.
+    /// The next chunk of the body, or `None` at its clean end.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, String> {
         while let Some(frame) = self.body.frame().await {
             let frame = frame.map_err(|fault| fault.to_string())?;
@@ -157,9 +165,10 @@
     }
 }
 
-/// Connects to an address; nothing is said yet.
+/// Connects to an address without sending anything.
 pub async fn open_stream(address: &str, limit: Span) -> Result<OpenStream, String> {
-    let socket_address: std::net::SocketAddr = address.parse().map_err(|_| format!("{address} is no address"))?;
+    let socket_address: std::net::SocketAddr =
+        address.parse().map_err(|_| format!("{address} is not an IP address and port"))?;
     let connecting = TcpStream::connect(socket_address);
     let stream = match tokio::time::timeout(limit.as_duration(), connecting).await {
         Ok(outcome) => outcome.map_err(|fault| fault.to_string())?,
@@ -170,58 +179,63 @@
     let gated_stream = GatedStream::new(stream, Arc::clone(&cell));
     let (sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(gated_stream)).await.map_err(|fault| fault.to_string())?;
-    let driver = tokio::spawn(async move {
+    let connection_task = tokio::spawn(async move {
         let _ = connection.await;
     });
-    Ok(OpenStream { address: address.to_owned(), sender, driver: driver.abort_handle(), gate: cell })
+    Ok(OpenStream {
+        address: address.to_owned(),
+        sender,
+        connection_task: connection_task.abort_handle(),
+        gate: cell,
+    })
 }
 
 impl OpenStream {
-    /// Sends the question. From here on the other side may have got it.
-    pub async fn send(self, question: OutgoingRequest) -> Result<IncomingResponse, SendFault> {
-        let request = self.request(question, true);
-        self.carry_out(request).await
+    /// Sends the request, which the server may have received even if this fails.
+    pub async fn send(self, outgoing: OutgoingRequest) -> Result<IncomingResponse, SendFault> {
+        let request = self.build_request(outgoing, true);
+        self.send_request(request).await
     }
 
-    /// Sends the question if the gate, asked at the first write, lets it pass.
-    pub async fn send_gated(self, question: OutgoingRequest, gate: SendGate) -> Result<IncomingResponse, SendFault> {
+    /// Sends the request if the gate, run at the first write, allows it.
+    pub async fn send_gated(self, outgoing: OutgoingRequest, gate: SendGate) -> Result<IncomingResponse, SendFault> {
         self.gate.arm(gate);
-        let request = self.request(question, true);
-        self.carry_out(request).await
+        let request = self.build_request(outgoing, true);
+        self.send_request(request).await
     }
 
-    /// Asks on a stream that is kept, for polls; an answer is read whole.
+    /// Sends a request and reads the whole response, keeping the connection open for further polls.
     pub async fn send_keep_alive(
         &mut self,
-        question: OutgoingRequest,
+        outgoing: OutgoingRequest,
         limit: Span,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> Result<(StatusCode, HeaderMap, Bytes), String> {
-        let request = self.request(question, false)?;
+        let request = self.build_request(outgoing, false)?;
         let whole_call = async {
             self.sender.ready().await.map_err(|fault| fault.to_string())?;
             let response = self.sender.send_request(request).await.map_err(|fault| fault.to_string())?;
             let (parts, body) = response.into_parts();
             let bytes =
-                read_whole(body, most_bytes, limit.as_duration()).await.map_err(|fault| format!("{fault:?}"))?;
+                read_whole(body, max_bytes, limit.as_duration()).await.map_err(|fault| format!("{fault:?}"))?;
             Ok((parts.status, parts.headers, bytes))
         };
         tokio::time::timeout(limit.as_duration(), whole_call).await.unwrap_or_else(|_| Err("limit passed".into()))
     }
 
-    fn request(&self, question: OutgoingRequest, closes: bool) -> Result<Request<Full<Bytes>>, String> {
+    fn build_request(&self, outgoing: OutgoingRequest, closes: bool) -> Result<Request<Full<Bytes>>, String> {
         let mut request =
-            Request::builder().method(question.method).uri(&question.path).header("host", &self.address);
+            Request::builder().method(outgoing.method).uri(&outgoing.path).header("host", &self.address);
         if closes {
             request = request.header("connection", "close");
         }
-        for (name, value) in question.headers {
+        for (name, value) in outgoing.headers {
             request = request.header(name, value);
         }
-        request.body(Full::new(question.body)).map_err(|fault| fault.to_string())
+        request.body(Full::new(outgoing.body)).map_err(|fault| fault.to_string())
     }
 
-    async fn carry_out(
+    async fn send_request(
         mut self,
         request: Result<Request<Full<Bytes>>, String>,
     ) -> Result<IncomingResponse, SendFault> {
@@ -236,17 +250,17 @@
     }
 }
 
-/// A whole call within one limit: status, headers and body.
+/// Sends a request on a new connection and reads the whole response, all within one time limit.
 pub async fn fetch_response(
     address: &str,
-    question: OutgoingRequest,
+    outgoing: OutgoingRequest,
     limit: Span,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> Result<(StatusCode, HeaderMap, Bytes), String> {
     let whole_call = async {
-        let replied = open_stream(address, limit).await?.send(question).await.map_err(|fault| fault.reason)?;
-        let IncomingResponse { status, headers, body, _stream } = replied;
-        let bytes = read_whole(body, most_bytes, limit.as_duration()).await.map_err(|fault| format!("{fault:?}"))?;
+        let response = open_stream(address, limit).await?.send(outgoing).await.map_err(|fault| fault.reason)?;
+        let IncomingResponse { status, headers, body, _stream } = response;
+        let bytes = read_whole(body, max_bytes, limit.as_duration()).await.map_err(|fault| format!("{fault:?}"))?;
         Ok((status, headers, bytes))
     };
     match tokio::time::timeout(limit.as_duration(), whole_call).await {
@@ -255,17 +269,17 @@
     }
 }
 
-/// A whole call whose answer is JSON.
+/// Like `fetch_response`, for a JSON response.
 pub async fn fetch_json(
     address: &str,
-    question: OutgoingRequest,
+    outgoing: OutgoingRequest,
     limit: Span,
 ) -> Result<(StatusCode, Value), String> {
-    let (status, _, bytes) = fetch_response(address, question, limit, 16 << 20).await?;
+    let (status, _, bytes) = fetch_response(address, outgoing, limit, MAX_JSON_BYTES).await?;
     let value = if bytes.is_empty() {
         Value::Null
     } else {
-        serde_json::from_slice(&bytes).map_err(|fault| format!("answer is no JSON: {fault}"))?
+        serde_json::from_slice(&bytes).map_err(|fault| format!("the response is not JSON: {fault}"))?
     };
     Ok((status, value))
 }
--- a/crates/web/src/closing.rs
+++ b/crates/web/src/closing.rs
@@ -1,9 +1,9 @@
-//! Ending a site in order: open connections are told to end once what they carry is answered.
+//! Graceful shutdown: open connections close once the request in progress is answered.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::watch;
 
-/// The open connections of a site, and whether they are to end.
+/// The open connections of a server, and whether they are closing.
 #[derive(Debug)]
 pub struct OpenConnections {
     count: AtomicUsize,
@@ -17,28 +17,28 @@
 }
 
 impl OpenConnections {
-    /// Tells every connection to end: idle ones at once, the others after the answer under way.
+    /// Closes every connection: idle ones at once, the others after the response in progress.
     pub fn close(&self) {
         self.closing.send_replace(true);
     }
 
-    /// How many are still open.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::SeqCst)
     }
 
-    /// Counts a connection until the guard is dropped.
+    /// Counts a connection until the returned guard is dropped.
     pub(crate) fn enter(self: &std::sync::Arc<Self>) -> OpenConnection {
         self.count.fetch_add(1, Ordering::SeqCst);
         OpenConnection(std::sync::Arc::clone(self))
     }
 }
 
-/// One open connection.
+/// Counts one open connection while it exists.
 pub(crate) struct OpenConnection(std::sync::Arc<OpenConnections>);
 
 impl OpenConnection {
-    /// Waits until the connection is to end.
+    /// Waits until the connection has to close.
     pub async fn closing(&self) {
         let mut closing = self.0.closing.subscribe();
         let _ = closing.wait_for(|is_closing| *is_closing).await;
--- a/crates/web/src/framing.rs
+++ b/crates/web/src/framing.rs
@@ -1,40 +1,47 @@
-//! Strict framing of requests, looked at before the HTTP library sees the bytes. The library is lenient
-//! where two readers of the same bytes may see different requests; what is ambiguous is refused here:
-//! lines without a carriage return, folded lines, two lengths, a length beside chunks.
+//! Strict checks of request framing, made before the HTTP library sees the bytes. The library is lenient where two
+//! parsers may split the same bytes into different requests (request smuggling). Ambiguous framing is refused here:
+//! lines without a carriage return, folded lines, two lengths, a length together with chunked coding.
 
 /// Why a request's framing is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingFault {
+    /// A line that ends without a carriage return.
     BareLineFeed,
+    /// A header line that continues the previous one.
     FoldedLine,
+    /// Two lengths, or a length together with chunked coding.
     TwoLengths,
+    /// A length that is not a number.
     BadLength,
+    /// A chunk without a valid size, or without a line break after its data.
     BadChunk,
+    /// A transfer coding other than `chunked`, or one that is given twice.
     UnknownCoding,
 }
 
-const MOST_LINE_BYTES: usize = 64 << 10;
+const MAX_LINE_BYTES: usize = 64 << 10;
 
+/// The part of a request that comes next.
 #[derive(Clone, Debug)]
 enum Phase {
     Head,
     Body {
-        left: u64,
+        remaining: u64,
     },
-    /// The line that tells a chunk's size.
+    /// The line with a chunk's size.
     ChunkSize,
     ChunkData {
-        left: u64,
+        remaining: u64,
     },
-    /// The end of a chunk's last line.
+    /// The line break after a chunk's data.
     ChunkEnd,
-    /// Lines after the last chunk.
+    /// The trailer lines after the last chunk.
     Trailer,
-    /// A line too long to be followed: the library refuses it.
-    Unfollowed,
+    /// A line was too long to be checked; the library refuses it.
+    Untracked,
 }
 
-/// Follows the requests of one connection, byte by byte.
+/// Tracks the framing of the requests on one connection.
 #[derive(Clone, Debug)]
 pub struct RequestFraming {
     phase: Phase,
@@ -42,7 +49,7 @@
     is_first_line: bool,
     length: Option<u64>,
     is_chunked: bool,
-    whole_count: u64,
+    complete_count: u64,
 }
 
 impl Default for RequestFraming {
@@ -53,52 +60,52 @@
             is_first_line: true,
             length: None,
             is_chunked: false,
-            whole_count: 0,
+            complete_count: 0,
         }
     }
 }
 
 impl RequestFraming {
-    /// How many requests have come whole.
-    pub fn whole_count(&self) -> u64 {
-        self.whole_count
+    /// The number of completely received requests.
+    pub fn complete_count(&self) -> u64 {
+        self.complete_count
     }
 
-    /// Whether the head of a request has begun to come and is not whole yet.
+    /// Whether the head of a request is partly received.
     pub fn is_in_head(&self) -> bool {
         matches!(self.phase, Phase::Head) && (!self.is_first_line || !self.line.is_empty())
     }
 
-    /// Looks at the next bytes of the connection.
+    /// Checks the next bytes of the connection.
     pub fn inspect(&mut self, mut bytes: &[u8]) -> Result<(), FramingFault> {
         while !bytes.is_empty() {
             match &mut self.phase {
-                Phase::Unfollowed => return Ok(()),
-                Phase::Body { left } => {
-                    let skipped = (*left).min(bytes.len() as u64);
-                    *left -= skipped;
-                    if *left == 0 {
+                Phase::Untracked => return Ok(()),
+                Phase::Body { remaining } => {
+                    let skipped = (*remaining).min(bytes.len() as u64);
+                    *remaining -= skipped;
+                    if *remaining == 0 {
                         self.end_request();
                     }
                     bytes = &bytes[skipped as usize..];
                 }
-                Phase::ChunkData { left } => {
-                    let skipped = (*left).min(bytes.len() as u64);
-                    *left -= skipped;
-                    if *left == 0 {
+                Phase::ChunkData { remaining } => {
+                    let skipped = (*remaining).min(bytes.len() as u64);
+                    *remaining -= skipped;
+                    if *remaining == 0 {
                         self.phase = Phase::ChunkEnd;
                     }
                     bytes = &bytes[skipped as usize..];
                 }
                 Phase::Head | Phase::ChunkSize | Phase::ChunkEnd | Phase::Trailer => {
                     let line_end = bytes.iter().position(|byte| *byte == b'\n');
-                    let taken = line_end.map_or(bytes.len(), |place| place + 1);
+                    let taken = line_end.map_or(bytes.len(), |index| index + 1);
                     self.line.extend_from_slice(&bytes[..taken]);
                     bytes = &bytes[taken..];
                     if line_end.is_some() {
                         self.end_line()?;
-                    } else if self.line.len() > MOST_LINE_BYTES {
-                        self.phase = Phase::Unfollowed;
+                    } else if self.line.len() > MAX_LINE_BYTES {
+                        self.phase = Phase::Untracked;
                     }
                 }
             }
@@ -170,7 +177,7 @@
         let Some(size) = text.and_then(|text| u64::from_str_radix(text, 16).ok()) else {
             return Err(FramingFault::BadChunk);
         };
-        self.phase = if size == 0 { Phase::Trailer } else { Phase::ChunkData { left: size } };
+        self.phase = if size == 0 { Phase::Trailer } else { Phase::ChunkData { remaining: size } };
         Ok(())
     }
 
@@ -178,12 +185,12 @@
         match (self.is_chunked, self.length) {
             (true, _) => self.phase = Phase::ChunkSize,
             (false, None | Some(0)) => self.end_request(),
-            (false, Some(left)) => self.phase = Phase::Body { left },
+            (false, Some(remaining)) => self.phase = Phase::Body { remaining },
         }
     }
 
     fn end_request(&mut self) {
-        let whole_count = self.whole_count + 1;
-        *self = RequestFraming { whole_count, ..RequestFraming::default() };
+        let complete_count = self.complete_count + 1;
+        *self = RequestFraming { complete_count, ..RequestFraming::default() };
     }
 }
--- a/crates/web/src/guard.rs
+++ b/crates/web/src/guard.rs
@@ -1,11 +1,11 @@
-//! A caller's connection under guard: one that neither sends nor takes anything for too long is ended, so
-//! that slow and half-closed callers cannot hold a seat for ever; and what two readers of the same bytes
-//! may see differently is never passed to the HTTP library.
+//! Protection of the server's connections. A connection without progress for too long is closed, so that slow and
+//! half-closed clients cannot occupy one of the limited connections for ever. Requests with ambiguous framing are
+//! never passed to the HTTP library.
 
 use crate::prelude::*;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bounds on callers; they may change while connections are open.
+/// Timeouts of client connections; they may change while connections are open.
 #[derive(Debug)]
 pub struct ConnectionTimeouts {
     idle_millis: AtomicU64,
@@ -19,65 +19,68 @@
 }
 
 impl ConnectionTimeouts {
-    /// How long a connection may lie still.
+    /// Sets how long a connection may make no progress.
     pub fn set_idle_timeout(&self, span: Span) {
         self.idle_millis.store(span.as_millis(), Ordering::Relaxed);
     }
 
-    /// How long the head of a request may take to come.
+    /// Sets how long receiving the head of a request may take.
     pub fn set_head_timeout(&self, span: Span) {
         self.head_millis.store(span.as_millis(), Ordering::Relaxed);
     }
 
-    fn head(&self) -> Duration {
+    fn head_timeout(&self) -> Duration {
         Duration::from_millis(self.head_millis.load(Ordering::Relaxed))
     }
 
-    fn idle(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.idle_millis.load(Ordering::Relaxed))
     }
 }
 
-/// What the HTTP library answers with 400 and a closed connection.
-const REFUSED_BYTE: u8 = 0;
+/// A byte that makes the HTTP library answer with 400 and close the connection.
+const INVALID_BYTE: u8 = 0;
 
+/// A client connection with its timeouts and framing checks.
 pub(crate) struct GuardedStream {
     stream: TcpStream,
     idle: Pin<Box<tokio::time::Sleep>>,
-    bounds: Arc<ConnectionTimeouts>,
+    timeouts: Arc<ConnectionTimeouts>,
     framing: RequestFraming,
-    /// When the head that is coming now began to come.
-    head_began: Option<tokio::time::Instant>,
-    /// A request has come whole, and no byte of its answer has left.
-    awaits_answer: bool,
-    _seat: tokio::sync::OwnedSemaphorePermit,
+    /// When the first byte of the head being received arrived.
+    head_started: Option<tokio::time::Instant>,
+    /// A request is completely received, and no byte of its response is sent.
+    awaits_response: bool,
+    _permit: tokio::sync::OwnedSemaphorePermit,
 }
 
 impl GuardedStream {
     pub(crate) fn new(
         stream: TcpStream,
-        seat: tokio::sync::OwnedSemaphorePermit,
-        bounds: Arc<ConnectionTimeouts>,
+        permit: tokio::sync::OwnedSemaphorePermit,
+        timeouts: Arc<ConnectionTimeouts>,
     ) -> GuardedStream {
-        let idle = Box::pin(tokio::time::sleep(bounds.idle()));
+        let idle = Box::pin(tokio::time::sleep(timeouts.idle_timeout()));
         let framing = RequestFraming::default();
-        GuardedStream { stream, idle, bounds, framing, head_began: None, awaits_answer: false, _seat: seat }
+        GuardedStream { stream, idle, timeouts, framing, head_started: None, awaits_response: false, _permit: permit }
     }
 
-    fn moved(&mut self) {
-        let idle_end = tokio::time::Instant::now() + self.bounds.idle();
-        let head_end = self.head_began.map(|began| began + self.bounds.head());
+    /// Restarts the timer after progress.
+    fn restart_timer(&mut self) {
+        let idle_end = tokio::time::Instant::now() + self.timeouts.idle_timeout();
+        let head_end = self.head_started.map(|started| started + self.timeouts.head_timeout());
         self.idle.as_mut().reset(head_end.map_or(idle_end, |head_end| idle_end.min(head_end)));
     }
 
-    fn watch<T>(&mut self, context: &mut Context<'_>, polled: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    /// Fails a pending operation when the timer has expired, except while a response is being prepared.
+    fn check_timer<T>(&mut self, context: &mut Context<'_>, polled: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if polled.is_ready() {
-            self.moved();
+            self.restart_timer();
             return polled;
         }
         match self.idle.as_mut().poll(context) {
-            Poll::Ready(()) if self.awaits_answer => {
-                self.moved();
+            Poll::Ready(()) if self.awaits_response => {
+                self.restart_timer();
                 let _ = self.idle.as_mut().poll(context);
                 Poll::Pending
             }
@@ -94,26 +97,26 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let filled_before = buffer.filled().len();
-        let whole_before = self.framing.whole_count();
+        let complete_before = self.framing.complete_count();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if let Err(fault) = self.framing.inspect(&buffer.filled()[filled_before..]) {
             log::info!(target: "haremount", "event=request_refused reason=\"{fault:?}\"");
-            buffer.filled_mut()[filled_before..].fill(REFUSED_BYTE);
+            buffer.filled_mut()[filled_before..].fill(INVALID_BYTE);
         }
-        self.awaits_answer |= self.framing.whole_count() > whole_before;
-        self.head_began = match self.framing.is_in_head() {
-            true => Some(self.head_began.unwrap_or_else(tokio::time::Instant::now)),
+        self.awaits_response |= self.framing.complete_count() > complete_before;
+        self.head_started = match self.framing.is_in_head() {
+            true => Some(self.head_started.unwrap_or_else(tokio::time::Instant::now)),
             false => None,
         };
-        self.watch(context, polled)
+        self.check_timer(context, polled)
     }
 }
 
 impl AsyncWrite for GuardedStream {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.awaits_answer &= polled.is_pending();
-        self.watch(context, polled)
+        self.awaits_response &= polled.is_pending();
+        self.check_timer(context, polled)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,14 +1,14 @@
-//! HTTP/1.1 by gotham and hyper: a small runtime, a listener with bounds on callers, bodies read
-//! within limits, streamed answers that end abruptly rather than falsely, and a client that opens a
-//! stream of its own for each call, so that the caller knows whether a byte could have left.
+//! HTTP/1.1 on gotham and hyper: a small runtime, a server with timeouts for its clients, bodies read within
+//! limits, streamed responses that abort instead of ending cleanly when they are incomplete, and a client that
+//! reports whether any byte of a failed request may have been sent.
 
 pub mod prelude;
 
-mod ask;
 mod body;
+mod client;
 mod closing;
 mod framing;
 mod guard;
-mod kept;
-mod serve;
+mod persistent;
+mod server;
 mod sockets;
--- a/crates/web/src/prelude.rs
+++ b/crates/web/src/prelude.rs
@@ -1,12 +1,12 @@
-//! The one import of this package's files, and of the programs for HTTP.
+//! Common imports of this package's files, and of programs that use HTTP.
 
-pub use crate::ask::*;
 pub use crate::body::*;
+pub use crate::client::*;
 pub use crate::closing::*;
 pub use crate::framing::*;
 pub use crate::guard::*;
-pub use crate::kept::*;
-pub use crate::serve::*;
+pub use crate::persistent::*;
+pub use crate::server::*;
 pub use crate::sockets::*;
 pub use bytes::Bytes;
 pub(crate) use gotham::handler::HandlerFuture;
--- a/crates/web/src/serve.rs
+++ b/crates/web/src/server.rs
@@ -1,21 +1,22 @@
-//! The listening side: one handler for a site, given to gotham as its new-handler.
+//! The HTTP server: accepts connections and passes their requests to one handler through gotham.
 
 use crate::prelude::*;
 
-const MOST_CALLERS: usize = 4096;
-const BODY_LIMIT: Duration = Duration::from_secs(10);
-/// More header lines than this get 431. Their bytes are bounded by what a site's own limits say; the library's
-/// default of 100 lines would refuse heads that are well within those. The same for every connection, so that a
-/// limit that is raised holds on those already open.
-const MOST_HEADER_LINES: usize = 4096;
-/// A head of more bytes gets 431, whatever a site's own limits say; it is never kept whole in memory.
-const MOST_HEAD_BYTES: usize = 128 << 10;
-/// How long nothing is accepted after a failure, such as too many open files.
+const MAX_CONNECTIONS: usize = 4096;
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// A request with more header lines gets 431. Handlers limit the bytes of the headers themselves, and the library's
+/// default of 100 lines would refuse heads well within those limits. The value is fixed, so that a handler's limit
+/// that is raised also applies to connections already open.
+const MAX_HEADER_LINES: usize = 4096;
+/// A larger request head gets 431 whatever the handler's own limits, and is never kept whole in memory.
+const MAX_HEAD_BYTES: usize = 128 << 10;
+/// The delay before accepting again after an error, such as too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// A request as a site sees it; the body is still on its way.
+/// A request as its handler receives it; the body is still being received.
 pub struct IncomingRequest {
     pub method: Method,
+    /// The parts of the path between slashes, without empty ones.
     pub segments: Vec<String>,
     pub query: String,
     pub uri: Uri,
@@ -23,21 +24,24 @@
     pub body: std::sync::Mutex<GothamBody>,
 }
 
+/// A response of a handler.
 pub type WebResponse = Response<GothamBody>;
+/// The future of a handler's response.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = WebResponse> + Send>>;
 
-/// What a program serves.
+/// Answers the requests of a server.
 pub trait RequestHandler: Send + Sync + 'static {
-    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture;
+    /// Answers one request.
+    fn handle(self: Arc<Self>, request: IncomingRequest) -> ResponseFuture;
 }
 
-/// Taking a request out of gotham's state.
+/// Extracts a request from gotham's state.
 pub trait StateExt {
-    fn take_asked(&mut self) -> IncomingRequest;
+    fn take_request(&mut self) -> IncomingRequest;
 }
 
 impl StateExt for State {
-    fn take_asked(&mut self) -> IncomingRequest {
+    fn take_request(&mut self) -> IncomingRequest {
         let uri = Uri::take_from(self);
         let segments = uri.path().split('/').filter(|part| !part.is_empty()).map(str::to_owned).collect();
         IncomingRequest {
@@ -52,32 +56,37 @@
 }
 
 impl IncomingRequest {
-    /// Method and path, ready to be matched.
+    /// The method and the path segments, to be matched.
     pub fn method_and_path(&self) -> (String, Vec<&str>) {
         (self.method.as_str().to_owned(), self.segments.iter().map(String::as_str).collect())
     }
 
+    /// The value of a header, if it is readable text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
+    /// The bearer token of the `authorization` header.
     pub fn bearer_token(&self) -> Option<&str> {
         self.header("authorization")?.strip_prefix("Bearer ").map(str::trim)
     }
 
+    /// The value of a query parameter, not percent-decoded.
     pub fn query_value(&self, key: &str) -> Option<&str> {
         self.query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='))
     }
 
-    pub async fn read_body(&mut self, most_bytes: usize) -> Result<Bytes, BodyFault> {
+    /// Reads the whole body within limits.
+    pub async fn read_body(&mut self, max_bytes: usize) -> Result<Bytes, BodyFault> {
         let body = std::mem::replace(&mut self.body, std::sync::Mutex::new(empty_body()));
         let body = body.into_inner().map_err(|_| BodyFault::Broken("poisoned".into()))?;
-        read_whole(body, most_bytes, BODY_LIMIT).await
+        read_whole(body, max_bytes, BODY_READ_TIMEOUT).await
     }
 }
 
-/// Answers and their headers.
+/// Adds headers to a response.
 pub trait WebResponseExt {
+    /// Sets a header, unless the value is not valid in one.
     fn with_header(self, name: &'static str, value: &str) -> Self;
 }
 
@@ -90,55 +99,58 @@
     }
 }
 
+/// A response with this body.
 pub fn bytes_response(status: StatusCode, content_type: &'static str, bytes: impl Into<Bytes>) -> WebResponse {
     let body = Full::new(bytes.into()).map_err(|never| match never {});
-    let mut answered = Response::new(UnsyncBoxBody::new(body));
-    *answered.status_mut() = status;
-    answered.with_header("content-type", content_type)
+    let mut response = Response::new(UnsyncBoxBody::new(body));
+    *response.status_mut() = status;
+    response.with_header("content-type", content_type)
 }
 
+/// A response with a JSON body.
 pub fn json_response(status: StatusCode, value: &Value) -> WebResponse {
     bytes_response(status, "application/json", value.to_string())
 }
 
-/// A refusal: what is wrong, as JSON.
+/// An error response with a JSON body that holds the error type and a message.
 pub fn error_response(status: StatusCode, kind: &str, reason: &str) -> WebResponse {
     json_response(status, &json!({"error": {"type": kind, "message": reason}}))
 }
 
+/// The 404 response for an unknown path.
 pub fn not_found_response() -> WebResponse {
     error_response(StatusCode::NOT_FOUND, "not_found", "no such page")
 }
 
-/// A runtime with few threads, for HTTP alone.
+/// A tokio runtime with this number of worker threads.
 pub fn small_runtime(threads: usize) -> io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_multi_thread().worker_threads(threads).thread_name("http").enable_all().build()
 }
 
-/// Binds before anything is promised, so that a port in use is a plain refusal.
+/// Binds a listener before the server starts, so that a port in use is reported at once.
 pub fn bind(address: std::net::SocketAddr) -> io::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Serves a site for ever on a bound listener.
-pub async fn serve(listener: std::net::TcpListener, site: Arc<dyn RequestHandler>) -> io::Result<()> {
-    serve_with_timeouts(listener, site, Arc::default(), Arc::default()).await
+/// Serves requests on a bound listener, with default timeouts.
+pub async fn serve(listener: std::net::TcpListener, request_handler: Arc<dyn RequestHandler>) -> io::Result<()> {
+    serve_with_timeouts(listener, request_handler, Arc::default(), Arc::default()).await
 }
 
-/// Serves a site for ever, within bounds on callers that may change meanwhile. Connections can be told to
-/// end, also after this was given up.
+/// Serves requests with timeouts that may change while it runs. `connections` can close the open connections, even
+/// after this future was dropped.
 pub async fn serve_with_timeouts(
     listener: std::net::TcpListener,
-    site: Arc<dyn RequestHandler>,
-    bounds: Arc<ConnectionTimeouts>,
+    request_handler: Arc<dyn RequestHandler>,
+    timeouts: Arc<ConnectionTimeouts>,
     connections: Arc<OpenConnections>,
 ) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
-    let seats = Arc::new(tokio::sync::Semaphore::new(MOST_CALLERS));
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     let protocol = Arc::new(connection_builder());
-    let handler = Arc::new(SiteHandler(std::panic::AssertUnwindSafe(site)));
+    let handler = Arc::new(GothamHandler(std::panic::AssertUnwindSafe(request_handler)));
     loop {
         let (stream, address) = match listener.accept().await {
             Ok(accepted) => accepted,
@@ -148,15 +160,15 @@
                 continue;
             }
         };
-        let Ok(seat) = Arc::clone(&seats).try_acquire_owned() else { continue };
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else { continue };
         let _ = stream.set_nodelay(true);
-        set_user_timeout(&stream, CALLER_USER_TIMEOUT);
-        let guarded = TokioIo::new(GuardedStream::new(stream, seat, Arc::clone(&bounds)));
+        set_user_timeout(&stream, CLIENT_USER_TIMEOUT);
+        let guarded = TokioIo::new(GuardedStream::new(stream, permit, Arc::clone(&timeouts)));
         let handler = Arc::clone(&handler);
         let service = hyper::service::service_fn(move |request| answer(Arc::clone(&handler), request, address));
         let protocol = Arc::clone(&protocol);
         let open = connections.enter();
-        // What goes wrong on one connection ends that connection alone.
+        // An error or panic on one connection affects only that connection.
         tokio::spawn(async move {
             let mut connection = std::pin::pin!(protocol.serve_connection(guarded, service));
             tokio::select! {
@@ -168,21 +180,21 @@
     }
 }
 
-/// HTTP/1 alone: what comes over another version would pass by the inspection of framing.
+/// Builds an HTTP/1-only server, since requests over another version would bypass the framing check.
 fn connection_builder() -> ConnectionBuilder<TokioExecutor> {
     let mut builder = ConnectionBuilder::new(TokioExecutor::new()).http1_only();
-    builder.http1().max_headers(MOST_HEADER_LINES).max_buf_size(MOST_HEAD_BYTES);
+    builder.http1().max_headers(MAX_HEADER_LINES).max_buf_size(MAX_HEAD_BYTES);
     builder
 }
 
-/// Gives a request to the site through gotham's handler, which turns a panic into an answer with 500.
+/// Passes a request to the handler through gotham, which turns a panic into a 500 response.
 async fn answer(
-    handler: Arc<SiteHandler>,
+    handler: Arc<GothamHandler>,
     request: Request<Incoming>,
     address: std::net::SocketAddr,
 ) -> gotham::anyhow::Result<WebResponse> {
-    if head_bytes(request.headers()) > MOST_HEAD_BYTES {
-        let reason = format!("at most {MOST_HEAD_BYTES} bytes of headers");
+    if head_bytes(request.headers()) > MAX_HEAD_BYTES {
+        let reason = format!("at most {MAX_HEAD_BYTES} bytes of headers");
         let refusal = error_response(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head_too_large", &reason);
         return Ok(refusal.with_header("connection", "close"));
     }
@@ -190,27 +202,27 @@
     gotham::service::call_handler(handler, std::panic::AssertUnwindSafe(state)).await
 }
 
-/// The bytes of the header lines as they came. The library's own bound is kept only roughly.
+/// The size of the header lines as received, since the library enforces its own limit only roughly.
 fn head_bytes(headers: &HeaderMap) -> usize {
     headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum()
 }
 
-struct SiteHandler(std::panic::AssertUnwindSafe<Arc<dyn RequestHandler>>);
+struct GothamHandler(std::panic::AssertUnwindSafe<Arc<dyn RequestHandler>>);
 
-impl gotham::handler::NewHandler for SiteHandler {
-    type Instance = SiteHandler;
+impl gotham::handler::NewHandler for GothamHandler {
+    type Instance = GothamHandler;
 
-    fn new_handler(&self) -> gotham::anyhow::Result<SiteHandler> {
-        Ok(SiteHandler(std::panic::AssertUnwindSafe(Arc::clone(&self.0))))
+    fn new_handler(&self) -> gotham::anyhow::Result<GothamHandler> {
+        Ok(GothamHandler(std::panic::AssertUnwindSafe(Arc::clone(&self.0))))
     }
 }
 
-impl gotham::handler::Handler for SiteHandler {
+impl gotham::handler::Handler for GothamHandler {
     fn handle(self, mut state: State) -> Pin<Box<HandlerFuture>> {
-        let asked = state.take_asked();
+        let request = state.take_request();
         Box::pin(async move {
-            let answered = Arc::clone(&self.0).handle(asked).await;
-            Ok((state, answered))
+            let response = Arc::clone(&self.0).handle(request).await;
+            Ok((state, response))
         })
     }
 }
--- a/crates/web/src/sockets.rs
+++ b/crates/web/src/sockets.rs
@@ -1,13 +1,13 @@
-//! Options of sockets that the standard library does not set.
+//! Socket options that the standard library cannot set.
 
 use crate::prelude::*;
 use std::os::fd::AsRawFd;
 
-/// How long a caller's unacknowledged bytes may wait before its connection is given up.
-pub const CALLER_USER_TIMEOUT: Span = Span::seconds(5);
+/// How long bytes sent to a client may stay unacknowledged before its connection is closed.
+pub const CLIENT_USER_TIMEOUT: Span = Span::seconds(5);
 
-/// Sets how long sent bytes may stay unacknowledged before the connection is given up: a peer behind a
-/// cut says nothing. A system that knows no such option leaves the connection as it is.
+/// Sets how long sent bytes may stay unacknowledged before the connection is closed, because a peer behind a network
+/// partition sends nothing that would close it. Systems without this option leave the connection unchanged.
 #[allow(unsafe_code)]
 pub fn set_user_timeout(stream: &impl AsRawFd, span: Span) {
     let millis = span.as_millis() as libc::c_uint;
--- a/crates/web/tests/framing.rs
+++ b/crates/web/tests/framing.rs
@@ -1,17 +1,17 @@
-//! Requests whose framing two readers may see differently are refused; others are followed over any cut.
+//! Requests with ambiguous framing are refused, and others accepted, however the bytes are split into reads.
 
 use web::prelude::{FramingFault, RequestFraming};
 
-fn inspect(text: &str, cut: usize) -> Result<(), FramingFault> {
+fn inspect(text: &str, chunk_size: usize) -> Result<(), FramingFault> {
     let mut framing = RequestFraming::default();
-    for piece in text.as_bytes().chunks(cut.max(1)) {
-        framing.inspect(piece)?;
+    for chunk in text.as_bytes().chunks(chunk_size.max(1)) {
+        framing.inspect(chunk)?;
     }
     Ok(())
 }
 
 #[test]
-fn ambiguous_framing_is_refused_however_it_is_cut() {
+fn ambiguous_framing_is_refused_however_it_is_split() {
     let refused = [
         ("POST / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", FramingFault::BareLineFeed),
         ("POST / HTTP/1.1\r\nHost: a\r\n b\r\n\r\n", FramingFault::FoldedLine),
@@ -26,34 +26,34 @@
         ("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET / HTTP/1.1\n\r\n", FramingFault::BareLineFeed),
     ];
     for (text, fault) in refused {
-        for cut in [1, 2, 7, text.len()] {
-            assert_eq!(inspect(text, cut), Err(fault), "{text:?} in pieces of {cut}");
+        for chunk_size in [1, 2, 7, text.len()] {
+            assert_eq!(inspect(text, chunk_size), Err(fault), "{text:?} in chunks of {chunk_size}");
         }
     }
 }
 
 #[test]
-fn well_framed_requests_pass_one_after_the_other() {
-    let passed = [
+fn consecutive_well_framed_requests_are_accepted() {
+    let accepted = [
         "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\na\nb\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n",
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n0\r\n\r\n",
         "\r\nGET /b HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\nGET /c HTTP/1.1\r\n\r\n",
     ];
-    for text in passed {
-        for cut in [1, 3, text.len()] {
-            assert_eq!(inspect(text, cut), Ok(()), "{text:?} in pieces of {cut}");
+    for text in accepted {
+        for chunk_size in [1, 3, text.len()] {
+            assert_eq!(inspect(text, chunk_size), Ok(()), "{text:?} in chunks of {chunk_size}");
         }
     }
 }
 
 #[test]
-fn whole_requests_are_counted_and_a_head_on_its_way_is_seen() {
+fn complete_requests_are_counted_and_a_partial_head_is_detected() {
     let mut framing = RequestFraming::default();
     assert!(!framing.is_in_head());
     framing.inspect(b"POST /a HTTP/1.1\r\nTransfer-Encoding: chu").unwrap();
-    assert!(framing.is_in_head() && framing.whole_count() == 0);
+    assert!(framing.is_in_head() && framing.complete_count() == 0);
     framing.inspect(b"nked\r\n\r\n2;x=y\r\nab\r\n0\r\nTrailer: t\r\n").unwrap();
-    assert!(!framing.is_in_head() && framing.whole_count() == 0);
+    assert!(!framing.is_in_head() && framing.complete_count() == 0);
     framing.inspect(b"\r\nPOST /b HTTP/1.1\r\nContent-Length: 1\r\n\r\nxG").unwrap();
-    assert!(framing.is_in_head() && framing.whole_count() == 2);
+    assert!(framing.is_in_head() && framing.complete_count() == 2);
 }
