--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,9 +1,9 @@
-//! Held streams between haremount's own processes. A `Door` accepts, a dial opens; each stream has a
-//! reading and a writing thread, joined to its owner by bounded queues. A `PeerSender` keeps one outgoing
-//! stream for each address and drops what cannot be sent: whoever uses it says again what matters.
+//! Long-lived TCP connections between haremount's own processes. A `Link` is one connection, accepted or dialed,
+//! with a reading and a writing thread; a bounded queue leads to the writing thread. A `PeerSender` keeps one
+//! outgoing connection for each address and drops what it cannot send: its user repeats the messages that matter.
 
 pub mod prelude;
 
-mod held;
-mod post;
+mod link;
+mod peer_sender;
 mod sockets;
--- a/crates/links/src/prelude.rs
+++ b/crates/links/src/prelude.rs
@@ -1,7 +1,7 @@
-//! The one import of this package's files.
+//! Common imports of this package's files.
 
-pub use crate::held::*;
-pub use crate::post::*;
+pub use crate::link::*;
+pub use crate::peer_sender::*;
 pub(crate) use crate::sockets::*;
 pub(crate) use queues::prelude::*;
 pub(crate) use serde::{Serialize, de::DeserializeOwned};
--- a/crates/process/src/keys.rs
+++ b/crates/process/src/keys.rs
@@ -1,8 +1,8 @@
-//! Keys are kept and compared as hashes only.
+//! API keys are stored and compared only as hashes.
 
 use crate::prelude::*;
 
-/// SHA-256 in lowercase hex.
+/// The SHA-256 hash of a text in lowercase hex.
 pub fn sha256_hex(text: &str) -> String {
     Sha256::digest(text.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,5 +1,5 @@
 //! What every daemon shares: the command line, the settings file, logs, signals and the ready line.
-//! A daemon lists its settings once, as a table; help, flags, file reading and checks all follow it.
+//! A daemon declares its settings once, in a table from which help, flags, file reading and checks are derived.
 
 #![warn(missing_docs)]
 
--- a/crates/process/src/logs.rs
+++ b/crates/process/src/logs.rs
@@ -1,9 +1,9 @@
-//! One line of key=value pairs for each event, to standard error. Our own events are written with
-//! `event!`; what a library logs is wrapped as the text of an event named `library`.
+//! Logs to standard error, one line of key=value pairs for each event. The daemons log with `event!`; messages of
+//! libraries become the text of an event named `library`.
 
 use crate::prelude::*;
 
-/// `event!(info, "lease_lost", node = node, left = 3)`
+/// Logs an event with its fields: `event!(info, "lease_lost", node = node, left = 3)`.
 #[macro_export]
 macro_rules! event {
     ($level:ident, $name:expr $(, $key:ident = $value:expr)* $(,)?) => {
@@ -14,10 +14,11 @@
     };
 }
 
-/// A value as it stands in a log line: quoted if it has spaces or quotes, control characters escaped.
+/// A value as written in a log line: quoted and escaped if it is empty or has whitespace, quotes or equals signs.
 pub fn quote_value(text: &str) -> String {
-    let is_plain = !text.is_empty() && text.chars().all(|sign| !sign.is_whitespace() && sign != '"' && sign != '=');
-    if is_plain { text.to_owned() } else { format!("\"{}\"", text.escape_debug()) }
+    let needs_no_quotes = !text.is_empty()
+        && text.chars().all(|character| !character.is_whitespace() && character != '"' && character != '=');
+    if needs_no_quotes { text.to_owned() } else { format!("\"{}\"", text.escape_debug()) }
 }
 
 /// Starts logging; the level is one of error, warn, info, debug.
@@ -26,7 +27,7 @@
     let logger = Logger::with(specification(level)?)
         .format(write_line)
         .start()
-        .map_err(|fault| miette!("logs cannot start: {fault}"))?;
+        .map_err(|fault| miette!("cannot start logging: {fault}"))?;
     Ok(LogsHandle(logger))
 }
 
@@ -42,11 +43,11 @@
     }
 }
 
-/// Holds the logger; the level can be changed while it runs.
+/// Keeps the logger running and allows its level to be changed.
 pub struct LogsHandle(flexi_logger::LoggerHandle);
 
 impl LogsHandle {
-    /// Changes what is logged.
+    /// Changes the log level.
     pub fn set_level(&self, level: &str) -> Result<(), Report> {
         self.0.set_new_spec(specification(level)?);
         Ok(())
--- a/crates/process/src/prelude.rs
+++ b/crates/process/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of the daemons for these matters.
+//! Common imports of this package's files, and of the daemons.
 
 pub use crate::event;
 pub use crate::keys::*;
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -1,18 +1,18 @@
-//! Settings: a table of keys, read from a JSON file and from flags of the same names; flags win.
-//! Faults name the file or flag, the key and the reason, all of them at once.
+//! Settings: a table of keys, read from a JSON file and from flags of the same names. Flags override the file.
+//! All errors are reported together, each with the file or flag, the key and the reason.
 
 use crate::prelude::*;
 
-/// What values a setting takes.
+/// The type of a setting's values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SettingKind {
-    /// Any text but an empty one.
+    /// A text that is not empty.
     Text,
-    /// A whole number within bounds.
+    /// A whole number from the first to the second bound, inclusive.
     Integer(u64, u64),
     /// An IP address and port.
     Address,
-    /// Addresses, in the file an array, on the command line separated by commas.
+    /// Addresses: an array in the file, separated by commas on the command line.
     Addresses,
     /// A path.
     Path,
@@ -24,17 +24,17 @@
 
 /// One setting of a program.
 pub struct Setting {
-    /// Its name in the file; as a flag with hyphens.
+    /// Its name in the file; the flag has hyphens instead of underscores.
     pub key: &'static str,
     /// What values it takes.
     pub kind: SettingKind,
-    /// What it is if nothing is given; without one it may be missing.
+    /// The value if none is given. Without a default the setting may be missing.
     pub default: Option<&'static str>,
-    /// What it is for, as the help says it.
+    /// Its purpose, as shown by `--help`.
     pub help: &'static str,
 }
 
-/// A setting as a row of a table.
+/// Creates a row of a settings table.
 pub const fn setting(
     key: &'static str,
     kind: SettingKind,
@@ -44,7 +44,7 @@
     Setting { key, kind, default, help }
 }
 
-/// The setting that most programs have.
+/// The log level setting, which most programs have.
 pub const LOG_LEVEL: Setting = setting(
     "log_level",
     SettingKind::Choice(&["error", "warn", "info", "debug"]),
@@ -56,7 +56,7 @@
 pub struct ProgramSpec {
     /// The program's name.
     pub program: &'static str,
-    /// What it is, as the help says it.
+    /// Its description, as shown by `--help`.
     pub about: &'static str,
     /// All its settings.
     pub settings: &'static [Setting],
@@ -64,9 +64,9 @@
 
 const SETTINGS_BOUNDS: Bounds = Bounds { bytes: 256 << 10, depth: 8 };
 
-/// The command line or the settings are wrong.
+/// Exit code for a wrong command line or wrong settings.
 pub const EXIT_USAGE: u8 = 2;
-/// The program could not do its work.
+/// Exit code for a failure while running.
 pub const EXIT_FAULT: u8 = 1;
 
 /// The values of a program's settings.
@@ -77,16 +77,16 @@
     flags: BTreeMap<&'static str, String>,
 }
 
-/// What the command line asked for.
+/// What the command line asks for.
 pub enum CommandLine {
-    /// The program is to run with these settings.
+    /// Run the program with these settings.
     Run(Settings),
-    /// Help or version was printed.
+    /// Nothing more: the help or version was printed.
     Printed,
 }
 
 impl ProgramSpec {
-    /// Reads the command line; `--help` and `--version` print and end.
+    /// Reads the command line and the settings file; `--help` and `--version` are printed here.
     pub fn read(
         &'static self,
         arguments: impl IntoIterator<Item = std::ffi::OsString>,
@@ -128,11 +128,12 @@
         self.merge(file, flags).map(CommandLine::Run)
     }
 
-    /// Reads the file again, under the same flags.
+    /// Reads the settings file again, with the same flags.
     pub fn read_again(&'static self, settings: &Settings) -> Result<Settings, Report> {
         self.merge(settings.file.clone(), settings.flags.clone())
     }
 
+    /// Combines flags, file and defaults, and checks every value.
     fn merge(
         &'static self,
         file: Option<PathBuf>,
@@ -220,7 +221,7 @@
 }
 
 fn check(kind: SettingKind, value: &str) -> Result<(), String> {
-    let is_right = match kind {
+    let is_valid = match kind {
         SettingKind::Text | SettingKind::Path => !value.is_empty(),
         SettingKind::Integer(lowest, highest) => {
             value.parse::<u64>().is_ok_and(|number| (lowest..=highest).contains(&number))
@@ -230,7 +231,7 @@
         SettingKind::Flag => matches!(value, "true" | "false"),
         SettingKind::Choice(choices) => choices.contains(&value),
     };
-    if is_right { Ok(()) } else { Err(format!("{} is not {}", quote_value(value), expected(kind))) }
+    if is_valid { Ok(()) } else { Err(format!("{} is not {}", quote_value(value), expected(kind))) }
 }
 
 fn expected(kind: SettingKind) -> String {
@@ -249,12 +250,12 @@
 }
 
 impl Settings {
-    /// A setting's text, if there is one.
+    /// A setting's text, if it is set.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.values.get(key).map(String::as_str)
     }
 
-    /// A setting that must be there; one without a default may be missing.
+    /// The text of a required setting; an error if it has no default and was not given.
     pub fn text(&self, key: &str) -> Result<&str, Report> {
         let flag_name = key.replace('_', "-");
         self.get(key).ok_or_else(|| miette!("{key} is missing: give it in the settings file or as --{flag_name}"))
@@ -262,7 +263,7 @@
 
     /// A setting as a whole number.
     pub fn whole(&self, key: &str) -> Result<u64, Report> {
-        self.text(key)?.parse().map_err(|_| miette!("{key} is no number"))
+        self.text(key)?.parse().map_err(|_| miette!("{key} is not a number"))
     }
 
     /// A setting in milliseconds.
@@ -272,7 +273,7 @@
 
     /// A setting as an address.
     pub fn address(&self, key: &str) -> Result<SocketAddr, Report> {
-        self.text(key)?.parse().map_err(|_| miette!("{key} is no address"))
+        self.text(key)?.parse().map_err(|_| miette!("{key} is not an address"))
     }
 
     /// A setting as a list of addresses; empty if it is missing.
@@ -290,7 +291,7 @@
 mod tests {
     use crate::prelude::*;
 
-    static TESTED: ProgramSpec = ProgramSpec {
+    static TEST_PROGRAM: ProgramSpec = ProgramSpec {
         program: "tested",
         about: "",
         settings: &[
@@ -305,7 +306,7 @@
         std::fs::write(&path, text).unwrap();
         let mut arguments: Vec<std::ffi::OsString> = vec!["tested".into(), "--settings".into(), path.clone().into()];
         arguments.extend(flags.iter().map(std::ffi::OsString::from));
-        let outcome = TESTED.read(arguments.into_iter().skip(1));
+        let outcome = TEST_PROGRAM.read(arguments.into_iter().skip(1));
         std::fs::remove_file(&path).unwrap();
         match outcome {
             Ok(CommandLine::Run(settings)) => Ok(settings),
@@ -315,7 +316,7 @@
     }
 
     #[test]
-    fn faults_name_file_key_and_reason() {
+    fn errors_name_file_key_and_reason() {
         let refused = [
             (r#"{"share":10}"#, "FILE: share: out of range: 10, allowed 1 to 9"),
             (r#"{"share":"x"}"#, "FILE: share: wrong type: expected number, found string"),
--- a/crates/process/src/signals.rs
+++ b/crates/process/src/signals.rs
@@ -1,37 +1,37 @@
-//! Signals, the ready line, and the end of a program.
+//! Signals, the ready line and the exit code of a program.
 
 use crate::prelude::*;
 
-/// What a signal asks of a program.
+/// What a signal asks a program to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// Drain and stop.
     Stop,
-    /// Read the settings again.
+    /// Reload the settings.
     Reload,
 }
 
-/// Calls back for each signal, on a thread of its own.
+/// Calls `handle` for each signal, on a separate thread.
 pub fn on_signals(mut handle: impl FnMut(Signal) + Send + 'static) -> Result<(), Report> {
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])
-        .map_err(|fault| miette!("signals cannot be taken: {fault}"))?;
+        .map_err(|fault| miette!("cannot install signal handlers: {fault}"))?;
     let spawned = std::thread::Builder::new().name("signals".into()).spawn(move || {
         for signal in signals.forever() {
             handle(if signal == SIGHUP { Signal::Reload } else { Signal::Stop });
         }
     });
-    spawned.map(drop).map_err(|fault| miette!("no thread for signals: {fault}"))
+    spawned.map(drop).map_err(|fault| miette!("cannot start the signal thread: {fault}"))
 }
 
-/// Lets a write beyond a file-size limit fail as an error instead of ending the process.
+/// Makes a write beyond the file-size limit return an error instead of killing the process.
 pub fn ignore_file_size_signal() -> Result<(), Report> {
     signal_hook::flag::register(signal_hook::consts::SIGXFSZ, std::sync::Arc::default())
         .map(drop)
-        .map_err(|fault| miette!("signals cannot be taken: {fault}"))
+        .map_err(|fault| miette!("cannot install signal handlers: {fault}"))
 }
 
-/// A daemon's signals: stop, and reload under the same flags. Settings that are faulty are refused
-/// whole, and those in force stay.
+/// Handles a daemon's signals: stop, and reload of the settings with the same flags. If any reloaded setting is
+/// invalid, all of them are refused and the current settings stay in force.
 pub fn handle_signals(
     spec: &'static ProgramSpec,
     settings: Settings,
@@ -54,7 +54,7 @@
     })
 }
 
-/// The one line on standard output that says a daemon serves, and where.
+/// Prints the line on standard output that reports that a daemon is serving, and where.
 pub fn print_ready_line(details: &[(&str, String)]) {
     let mut line = String::from("ready");
     for (key, value) in details {
@@ -64,7 +64,7 @@
     let _ = std::io::stdout().flush();
 }
 
-/// Runs a daemon's body and turns its outcome into an exit code.
+/// Reads the settings, runs a program's body and turns its result into an exit code.
 pub fn run_program(
     spec: &'static ProgramSpec,
     body: impl FnOnce(Settings) -> Result<(), Report>,
