--- a/crates/keeper/src/prelude.rs
+++ b/crates/keeper/src/prelude.rs
@@ -25,8 +25,8 @@
     ListedEngine, LoadBand, Plan, PlanStatus, Policy, Revision, Role, merge, parse_bounded, read_document,
     read_intent, write_sorted,
 };
-pub(crate) use ledger::prelude::{DiskFault, Folder, Row};
-pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, Post, Purpose, accept_links};
+pub(crate) use ledger::prelude::{DataFolder, DiskFault, Row};
+pub(crate) use links::prelude::{Hello, Link, LinkEvent, LinkId, PeerSender, Purpose, accept_links};
 pub(crate) use process::prelude::*;
 pub(crate) use queues::prelude::*;
 pub(crate) use serde_json::{Value, json};
@@ -38,9 +38,9 @@
 pub use timing::prelude::Timing;
 pub(crate) use tokio::sync::oneshot;
 pub(crate) use units::prelude::*;
+pub use web::prelude::{HeaderMap, Method, StatusCode, bind};
 pub(crate) use web::prelude::{
-    Asked, OutcomeFuture, Site, WebOutcome, WebOutcomeExt, ask_whole, no_such_page, open_stream, outcome_bytes,
-    outcome_json, refuse, serve, small_runtime,
+    IncomingRequest, RequestHandler, ResponseFuture, WebResponse, WebResponseExt, bytes_response, error_response,
+    fetch_response, json_response, not_found_response, open_stream, serve, small_runtime,
 };
-pub use web::prelude::{HeaderMap, Method, StatusCode, bind};
 pub(crate) use wire::prelude::Inbound;
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -114,7 +114,7 @@
     });
     let shelf = Shelf::default();
     let mut executor =
-        Executor::new(coordinator, filing, Post::new(own_hello), Arc::clone(&shelf), fleet, life, patience);
+        Executor::new(coordinator, filing, PeerSender::new(own_hello), Arc::clone(&shelf), fleet, life, patience);
     let client = ExecutorClient { queue: queue.clone() };
     let health = Arc::new(CensusLiveness::default());
     let runtime = small_runtime(plan.threads).map_err(|fault| miette!("{fault}"))?;
@@ -134,7 +134,7 @@
             runtime.spawn(bring(orders, Arc::clone(&shelf), client.clone(), identity, plan.timing))
         }
     };
-    let site: Arc<dyn Site> = match plan.operators {
+    let site: Arc<dyn RequestHandler> = match plan.operators {
         OperatorSource::Own => Arc::new(OperatorInterface {
             executor: client,
             shelf: Arc::clone(&shelf),
@@ -153,15 +153,15 @@
 }
 
 #[cfg(not(feature = "faults"))]
-fn data_folder(plan: &KeeperPlan) -> Folder {
-    Folder::at(&plan.data_folder)
+fn data_folder(plan: &KeeperPlan) -> DataFolder {
+    DataFolder::at(&plan.data_folder)
 }
 
 #[cfg(feature = "faults")]
-fn data_folder(plan: &KeeperPlan) -> Folder {
+fn data_folder(plan: &KeeperPlan) -> DataFolder {
     match &plan.disk_faults {
-        Some(control) => Folder::on_frail(&plan.data_folder, control),
-        None => Folder::at(&plan.data_folder),
+        Some(control) => DataFolder::on_faulty_disk(&plan.data_folder, control),
+        None => DataFolder::at(&plan.data_folder),
     }
 }
 
@@ -234,6 +234,6 @@
 
 fn existing_fleet(seed: &str, me: NodeId) -> Option<FleetId> {
     let hello = Hello::new(FleetId(0), me, Purpose::Keeper);
-    let their_hello = links::prelude::greet(seed, &hello).ok()?;
+    let their_hello = links::prelude::exchange_hellos(seed, &hello).ok()?;
     (their_hello.fleet != FleetId(0)).then_some(their_hello.fleet)
 }
--- a/crates/keeper/tests/patience.rs
+++ b/crates/keeper/tests/patience.rs
@@ -3,7 +3,7 @@
 use coordinator::prelude::{CoreQuery, QueryOutcome};
 use keeper::prelude::*;
 use ledger::prelude::DiskFault;
-use links::prelude::{Hello, LinkEvent, Purpose, accept_links, dial_and_hold};
+use links::prelude::{Hello, LinkEvent, Purpose, accept_links, dial_and_run};
 use queues::prelude::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 use units::prelude::{FleetId, NodeId, Span};
 
 fn refusal() -> DiskFault {
-    DiskFault { reason: "no room".into(), may_pass: true }
+    DiskFault { reason: "no room".into(), is_transient: true }
 }
 
 /// An attempt that is refused for so long.
@@ -79,7 +79,7 @@
 fn it_ends_when_told_to_and_where_the_folder_is_damaged() {
     let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut patience = Patience::new(commands);
-    let damage = || Err::<(), _>(DiskFault { reason: "damaged".into(), may_pass: false });
+    let damage = || Err::<(), _>(DiskFault { reason: "damaged".into(), is_transient: false });
     assert!(patience.insist(damage, |_| ()).is_err());
     queue.send(ExecutorCommand::Stop).unwrap();
     let began = Instant::now();
@@ -94,7 +94,7 @@
     std::thread::spawn(move || {
         let hello = Hello::new(FleetId(1), NodeId::random(), purpose);
         let events = Mutex::new(Vec::new());
-        let _ = dial_and_hold::<u64>(&address, hello, &|event| {
+        let _ = dial_and_run::<u64>(&address, hello, &|event| {
             events.lock().unwrap().push(event);
             true
         });
--- a/crates/process/src/logs.rs
+++ b/crates/process/src/logs.rs
@@ -1,21 +1,24 @@
-//! One line of key=value pairs for each event, to standard error. Our own events are written with
-//! `event!`; what a library logs is wrapped as the text of an event named `library`.
+//! Logs to standard error, one line of key=value pairs for each event. The daemons log with `event!`; messages of
+//! libraries become the text of an event named `library`.
 
 use crate::prelude::*;
 
-/// `event!(info, "lease_lost", node = node, left = 3)`
+/// Logs an event with its fields: `event!(info, "lease_lost", node = node, left = 3)`.
 #[macro_export]
 macro_rules! event {
     ($level:ident, $name:expr $(, $key:ident = $value:expr)* $(,)?) => {
         ::log::$level!(target: "haremount", "event={}{}", $name,
-            <[String]>::concat(&[$(format!(" {}={}", stringify!($key), $crate::prelude::plain(&$value.to_string()))),*]))
+            <[String]>::concat(&[$(format!(
+                " {}={}", stringify!($key), $crate::prelude::quote_value(&$value.to_string())
+            )),*]))
     };
 }
 
-/// A value as it stands in a log line: quoted if it has spaces or quotes, control characters escaped.
-pub fn plain(text: &str) -> String {
-    let is_plain = !text.is_empty() && text.chars().all(|sign| !sign.is_whitespace() && sign != '"' && sign != '=');
-    if is_plain { text.to_owned() } else { format!("\"{}\"", text.escape_debug()) }
+/// A value as written in a log line: quoted and escaped if it is empty or has whitespace, quotes or equals signs.
+pub fn quote_value(text: &str) -> String {
+    let needs_no_quotes = !text.is_empty()
+        && text.chars().all(|character| !character.is_whitespace() && character != '"' && character != '=');
+    if needs_no_quotes { text.to_owned() } else { format!("\"{}\"", text.escape_debug()) }
 }
 
 /// Starts logging; the level is one of error, warn, info, debug.
@@ -24,7 +27,7 @@
     let logger = Logger::with(specification(level)?)
         .format(write_line)
         .start()
-        .map_err(|fault| miette!("logs cannot start: {fault}"))?;
+        .map_err(|fault| miette!("cannot start logging: {fault}"))?;
     Ok(LogsHandle(logger))
 }
 
@@ -36,15 +39,15 @@
     write!(out, "at={} level={level_text} program={program} ", unix_millis())?;
     match record.target() {
         "haremount" => write!(out, "{}", record.args()),
-        from => write!(out, "event=library from={from} text={}", plain(&record.args().to_string())),
+        from => write!(out, "event=library from={from} text={}", quote_value(&record.args().to_string())),
     }
 }
 
-/// Holds the logger; the level can be changed while it runs.
+/// Keeps the logger running and allows its level to be changed.
 pub struct LogsHandle(flexi_logger::LoggerHandle);
 
 impl LogsHandle {
-    /// Changes what is logged.
+    /// Changes the log level.
     pub fn set_level(&self, level: &str) -> Result<(), Report> {
         self.0.set_new_spec(specification(level)?);
         Ok(())
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -21,7 +21,7 @@
 pub use desired::prelude::{Command, CommandOutcome, Submission};
 pub use figures::prelude::{PolicyMetrics, TrafficMetrics};
 pub use lease::prelude::{GrantReport, GrantTracker, Timing};
-pub use links::prelude::{Hello, Link, LinkEvent, Purpose, dial_and_hold};
+pub use links::prelude::{Hello, Link, LinkEvent, Purpose, dial_and_run};
 pub use placement::prelude::*;
 pub use process::prelude::*;
 pub use queues::prelude::*;
@@ -34,8 +34,9 @@
 pub use tokio::sync::oneshot;
 pub use units::prelude::*;
 pub use web::prelude::{
-    Asked, BodyFault, Bytes, Method, OpenStream, OutcomeFuture, PieceSender, Question, Replied, SendFault, Site,
-    StatusCode, WebOutcome, WebOutcomeExt, bind, no_such_page, open_stream, outcome_bytes, outcome_json,
-    outcome_pieces, read_whole, refuse, serve, small_runtime,
+    BodyFault, BodySender, Bytes, IncomingRequest, IncomingResponse, Method, OpenStream, OutgoingRequest,
+    RequestHandler, ResponseFuture, SendFault, StatusCode, WebResponse, WebResponseExt, bind, bytes_response,
+    error_response, json_response, not_found_response, open_stream, read_whole, serve, small_runtime,
+    streaming_response,
 };
 pub use wire::prelude::{AgentToRouter, RouterAddress, RouterToAgent};
--- a/crates/standin/src/serving.rs
+++ b/crates/standin/src/serving.rs
@@ -3,7 +3,11 @@
 use crate::prelude::*;
 
 /// Serves a site on the address of the setting `listen` until SIGTERM.
-pub fn serve_standin(trade: &'static Trade, settings: &Settings, site: Arc<dyn Site>) -> Result<(), Report> {
+pub fn serve_standin(
+    trade: &'static ProgramSpec,
+    settings: &Settings,
+    site: Arc<dyn RequestHandler>,
+) -> Result<(), Report> {
     let _logs = start_logs(trade.program, settings.text("log_level")?)?;
     let listener = bind(settings.address("listen")?).map_err(|fault| miette!("listen: {fault}"))?;
     let address = listener.local_addr().map_err(|fault| miette!("listen: {fault}"))?;
@@ -15,7 +19,7 @@
             stop_notice.notify_one();
         }
     })?;
-    say_ready(&[("address", address.to_string())]);
+    print_ready_line(&[("address", address.to_string())]);
     let serving = runtime.spawn(serve(listener, site));
     runtime.block_on(stop.notified());
     serving.abort();
--- a/crates/store/src/main.rs
+++ b/crates/store/src/main.rs
@@ -4,12 +4,12 @@
 use engine::prelude::*;
 use standin::prelude::*;
 
-static TRADE: Trade = Trade {
+static TRADE: ProgramSpec = ProgramSpec {
     program: "store",
     about: "Stand-in for the prompt store.",
     settings: &[
-        setting("listen", Kind::Address, Some("127.0.0.1:0"), "where blocks are put and asked for"),
-        setting("blocks", Kind::Whole(16, 1 << 24), Some("65536"), "how many blocks it keeps"),
+        setting("listen", SettingKind::Address, Some("127.0.0.1:0"), "where blocks are put and asked for"),
+        setting("blocks", SettingKind::Integer(16, 1 << 24), Some("65536"), "how many blocks it keeps"),
         LOG_LEVEL,
     ],
 };
@@ -19,8 +19,8 @@
     news: tokio::sync::watch::Sender<u64>,
 }
 
-impl Site for StoreSite {
-    fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
+impl RequestHandler for StoreSite {
+    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
         Box::pin(self.enter(asked))
     }
 }
@@ -30,8 +30,8 @@
         self.memory.lock().expect("no holder of this lock panics")
     }
 
-    async fn enter(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
-        let (method, segments) = asked.way();
+    async fn enter(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
+        let (method, segments) = asked.method_and_path();
         match (method.as_str(), segments.as_slice()) {
             ("GET", ["v1", "kept", "events"]) => {
                 let number = asked.query_value("from").and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -41,31 +41,31 @@
             }
             ("GET", ["v1", "kept", "snapshot"]) => {
                 let snapshot = self.memory().snapshot();
-                outcome_json(StatusCode::OK, &json!(snapshot))
+                json_response(StatusCode::OK, &json!(snapshot))
             }
-            ("GET", ["live"]) => outcome_bytes(StatusCode::OK, "text/plain", "live\n"),
+            ("GET", ["live"]) => bytes_response(StatusCode::OK, "text/plain", "live\n"),
             ("GET", ["metrics"]) => {
                 let text = format!("haremount_store_kept_share {:.4}\n", self.memory().kept_share());
-                outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
+                bytes_response(StatusCode::OK, "text/plain; version=0.0.4", text)
             }
             ("POST", ["v1", "blocks"]) => {
                 let Some(names) = read_names(&mut asked).await else { return bad_names() };
                 self.memory().keep(&names);
                 self.news.send_modify(|count| *count += 1);
-                outcome_json(StatusCode::OK, &json!(FoundBlocks { found: names.len() as u64 }))
+                json_response(StatusCode::OK, &json!(FoundBlocks { found: names.len() as u64 }))
             }
             ("POST", ["v1", "kept", "blocks"]) => {
                 let Some(names) = read_names(&mut asked).await else { return bad_names() };
                 let found = self.memory().overlap(&names) as u64;
-                outcome_json(StatusCode::OK, &json!(FoundBlocks { found }))
+                json_response(StatusCode::OK, &json!(FoundBlocks { found }))
             }
-            _ => no_such_page(),
+            _ => not_found_response(),
         }
     }
 }
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, |settings| {
+    run_program(&TRADE, |settings| {
         let memory = Memory::new(Incarnation::random().to_string(), settings.whole("blocks")? as usize);
         let site = StoreSite { memory: Mutex::new(memory), news: tokio::sync::watch::channel(0).0 };
         serve_standin(&TRADE, &settings, Arc::new(site))
