--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -78,7 +78,7 @@
     }
 
     fn assignment(&self, silent: &SilentRouters) -> Assignment {
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let sources = sources(&sight);
         let now = boot_now();
         let mut silent = silent.lock().expect("no holder of this lock panics");
@@ -89,7 +89,7 @@
 
     /// Connections to engines that are not listed any more are closed.
     fn forget_connections(&self) {
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let addresses = sight.state.listing.engines.values().map(|listed| listed.address.clone()).collect();
         self.pool.keep_only(&addresses);
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -85,7 +85,7 @@
 
     async fn plan(&self, asked: &mut Asked) -> Result<PlannedRequest, Refusal> {
         let began = boot_now();
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         self.check_ready(&sight, began)?;
         let limits = &sight.state.desired.limits;
         let header_bytes: usize =
@@ -102,7 +102,7 @@
             return Err(refuse_body(BodyFault::TooLarge));
         }
         let body = asked.read_body(limits.body_bytes as usize).await.map_err(refuse_body)?;
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         self.check_ready(&sight, boot_now())?;
         let host = asked.header("host").or(asked.uri.host()).unwrap_or("").to_owned();
         let Some(route) = sight.routes.find(&host, asked.uri.path()).cloned() else {
--- a/crates/gateway/src/grant_news.rs
+++ b/crates/gateway/src/grant_news.rs
@@ -29,7 +29,7 @@
         loop {
             let now = boot_now();
             let (ask_peers_from, is_passed_over) =
-                self.shared.watch_grants(|grants| (grants.ask_peers_from(), grants.is_passed_over()));
+                self.shared.with_grants(|grants| (grants.ask_peers_from(), grants.is_passed_over()));
             if is_passed_over != was_passed_over {
                 self.note(is_passed_over);
                 was_passed_over = is_passed_over;
@@ -45,7 +45,7 @@
     }
 
     fn note(&self, is_passed_over: bool) {
-        let edition = self.shared.sight().state.edition;
+        let edition = self.shared.snapshot().state.edition;
         match is_passed_over {
             true => event!(warn, "passed_over", edition = edition, reason = "others are granted leases"),
             false => event!(info, "granted_again", edition = edition),
@@ -58,7 +58,7 @@
         let is_other = |router: &&RouterAddress| router.router != self.node && router.relay.is_some();
         let mut others: Vec<&RouterAddress> = routers.iter().filter(is_other).collect();
         if others.is_empty() {
-            self.shared.watch_grants(|grants| grants.confirm_without_peers(boot_now()));
+            self.shared.with_grants(|grants| grants.confirm_without_peers(boot_now()));
             return;
         }
         for _ in 0..ASKED_AT_ONCE.min(others.len()) {
@@ -74,5 +74,5 @@
     let answer = ask_whole(&address, Question::get(GRANT_PAGE), QUESTION_LIMIT, MOST_ANSWER_BYTES).await;
     let Ok((StatusCode::OK, _, body)) = answer else { return };
     let Ok(news) = rmp_serde::from_slice::<GrantReport>(&body) else { return };
-    shared.watch_grants(|grants| grants.record_peer_report(news, asked, boot_now()));
+    shared.with_grants(|grants| grants.record_peer_report(news, asked, boot_now()));
 }
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -28,7 +28,7 @@
 pub(crate) use queues::prelude::*;
 pub use router::prelude::RouterAddress;
 pub use router::prelude::Timing;
-pub(crate) use router::prelude::{CoreLine, FeedPlan, GrantReport, SharedState, keep_feed};
+pub(crate) use router::prelude::{CoordinatorClient, FeedConfig, GrantReport, SharedState, spawn_feed};
 pub(crate) use routes::prelude::{NamedRoute, RouteKind};
 pub use selection::prelude::{
     Candidate, Chosen, FaultKind, FollowOutcome, LoadBand, NodeLoad, Selection, SelectionRequest, SelectionSettings,
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -35,17 +35,17 @@
     let node = NodeId::random();
     let callers = bind(plan.callers).map_err(|fault| miette!("callers: {}: {fault}", plan.callers))?;
     let address = callers.local_addr().map_err(|fault| miette!("callers: {fault}"))?;
-    let shared = Arc::new(SharedState::under(plan.timing));
+    let shared = Arc::new(SharedState::with_timing(plan.timing));
     let old_weights_span = OldWeightsGracePeriod(plan.timing.old_weights_span);
     let disturbed = match plan.counts_undisturbed_time {
-        true => shared.count_undisturbed_time(),
+        true => shared.track_disturbances(),
         false => Arc::default(),
     };
     shared.publish(FleetSnapshot { old_weights_span, disturbed, ..FleetSnapshot::default() });
     let (table, changes) =
         start_table(node, plan.zone.clone(), Arc::clone(&shared), plan.retry_bounds, plan.disabled.clone());
     let bounds = Arc::new(CallerBounds::default());
-    keep_feed(FeedPlan {
+    spawn_feed(FeedConfig {
         agent_address: plan.agent_address.clone(),
         router: node,
         own_address: RouterAddress {
@@ -56,7 +56,7 @@
         },
         shared: Arc::clone(&shared),
         on_change: follow_changes(&shared, &table, &bounds),
-        core_line: Arc::new(CoreLine::default()),
+        coordinator: Arc::new(CoordinatorClient::default()),
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -109,7 +109,7 @@
 ) -> Box<dyn Fn() + Send + Sync> {
     let (shared, table, bounds) = (Arc::clone(shared), table.clone(), Arc::clone(bounds));
     Box::new(move || {
-        let sight = shared.sight();
+        let sight = shared.snapshot();
         bounds.set_idle(sight.state.desired.limits.idle_time);
         bounds.set_head(sight.state.desired.limits.header_time);
         table.tell(TableCommand::Fleet);
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -10,7 +10,7 @@
 
 /// Whether requests are taken: a lease is held, a configuration is in force, and the process does not stop.
 pub fn takes_requests(shared: &SharedState, now: Instant) -> bool {
-    let has_configuration = shared.sight().state.configuration.revision.0 > 0;
+    let has_configuration = shared.snapshot().state.configuration.revision.0 > 0;
     has_configuration && shared.holds_lease(now) && !shared.draining.load(Ordering::SeqCst)
 }
 
@@ -54,7 +54,7 @@
         }
         let lease_left = self.shared.lease_left(boot_now()).as_millis();
         text.push_str(&format!("haremount_gateway_lease_left_ms {lease_left}\n"));
-        let is_passed_over = u8::from(self.shared.watch_grants(|grants| grants.is_passed_over()));
+        let is_passed_over = u8::from(self.shared.with_grants(|grants| grants.is_passed_over()));
         text.push_str(&format!("haremount_gateway_passed_over {is_passed_over}\n"));
         outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
     }
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -66,7 +66,7 @@
         connection: &mut KeptConnection,
         last_event: Option<u64>,
     ) -> Result<Response<Incoming>, AttemptEnd> {
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let salt = self.planned.salt(&sight, chosen.weights);
         let request = self.request(chosen, salt.as_ref(), last_event, &sight);
         let bar = FoundBar::default();
@@ -101,7 +101,7 @@
         };
         let (shared, bar) = (Arc::clone(&self.shared), Arc::clone(bar));
         Box::new(move || {
-            may_start(&shared.sight(), shared.lease_until(), &ground, boot_now()).map_err(|found| {
+            may_start(&shared.snapshot(), shared.lease_until(), &ground, boot_now()).map_err(|found| {
                 *bar.lock().expect("no holder of this lock panics") = Some(found);
                 format!("{found:?}")
             })
--- a/crates/gateway/src/relay/notes.rs
+++ b/crates/gateway/src/relay/notes.rs
@@ -6,7 +6,7 @@
 impl Relay {
     /// The engine has read the prompt, so it keeps the parts now.
     pub(super) fn note_read(&self, seat: &mut EngineSeat, weights: WeightsEdition) {
-        let parts = self.planned.named_parts(&self.shared.sight(), weights);
+        let parts = self.planned.named_parts(&self.shared.snapshot(), weights);
         let unread_tokens = seat.begin_answer();
         self.table.tell(TableCommand::Sent {
             engine: seat.engine.clone(),
--- a/crates/gateway/src/relay_site.rs
+++ b/crates/gateway/src/relay_site.rs
@@ -36,7 +36,7 @@
 
 impl RelaySite {
     fn grant_news(&self) -> WebOutcome {
-        let news = self.shared.watch_grants(|grants| grants.report(boot_now()));
+        let news = self.shared.with_grants(|grants| grants.report(boot_now()));
         let bytes = rmp_serde::to_vec(&news).unwrap_or_default();
         outcome_bytes(StatusCode::OK, "application/octet-stream", bytes)
     }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -347,7 +347,7 @@
     }
 
     fn follow_fleet(&mut self) {
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let stores = match self.disabled.contains(&Mechanism::Store) {
             true => BTreeMap::new(),
             false => stores(&sight.state.desired),
@@ -361,7 +361,7 @@
     }
 
     fn select(&mut self, request: &SelectRequest, now: Instant) -> Selected {
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let planned = &request.planned;
         let candidates = candidates(&sight, &planned.service, planned.head.model.as_ref(), now);
         self.selections += 1;
--- a/crates/recording/src/lines.rs
+++ b/crates/recording/src/lines.rs
@@ -5,7 +5,7 @@
 pub const FORMAT: u64 = 1;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct DayHeader {
     pub format: u64,
     pub router: String,
 }
--- a/crates/recording/src/reading.rs
+++ b/crates/recording/src/reading.rs
@@ -3,25 +3,26 @@
 use crate::prelude::*;
 
 #[derive(Clone, Debug)]
-pub struct Day {
-    pub head: Head,
+pub struct RecordedDay {
+    pub header: DayHeader,
     pub runs: Vec<RecordedRun>,
     /// The number of a cut last line that was passed over.
-    pub cut_line: Option<usize>,
+    pub truncated_line: Option<usize>,
 }
 
-pub fn read_day(text: &str, passes_cut: bool) -> Result<Day, String> {
+pub fn read_day(text: &str, passes_cut: bool) -> Result<RecordedDay, String> {
     let ends_whole = text.ends_with('\n');
     let lines: Vec<&str> = text.lines().collect();
     let Some(head_line) = lines.first() else { return Err("line 1: empty, no recording".into()) };
     let head_text = check_line(head_line, 1)?;
     let head_value: serde_json::Value =
-        serde_json::from_str(head_text).map_err(|fault| format!("line 1: no head: {fault}"))?;
-    let format = head_value["format"].as_u64().ok_or("line 1: the head names no format")?;
+        serde_json::from_str(head_text).map_err(|fault| format!("line 1: no header: {fault}"))?;
+    let format = head_value["format"].as_u64().ok_or("line 1: the header names no format")?;
     if format != FORMAT {
         return Err(format!("line 1: format {format}, this program reads format {FORMAT}"));
     }
-    let head: Head = serde_json::from_value(head_value).map_err(|fault| format!("line 1: no head: {fault}"))?;
+    let header: DayHeader =
+        serde_json::from_value(head_value).map_err(|fault| format!("line 1: no header: {fault}"))?;
     let mut runs = Vec::new();
     for (place, line) in lines.iter().enumerate().skip(1) {
         let number = place + 1;
@@ -32,7 +33,7 @@
         match read {
             Ok(run) => runs.push(run),
             Err(_) if is_last && !ends_whole && passes_cut => {
-                return Ok(Day { head, runs, cut_line: Some(number) });
+                return Ok(RecordedDay { header, runs, truncated_line: Some(number) });
             }
             Err(reason) if is_last && !ends_whole => {
                 return Err(format!("{reason}; the last line is cut, the rest can be used with --use-cut"));
@@ -40,7 +41,7 @@
             Err(reason) => return Err(reason),
         }
     }
-    Ok(Day { head, runs, cut_line: None })
+    Ok(RecordedDay { header, runs, truncated_line: None })
 }
 
 fn check_line(line: &str, number: usize) -> Result<&str, String> {
@@ -79,17 +80,17 @@
 
     #[test]
     fn damage_is_named_by_its_place() {
-        let head = write_line(&Head { format: FORMAT, router: "r".into() });
+        let header = write_line(&DayHeader { format: FORMAT, router: "r".into() });
         let (first, second) = (write_line(&recorded(1)), write_line(&recorded(2)));
-        let whole = format!("{head}{first}{second}");
+        let whole = format!("{header}{first}{second}");
         assert_eq!(read_day(&whole, false).unwrap().runs.len(), 2);
         let damaged = whole.replace("r.1", "r.9");
         assert_eq!(read_day(&damaged, true).unwrap_err(), "line 2: damaged, its checksum differs");
         let cut = &whole[..whole.len() - 9];
         assert!(read_day(cut, false).unwrap_err().starts_with("line 3: damaged"));
         let used = read_day(cut, true).unwrap();
-        assert_eq!((used.runs.len(), used.cut_line), (1, Some(3)));
-        let other_format = write_line(&Head { format: 7, router: "r".into() });
+        assert_eq!((used.runs.len(), used.truncated_line), (1, Some(3)));
+        let other_format = write_line(&DayHeader { format: 7, router: "r".into() });
         assert_eq!(read_day(&other_format, true).unwrap_err(), "line 1: format 7, this program reads format 1");
         assert!(read_day("", true).unwrap_err().contains("empty"));
         assert!(read_day("hello\n", true).unwrap_err().contains("no checksum"));
--- a/crates/recording/src/writing.rs
+++ b/crates/recording/src/writing.rs
@@ -28,7 +28,7 @@
 
     fn begin(folder: &Path, router: &str, number: u64) -> std::io::Result<BufWriter<std::fs::File>> {
         let mut file = BufWriter::new(std::fs::File::create(folder.join(file_name(router, number)))?);
-        file.write_all(write_line(&Head { format: FORMAT, router: router.to_owned() }).as_bytes())?;
+        file.write_all(write_line(&DayHeader { format: FORMAT, router: router.to_owned() }).as_bytes())?;
         Ok(file)
     }
 
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -31,10 +31,10 @@
         let bytes = std::fs::read(path).map_err(|fault| miette!("{path}: {fault}"))?;
         let text = String::from_utf8(bytes).map_err(|_| miette!("{path}: not UTF-8"))?;
         let day = read_day(&text, words.uses_cut).map_err(|reason| miette!("{path}: {reason}"))?;
-        if let Some(line) = day.cut_line {
+        if let Some(line) = day.truncated_line {
             println!("{path}: line {line} is cut and was left out");
         }
-        println!("{path}: router {}, {} runs", day.head.router, day.runs.len());
+        println!("{path}: router {}, {} runs", day.header.router, day.runs.len());
         days.push(day);
     }
     match words.command.as_str() {
@@ -52,7 +52,7 @@
     }
 }
 
-fn place_offline(words: &Words, days: &[Day]) -> Result<(), Report> {
+fn place_offline(words: &Words, days: &[RecordedDay]) -> Result<(), Report> {
     let table = words.policy.as_ref().map(|path| read_policy(path, days)).transpose()?;
     let comparison = compare(days, table.as_ref());
     println!("picks {} same {} different {}", comparison.picks, comparison.same, comparison.differences.len());
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-fn play_live(words: &Words, days: Vec<Day>) -> Result<(), Report> {
+fn play_live(words: &Words, days: Vec<RecordedDay>) -> Result<(), Report> {
     if words.routers.is_empty() {
         return Err(miette!("--routers is missing; see replay --help"));
     }
--- a/crates/replay/src/offline.rs
+++ b/crates/replay/src/offline.rs
@@ -41,7 +41,7 @@
 }
 
 /// The table another policy compiles to for the recorded tenants and kinds.
-pub fn read_policy(path: &str, days: &[Day]) -> Result<WeightTable, Report> {
+pub fn read_policy(path: &str, days: &[RecordedDay]) -> Result<WeightTable, Report> {
     let text = std::fs::read_to_string(path).map_err(|fault| miette!("{path}: {fault}"))?;
     let policy_value = parse_bounded(&text, DOCUMENT_BOUNDS).map_err(|complaint| miette!("{path}: {complaint}"))?;
     let runs = || days.iter().flat_map(|day| &day.runs);
@@ -62,10 +62,10 @@
     Ok(policy.compile(&tenants, &desired.kinds))
 }
 
-pub fn compare(days: &[Day], table: Option<&WeightTable>) -> Comparison {
+pub fn compare(days: &[RecordedDay], table: Option<&WeightTable>) -> Comparison {
     let mut comparison = Comparison::default();
     for day in days {
-        let router: NodeId = day.head.router.parse().unwrap_or_default();
+        let router: NodeId = day.header.router.parse().unwrap_or_default();
         for run in &day.runs {
             let Some(pick) = &run.pick else { continue };
             let Some(recorded) = pick.candidates.iter().find(|score| score.engine == pick.chosen) else { continue };
@@ -166,8 +166,8 @@
             first_ms: Some(1),
             total_ms: 1,
         };
-        let head = recording::prelude::Head { format: 1, router: "00000000000000bb".into() };
-        let days = [Day { head, runs: vec![run], cut_line: None }];
+        let header = recording::prelude::DayHeader { format: 1, router: "00000000000000bb".into() };
+        let days = [RecordedDay { header, runs: vec![run], truncated_line: None }];
         let same = compare(&days, None);
         assert_eq!((same.picks, same.same), (1, 1));
         let reuse_policy = Policy { weight: 4.0, rules: Vec::new() };
--- a/crates/replay/src/prelude.rs
+++ b/crates/replay/src/prelude.rs
@@ -7,7 +7,7 @@
 pub(crate) use placement::prelude::spread_of;
 pub(crate) use policy::prelude::{LoadBand, Policy, WeightTable, cost};
 pub(crate) use process::prelude::*;
-pub(crate) use recording::prelude::{Day, RecordedPick, RecordedRun, RecordedScore, read_day};
+pub(crate) use recording::prelude::{RecordedDay, RecordedPick, RecordedRun, RecordedScore, read_day};
 pub(crate) use serde_json::json;
 pub(crate) use std::collections::{BTreeMap, BTreeSet};
 pub(crate) use std::process::ExitCode;
--- a/crates/router/src/demand.rs
+++ b/crates/router/src/demand.rs
@@ -6,14 +6,14 @@
 const TELL_EVERY: Duration = Duration::from_secs(1);
 
 /// Tells as long as the program runs.
-pub async fn keep_demand(shared: Arc<SharedState>, core_line: Arc<CoreLine>, router: NodeId, zone: Zone) {
+pub async fn keep_demand(shared: Arc<SharedState>, coordinator: Arc<CoordinatorClient>, router: NodeId, zone: Zone) {
     let mut pulse = tokio::time::interval(TELL_EVERY);
     pulse.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         pulse.tick().await;
         let rates = shared.demand(boot_now());
         if !rates.is_empty() {
-            core_line.say(&RouterToAgent::Demand(DemandReport { router, zone: zone.clone(), rates }));
+            coordinator.say(&RouterToAgent::Demand(DemandReport { router, zone: zone.clone(), rates }));
         }
     }
 }
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -7,7 +7,7 @@
 
 /// The way to the core: the stream to the agent, and who waits for an answer over it.
 #[derive(Default)]
-pub struct CoreLine {
+pub struct CoordinatorClient {
     link: Mutex<Option<Link>>,
     waiting: Mutex<HashMap<u64, oneshot::Sender<CommandOutcome>>>,
     next_ticket: AtomicU64,
@@ -15,7 +15,7 @@
 
 const CLAIM_LIMIT: Duration = Duration::from_millis(2500);
 
-impl CoreLine {
+impl CoordinatorClient {
     pub(crate) fn say(&self, message: &RouterToAgent) {
         if let Some(link) = self.link.lock().expect("no holder of this lock panics").as_ref() {
             link.say(message);
@@ -52,7 +52,7 @@
     }
 }
 
-pub struct FeedPlan {
+pub struct FeedConfig {
     pub agent_address: String,
     pub router: NodeId,
     /// Where this router is reached.
@@ -60,10 +60,10 @@
     pub shared: Arc<SharedState>,
     /// Called after each change was put in force here.
     pub on_change: Box<dyn Fn() + Send + Sync>,
-    pub core_line: Arc<CoreLine>,
+    pub coordinator: Arc<CoordinatorClient>,
 }
 
-pub fn keep_feed(plan: FeedPlan) {
+pub fn spawn_feed(plan: FeedConfig) {
     spawn_thread("feed", move || {
         let (_pause_end, pause) = bounded_queue::<()>(1);
         let (agent_address, router) = (plan.agent_address.clone(), plan.router);
@@ -83,7 +83,7 @@
 }
 
 struct Feed {
-    plan: FeedPlan,
+    plan: FeedConfig,
     link: Option<Link>,
 }
 
@@ -91,11 +91,11 @@
     fn take(&mut self, link_event: LinkEvent<AgentToRouter>) {
         match link_event {
             LinkEvent::Up(link, _) => {
-                *self.plan.core_line.link.lock().expect("no holder of this lock panics") = Some(link.clone());
+                *self.plan.coordinator.link.lock().expect("no holder of this lock panics") = Some(link.clone());
                 self.link = Some(link);
-                self.plan.core_line.say(&RouterToAgent::Announce(self.plan.own_address.clone()));
+                self.plan.coordinator.say(&RouterToAgent::Announce(self.plan.own_address.clone()));
                 event!(info, "agent_up");
-                let edition = self.plan.shared.sight().state.edition;
+                let edition = self.plan.shared.snapshot().state.edition;
                 if edition > Edition(0) {
                     self.say_applied(edition);
                 }
@@ -105,7 +105,7 @@
                 event!(warn, "agent_down", reason = reason);
             }
             LinkEvent::Said(_, AgentToRouter::Settled { ticket, outcome }) => {
-                self.plan.core_line.settle(ticket, outcome);
+                self.plan.coordinator.settle(ticket, outcome);
             }
             LinkEvent::Said(_, AgentToRouter::Routers(routers)) => self.plan.shared.know_routers(routers),
             LinkEvent::Said(_, AgentToRouter::Lease { asked, until, disturbed }) => {
@@ -113,13 +113,13 @@
                 self.plan.shared.note_disturbed(disturbed);
             }
             LinkEvent::Said(_, AgentToRouter::Snapshot { state, gave_way }) => {
-                let current = self.plan.shared.sight();
+                let current = self.plan.shared.snapshot();
                 if state.edition > current.state.edition {
                     self.put_in_force(current.after_full_transfer(*state, &gave_way, boot_now()));
                 }
             }
             LinkEvent::Said(_, AgentToRouter::Push { number, submission, committed }) => {
-                let current = self.plan.shared.sight();
+                let current = self.plan.shared.snapshot();
                 if number <= current.state.edition {
                     return;
                 }
--- a/crates/router/src/followers.rs
+++ b/crates/router/src/followers.rs
@@ -16,7 +16,7 @@
     let mut pulse = tokio::time::interval(Duration::from_millis(100));
     loop {
         pulse.tick().await;
-        let sight = shared.sight();
+        let sight = shared.snapshot();
         let mut listed: HashMap<(EngineName, String), ()> = sight
             .state
             .listing
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -99,7 +99,7 @@
 impl Forwarder {
     /// Has the table pick an engine.
     pub(super) async fn pick(&mut self, tried: &[EngineName], is_retry: bool) -> Input {
-        let sight = self.run.shared.sight();
+        let sight = self.run.shared.snapshot();
         let prompt = self.run.plan.prompt(&sight, tried, boot_now());
         let adapter = prompt.adapter.clone();
         let outcome = match self.run.table.pick(prompt, is_retry).await {
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -184,7 +184,7 @@
     async fn claim(&mut self) -> Input {
         let (router, run) = (self.run.router, self.run.plan.run_number);
         let Some(claim) = self.run.plan.claim else { return Input::ClaimSettled(ClaimOutcome::Unknown) };
-        let settled = self.run.core_line.submit(Command::Claim { claim, router, run }).await;
+        let settled = self.run.coordinator.submit(Command::Claim { claim, router, run }).await;
         Input::ClaimSettled(ClaimOutcome::of(settled))
     }
 
@@ -192,8 +192,8 @@
     fn release_claim(&self) {
         let (router, run) = (self.run.router, self.run.plan.run_number);
         let Some(claim) = self.run.plan.claim else { return };
-        let core_line = Arc::clone(&self.run.core_line);
-        tokio::spawn(async move { core_line.submit(Command::Release { claim, router, run }).await });
+        let coordinator = Arc::clone(&self.run.coordinator);
+        tokio::spawn(async move { coordinator.submit(Command::Release { claim, router, run }).await });
     }
 }
 
--- a/crates/router/src/forward/run.rs
+++ b/crates/router/src/forward/run.rs
@@ -12,7 +12,7 @@
     pub shared: Arc<SharedState>,
     pub table: TableAsker,
     pub book: Arc<RunBook>,
-    pub core_line: Arc<CoreLine>,
+    pub coordinator: Arc<CoordinatorClient>,
     pub recorder: Recorder,
     /// What the last pick looked like, for the recording.
     pub draft: Option<RecordedPick>,
@@ -24,7 +24,7 @@
         if !self.recorder.is_on() {
             return;
         }
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let weights = self.draft.as_ref().map(|draft| WeightsEdition(draft.weights));
         let names = weights
             .map(|weights| hash_blocks(&self.plan.salt(&sight, weights), self.plan.prompt_text.as_bytes()))
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -32,8 +32,8 @@
     let shared = Arc::new(SharedState::default());
     let zone = Zone(settings.text("zone")?.to_owned());
     let table = start_table(router, zone.clone(), Arc::clone(&shared));
-    let core_line = Arc::new(CoreLine::default());
-    keep_feed(FeedPlan {
+    let coordinator = Arc::new(CoordinatorClient::default());
+    spawn_feed(FeedConfig {
         agent_address,
         router,
         own_address: RouterAddress { router, address: address.to_string(), ..RouterAddress::default() },
@@ -42,7 +42,7 @@
             let table = table.clone();
             Box::new(move || table.tell(TableCommand::Fleet))
         },
-        core_line: Arc::clone(&core_line),
+        coordinator: Arc::clone(&coordinator),
     });
     let recorder = match settings.maybe("record") {
         Some(folder) => Recorder::start(folder, router, settings.whole("record_mb")? << 20)?,
@@ -50,14 +50,14 @@
     };
     let runtime = small_runtime(settings.whole("threads")? as usize).map_err(|fault| miette!("{fault}"))?;
     runtime.spawn(keep_followers(Arc::clone(&shared), table.clone()));
-    runtime.spawn(keep_demand(Arc::clone(&shared), Arc::clone(&core_line), router, zone));
+    runtime.spawn(keep_demand(Arc::clone(&shared), Arc::clone(&coordinator), router, zone));
     let request_site = Arc::new(RequestSite {
         router,
         shared: Arc::clone(&shared),
         table,
         next_run: AtomicU64::new(1),
         book: Arc::default(),
-        core_line,
+        coordinator,
         recorder,
     });
     runtime.spawn(serve(listener, request_site));
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/request_site.rs
@@ -9,7 +9,7 @@
     pub table: TableAsker,
     pub next_run: AtomicU64,
     pub book: Arc<RunBook>,
-    pub core_line: Arc<CoreLine>,
+    pub coordinator: Arc<CoordinatorClient>,
     pub recorder: Recorder,
 }
 
@@ -63,7 +63,7 @@
             let reason = "this router holds no lease";
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_lease", reason).retry_after(1).into_outcome();
         }
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let key_hash = asked.bearer().map(sha256_hex).unwrap_or_default();
         let Some(tenant) = sight.tenants_by_key.get(&key_hash) else {
             return refuse(StatusCode::UNAUTHORIZED, "unknown_key", "the key is not known");
@@ -101,7 +101,7 @@
                     shared: Arc::clone(&self.shared),
                     table: self.table.clone(),
                     book: Arc::clone(&self.book),
-                    core_line: Arc::clone(&self.core_line),
+                    coordinator: Arc::clone(&self.coordinator),
                     recorder: self.recorder.clone(),
                     draft: None,
                 };
@@ -138,7 +138,7 @@
             .map_err(|fault| Refusal::new(StatusCode::BAD_REQUEST, "bad_request", fault.to_string()))?;
         let run_number = self.next_run.fetch_add(1, Ordering::SeqCst);
         let run = (format!("{}.{run_number}", self.router), run_number);
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let plan = Plan::make(request, form, &headers, &sight, run, now)?;
         if let Some(adapter) = plan.adapter(&sight) {
             self.shared.note_demand(&adapter.name, now);
@@ -167,7 +167,7 @@
     fn metrics(&self) -> WebOutcome {
         let counts = &self.shared.counts;
         let now = boot_now();
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let mut text = String::new();
         let counters = [
             ("requests_total", &counts.requests),
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -69,18 +69,18 @@
 
 impl SharedState {
     /// The state of a router that has heard of nothing yet.
-    pub fn under(timing: Timing) -> SharedState {
+    pub fn with_timing(timing: Timing) -> SharedState {
         SharedState { grants: Mutex::new(GrantTracker::new(timing)), ..SharedState::default() }
     }
 
-    pub fn sight(&self) -> Arc<FleetSnapshot> {
+    pub fn snapshot(&self) -> Arc<FleetSnapshot> {
         Arc::clone(&self.sight.read().expect("no holder of this lock panics"))
     }
 
     /// Puts a sight in force. Figures of a policy that was changed, and of a tenant whose trial was, begin
     /// anew, so that both sides of a trial are of the same time.
     pub fn publish(&self, sight: FleetSnapshot) {
-        let earlier = self.sight();
+        let earlier = self.snapshot();
         let (old_policies, new_policies) = (&earlier.state.desired.policies, &sight.state.desired.policies);
         let names = old_policies.keys().chain(new_policies.keys());
         for name in names.filter(|name| old_policies.get(*name) != new_policies.get(*name)) {
@@ -111,13 +111,13 @@
 
     /// Counts a request for the adapter it runs on, whether it is served or not.
     pub fn note_demand(&self, adapter: &AdapterName, now: Instant) {
-        let span = self.sight().state.desired.warming.demand_window;
+        let span = self.snapshot().state.desired.warming.demand_window;
         self.demand.lock().expect("no holder of this lock panics").record(adapter, span, now);
     }
 
     /// The rates of requests for adapters, as the core is told them.
     pub fn demand(&self, now: Instant) -> BTreeMap<AdapterName, u64> {
-        let span = self.sight().state.desired.warming.demand_window;
+        let span = self.snapshot().state.desired.warming.demand_window;
         self.demand.lock().expect("no holder of this lock panics").rates(span, now)
     }
 
@@ -142,11 +142,11 @@
 
     /// A renewal sent at `asked` was granted.
     pub fn renew_lease(&self, asked: Instant, until: Instant) {
-        self.watch_grants(|grants| grants.renew(asked, until));
+        self.with_grants(|grants| grants.renew(asked, until));
     }
 
     /// Looks at the watch over grants, or tells it something; the end of the lease follows.
-    pub fn watch_grants<T>(&self, look: impl FnOnce(&mut GrantTracker) -> T) -> T {
+    pub fn with_grants<T>(&self, look: impl FnOnce(&mut GrantTracker) -> T) -> T {
         let mut grants = self.grants.lock().expect("no holder of this lock panics");
         let told = look(&mut grants);
         self.lease_until.fetch_max(grants.until().0, Ordering::SeqCst);
@@ -154,7 +154,7 @@
     }
 
     /// From now on old weights are given up by undisturbed time alone.
-    pub fn count_undisturbed_time(&self) -> Arc<AtomicU64> {
+    pub fn track_disturbances(&self) -> Arc<AtomicU64> {
         Arc::clone(self.disturbed.get_or_init(Arc::default))
     }
 
@@ -178,7 +178,7 @@
 
     /// The last look before the first byte of an attempt.
     pub fn may_start(&self, ground: &AttemptBasis) -> Result<(), StartRefusal> {
-        may_start(&self.sight(), self.lease_until(), ground, boot_now())
+        may_start(&self.snapshot(), self.lease_until(), ground, boot_now())
     }
 
     /// Resolves when work for this key must end here.
@@ -187,7 +187,7 @@
         loop {
             news.borrow_and_update();
             let now = boot_now();
-            if let Err(bar) = may_continue(&self.sight(), self.lease_until(), key_hash, tenant, now) {
+            if let Err(bar) = may_continue(&self.snapshot(), self.lease_until(), key_hash, tenant, now) {
                 return bar;
             }
             tokio::select! {
--- a/crates/router/src/table.rs
+++ b/crates/router/src/table.rs
@@ -159,7 +159,7 @@
     fn take(&mut self, command: TableCommand) {
         let now = boot_now();
         match command {
-            TableCommand::Fleet => self.picker.retain_listed(&self.shared.sight()),
+            TableCommand::Fleet => self.picker.retain_listed(&self.shared.snapshot()),
             TableCommand::Admit { tenant, share, reply } => {
                 let admitted = self.shares.try_acquire(&tenant, share);
                 if reply.send(admitted).is_err() && admitted {
@@ -195,7 +195,7 @@
     }
 
     fn pick(&mut self, prompt: &Prompt, is_retry: bool, now: Instant) -> Picked {
-        let sight = self.shared.sight();
+        let sight = self.shared.snapshot();
         let Some(placement) = self.picker.pick(&sight, prompt, now) else {
             return unplaced(&sight, prompt, now);
         };
