--- a/crates/router/src/allowing.rs
+++ b/crates/router/src/allowance_extender.rs
@@ -1,27 +1,27 @@
-//! Allowing an engine more time for an attempt under way, while the lease bears it. An attempt that is over
+//! AllowanceExtender an engine more time for an attempt under way, while the lease bears it. An attempt that is over
 //! before its first allowance, as most are, costs nothing here but a timer.
 
 use crate::prelude::*;
 
-const AGAIN_AFTER: Duration = Duration::from_millis(200);
-const ASK_LIMIT: Span = Span::millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const REQUEST_TIMEOUT: Span = Span::millis(500);
 
-pub struct Allowing(tokio::task::AbortHandle);
+pub struct AllowanceExtender(tokio::task::AbortHandle);
 
-impl Drop for Allowing {
+impl Drop for AllowanceExtender {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-impl Allowing {
+impl AllowanceExtender {
     pub fn begin(
         shared: &Arc<SharedState>,
         address: &str,
         attempt: &str,
         limit: Instant,
         mut allowance: Allowance,
-    ) -> Allowing {
+    ) -> AllowanceExtender {
         let (shared, address, page) = (Arc::clone(shared), address.to_owned(), attempt_limit_path(attempt));
         let allowing = tokio::spawn(async move {
             while let Some(due) = allowance.due(limit) {
@@ -36,10 +36,10 @@
                     allowance = more;
                     continue;
                 }
-                tokio::time::sleep(AGAIN_AFTER).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         });
-        Allowing(allowing.abort_handle())
+        AllowanceExtender(allowing.abort_handle())
     }
 }
 
@@ -47,14 +47,14 @@
 async fn allow(address: &str, page: &str, more: Allowance, now: Instant) -> bool {
     let allowed_ms = more.left(now).as_millis().to_string();
     let question = Question::with_json(Method::POST, page, &json!({})).header(LIMIT_HEADER, allowed_ms);
-    let gate = Box::new(move || match boot_now().since(now) < ASK_LIMIT {
+    let gate = Box::new(move || match boot_now().since(now) < REQUEST_TIMEOUT {
         true => Ok(()),
         false => Err("too late".into()),
     });
     let telling = async {
-        let stream = open_stream(address, ASK_LIMIT).await.ok()?;
+        let stream = open_stream(address, REQUEST_TIMEOUT).await.ok()?;
         stream.send_gated(question, gate).await.ok()
     };
-    let told = tokio::time::timeout(ASK_LIMIT.as_duration(), telling).await.ok().flatten();
+    let told = tokio::time::timeout(REQUEST_TIMEOUT.as_duration(), telling).await.ok().flatten();
     told.is_some_and(|replied| replied.status == StatusCode::OK)
 }
--- a/crates/router/src/demand.rs
+++ b/crates/router/src/demand.rs
@@ -3,14 +3,19 @@
 
 use crate::prelude::*;
 
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Tells as long as the program runs.
-pub async fn keep_demand(shared: Arc<SharedState>, coordinator: Arc<CoordinatorClient>, router: NodeId, zone: Zone) {
-    let mut pulse = tokio::time::interval(TELL_EVERY);
-    pulse.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+pub async fn report_demand(
+    shared: Arc<SharedState>,
+    coordinator: Arc<CoordinatorClient>,
+    router: NodeId,
+    zone: Zone,
+) {
+    let mut interval = tokio::time::interval(REPORT_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        pulse.tick().await;
+        interval.tick().await;
         let rates = shared.demand(boot_now());
         if !rates.is_empty() {
             coordinator.say(&RouterToAgent::Demand(DemandReport { router, zone: zone.clone(), rates }));
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -13,7 +13,7 @@
     next_ticket: AtomicU64,
 }
 
-const CLAIM_LIMIT: Duration = Duration::from_millis(2500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl CoordinatorClient {
     pub(crate) fn say(&self, message: &RouterToAgent) {
@@ -38,7 +38,7 @@
         let settled = tokio::select! {
             settled = answer => settled.ok(),
             () = asking => None,
-            () = tokio::time::sleep(CLAIM_LIMIT) => None,
+            () = tokio::time::sleep(CLAIM_TIMEOUT) => None,
         };
         self.waiting.lock().expect("no holder of this lock panics").remove(&ticket);
         settled
@@ -97,7 +97,7 @@
                 event!(info, "agent_up");
                 let edition = self.plan.shared.snapshot().state.edition;
                 if edition > Edition(0) {
-                    self.say_applied(edition);
+                    self.report_applied(edition);
                 }
             }
             LinkEvent::Down(_, reason) => {
@@ -107,15 +107,15 @@
             LinkEvent::Said(_, AgentToRouter::Settled { ticket, outcome }) => {
                 self.plan.coordinator.settle(ticket, outcome);
             }
-            LinkEvent::Said(_, AgentToRouter::Routers(routers)) => self.plan.shared.know_routers(routers),
+            LinkEvent::Said(_, AgentToRouter::Routers(routers)) => self.plan.shared.update_routers(routers),
             LinkEvent::Said(_, AgentToRouter::Lease { asked, until, disturbed }) => {
                 self.plan.shared.renew_lease(asked, until);
-                self.plan.shared.note_disturbed(disturbed);
+                self.plan.shared.record_disturbance(disturbed);
             }
             LinkEvent::Said(_, AgentToRouter::Snapshot { state, gave_way }) => {
                 let current = self.plan.shared.snapshot();
                 if state.edition > current.state.edition {
-                    self.put_in_force(current.after_full_transfer(*state, &gave_way, boot_now()));
+                    self.publish(current.after_full_transfer(*state, &gave_way, boot_now()));
                 }
             }
             LinkEvent::Said(_, AgentToRouter::Push { number, submission, committed }) => {
@@ -133,20 +133,20 @@
                 let mut state = (*current.state).clone();
                 state.apply_without_claims(&submission);
                 let next = current.after_change(state, committed, boot_now());
-                self.put_in_force(next.with_leaving_deadline(&current.state, self.plan.shared.lease_until()));
+                self.publish(next.with_leaving_deadline(&current.state, self.plan.shared.lease_until()));
             }
         }
     }
 
-    fn put_in_force(&mut self, sight: FleetSnapshot) {
-        let edition = sight.state.edition;
-        self.plan.shared.publish(sight);
+    fn publish(&mut self, snapshot: FleetSnapshot) {
+        let edition = snapshot.state.edition;
+        self.plan.shared.publish(snapshot);
         (self.plan.on_change)();
-        self.say_applied(edition);
+        self.report_applied(edition);
         event!(debug, "applied", edition = edition);
     }
 
-    fn say_applied(&self, edition: Edition) {
+    fn report_applied(&self, edition: Edition) {
         if let Some(link) = &self.link {
             link.say(&RouterToAgent::Applied { edition });
         }
--- a/crates/router/src/followers.rs
+++ b/crates/router/src/followers.rs
@@ -7,42 +7,42 @@
 const POLL_LIMIT: Span = Span::millis(2500);
 const POLL_SPACING: Duration = Duration::from_millis(40);
 const FAULT_PAUSE: Duration = Duration::from_millis(300);
-const COUNT_EVERY: Span = Span::millis(1000);
-const MOST_BYTES: usize = 32 << 20;
+const COUNT_INTERVAL: Span = Span::millis(1000);
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
 /// Starts a follower for each newly listed engine and ends those of engines that are gone.
-pub async fn keep_followers(shared: Arc<SharedState>, table: TableAsker) {
+pub async fn run_followers(shared: Arc<SharedState>, scheduler: SchedulerHandle) {
     let mut followers: HashMap<(EngineName, String), tokio::task::JoinHandle<()>> = HashMap::new();
-    let mut pulse = tokio::time::interval(Duration::from_millis(100));
+    let mut interval = tokio::time::interval(Duration::from_millis(100));
     loop {
-        pulse.tick().await;
-        let sight = shared.snapshot();
-        let mut listed: HashMap<(EngineName, String), ()> = sight
+        interval.tick().await;
+        let snapshot = shared.snapshot();
+        let mut listed: HashMap<(EngineName, String), ()> = snapshot
             .state
             .listing
             .engines
             .iter()
             .map(|(engine, listed)| ((engine.clone(), listed.address.clone()), ()))
             .collect();
-        if let Some(store) = &sight.state.desired.store {
+        if let Some(store) = &snapshot.state.desired.store {
             listed.insert((EngineName::from(STORE_SOURCE), store.clone()), ());
         }
-        followers.retain(|naming, follower| {
-            let stays = listed.contains_key(naming);
+        followers.retain(|key, follower| {
+            let stays = listed.contains_key(key);
             if !stays {
                 follower.abort();
             }
             stays
         });
-        for naming in listed.into_keys() {
-            let (engine, address) = naming.clone();
-            let table = table.clone();
-            followers.entry(naming).or_insert_with(|| tokio::spawn(follow(engine, address, table)));
+        for key in listed.into_keys() {
+            let (engine, address) = key.clone();
+            let scheduler = scheduler.clone();
+            followers.entry(key).or_insert_with(|| tokio::spawn(follow(engine, address, scheduler)));
         }
     }
 }
 
-async fn follow(engine: EngineName, address: String, table: TableAsker) {
+async fn follow(engine: EngineName, address: String, scheduler: SchedulerHandle) {
     let mut last_count = Instant(0);
     loop {
         let mut stream = match open_stream(&address, Span::millis(500)).await {
@@ -52,7 +52,7 @@
                 continue;
             }
         };
-        while follow_once(&engine, &mut stream, &table, &mut last_count).await.is_ok() {
+        while follow_once(&engine, &mut stream, &scheduler, &mut last_count).await.is_ok() {
             tokio::time::sleep(POLL_SPACING).await;
         }
         tokio::time::sleep(FAULT_PAUSE).await;
@@ -62,48 +62,62 @@
 async fn follow_once(
     engine: &EngineName,
     stream: &mut OpenStream,
-    table: &TableAsker,
+    scheduler: &SchedulerHandle,
     last_count: &mut Instant,
 ) -> Result<(), String> {
-    let asked = boot_now();
-    if asked.since(*last_count) >= COUNT_EVERY && engine.as_str() != STORE_SOURCE {
+    let requested_at = boot_now();
+    if requested_at.since(*last_count) >= COUNT_INTERVAL && engine.as_str() != STORE_SOURCE {
         let (_, _, body) = stream.ask_again(Question::get("/metrics"), POLL_LIMIT, 1 << 20).await?;
-        if let Some(running) = read_running(&String::from_utf8_lossy(&body)) {
-            table.tell(TableCommand::Count { engine: engine.clone(), running, asked });
+        if let Some(running) = parse_running_requests(&String::from_utf8_lossy(&body)) {
+            scheduler.tell(SchedulerCommand::RecordRunningCount { engine: engine.clone(), running, requested_at });
         }
-        *last_count = asked;
+        *last_count = requested_at;
     }
-    let place =
-        table.ask(|reply| TableCommand::Place { engine: engine.clone(), reply }).await.ok_or("the table is full")?;
-    let Some(place) = place else { return take_snapshot(engine, stream, table).await };
-    let path = format!("/v1/kept/events?from={}&wait_ms={POLL_WAIT_MS}", place.next_number);
-    let asked = boot_now();
-    let (_, _, body) = stream.ask_again(Question::get(&path), POLL_LIMIT, MOST_BYTES).await?;
+    let cursor = scheduler
+        .ask(|reply| SchedulerCommand::EventPosition { engine: engine.clone(), reply })
+        .await
+        .ok_or("the scheduler is full")?;
+    let Some(cursor) = cursor else { return fetch_snapshot(engine, stream, scheduler).await };
+    let path = format!("/v1/kept/events?from={}&wait_ms={POLL_WAIT_MS}", cursor.next_number);
+    let requested_at = boot_now();
+    let (_, _, body) = stream.ask_again(Question::get(&path), POLL_LIMIT, MAX_RESPONSE_BYTES).await?;
     let answered = boot_now();
     let batch: EventBatch = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
     let events: Option<Vec<CacheEvent>> = batch.events.iter().map(EngineEvent::read).collect();
     let events = events.ok_or("an event is unreadable")?;
     // A long poll that answers has looked at the very end.
-    let heard = if answered.since(asked) < Span::millis(POLL_WAIT_MS + 500) { answered } else { asked };
-    let followed =
-        table.ask(|reply| TableCommand::Events { engine: engine.clone(), batch, events, asked: heard, reply }).await;
+    let known_until =
+        if answered.since(requested_at) < Span::millis(POLL_WAIT_MS + 500) { answered } else { requested_at };
+    let followed = scheduler
+        .ask(|reply| SchedulerCommand::ApplyEvents {
+            engine: engine.clone(),
+            batch,
+            events,
+            requested_at: known_until,
+            reply,
+        })
+        .await;
     if followed == Some(false) {
         event!(info, "source_lost", engine = engine);
     }
     Ok(())
 }
 
-async fn take_snapshot(engine: &EngineName, stream: &mut OpenStream, table: &TableAsker) -> Result<(), String> {
-    let asked = boot_now();
-    let (_, _, body) = stream.ask_again(Question::get("/v1/kept/snapshot"), POLL_LIMIT, MOST_BYTES).await?;
+async fn fetch_snapshot(
+    engine: &EngineName,
+    stream: &mut OpenStream,
+    scheduler: &SchedulerHandle,
+) -> Result<(), String> {
+    let requested_at = boot_now();
+    let (_, _, body) = stream.ask_again(Question::get("/v1/kept/snapshot"), POLL_LIMIT, MAX_RESPONSE_BYTES).await?;
     let snapshot: CacheSnapshot = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
     let names = parse_hashes(&snapshot.block_hashes).ok_or("a block name is unreadable")?;
     event!(debug, "snapshot_taken", engine = engine, blocks = names.len());
-    table.tell(TableCommand::Snapshot { engine: engine.clone(), snapshot, names, asked });
+    scheduler.tell(SchedulerCommand::ApplySnapshot { engine: engine.clone(), snapshot, names, requested_at });
     Ok(())
 }
 
-fn read_running(text: &str) -> Option<u64> {
+fn parse_running_requests(text: &str) -> Option<u64> {
     let read_gauge = |name: &str| {
         let line = text.lines().find(|line| line.starts_with(name))?;
         line.rsplit(' ').next()?.parse::<f64>().ok()
--- a/crates/router/src/forward/answer.rs
+++ b/crates/router/src/forward/answer.rs
@@ -5,12 +5,12 @@
 use super::sink::Sink;
 use crate::prelude::*;
 
-const PIECE_PLACES: usize = 32;
+const PIECE_QUEUE_CAPACITY: usize = 32;
 /// How long the rest of a whole stream may take to be sent, at least.
-const SHORTEST_FINISH: Duration = Duration::from_millis(500);
+const MIN_FINISH_TIME: Duration = Duration::from_millis(500);
 /// When a caller is told to come back, in seconds: an adapter has to be loaded first.
-const USUAL_BACK_AFTER_S: &str = "1";
-const COLD_BACK_AFTER_S: &str = "2";
+const RETRY_AFTER_S: &str = "1";
+const COLD_ADAPTER_RETRY_AFTER_S: &str = "2";
 
 impl Forwarder {
     /// The first piece came: the engine has the blocks now, and a stream to the caller opens.
@@ -18,35 +18,35 @@
         self.first_ms = Some(boot_now().since(self.run.plan.began).as_millis());
         if let Some(attempt) = &self.attempt {
             let chosen = &attempt.placement.chosen;
-            let salt = self.run.plan.salt(&attempt.sight, chosen.weights);
+            let salt = self.run.plan.salt(&attempt.snapshot, chosen.weights);
             let names = hash_blocks(&salt, self.run.plan.prompt_text.as_bytes());
-            self.run.table.tell(TableCommand::Kept { engine: chosen.engine.clone(), names });
+            self.run.scheduler.tell(SchedulerCommand::RecordKept { engine: chosen.engine.clone(), names });
             self.run.count_blocks(&attempt.placement);
             if attempt.adapter.is_some() {
-                self.run.shared.counts.note_adapter_place(chosen.distance_blocks, chosen.is_far);
+                self.run.shared.counts.count_adapter_request(chosen.distance_blocks, chosen.is_far);
             }
         }
         if !self.run.plan.streams {
             return None;
         }
         let plan = &self.run.plan;
-        let held_run = if plan.resumes { self.run.book.open(plan.run_number, &plan.tenant) } else { None };
-        let (sink, answered) = match held_run {
-            Some(held_run) => (Sink::Book(Arc::clone(&held_run)), held_run.stream_from(0)),
+        let held_run = if plan.resumes { self.run.held_runs.open(plan.run_number, &plan.tenant) } else { None };
+        let (sink, response) = match held_run {
+            Some(held_run) => (Sink::Buffer(Arc::clone(&held_run)), held_run.stream_from(0)),
             None => {
-                let (pieces, answered) = outcome_pieces(StatusCode::OK, "text/event-stream", PIECE_PLACES);
-                (Sink::Caller(pieces), answered.with_header("cache-control", "no-store"))
+                let (pieces, response) = outcome_pieces(StatusCode::OK, "text/event-stream", PIECE_QUEUE_CAPACITY);
+                (Sink::Caller(pieces), response.with_header("cache-control", "no-store"))
             }
         };
         self.sink = Some(Arc::new(sink));
-        Some(self.named_after_adapter(answered.with_header(RUN_HEADER, &plan.run)))
+        Some(self.with_adapter_name(response.with_header(RUN_HEADER, &plan.run)))
     }
 
-    /// A piece goes to the caller in the form that it asked for.
+    /// A piece goes to the caller in the format that it asked for.
     pub(super) fn send_piece(&mut self, completion: Completion) {
         let plan = &self.run.plan;
-        let shaped = shape_piece(completion, &plan.run, plan.form);
-        let event_text = format!("id: {}.{}\ndata: {shaped}\n\n", plan.run, self.piece_count);
+        let formatted = format_piece(completion, &plan.run, plan.format);
+        let event_text = format!("id: {}.{}\ndata: {formatted}\n\n", plan.run, self.piece_count);
         self.piece_count += 1;
         self.outbox.push_back(Bytes::from(event_text));
     }
@@ -58,20 +58,20 @@
         self.run.record("whole", self.first_ms);
         event!(info, "request_ended", run = plan.run, tenant = plan.tenant, outcome = "whole");
         let adapter = completion.adapter.clone();
-        let answered = outcome_json(StatusCode::OK, &shape_whole(completion, &plan.run, plan.form))
+        let response = outcome_json(StatusCode::OK, &format_answer(completion, &plan.run, plan.format))
             .with_header(RUN_HEADER, &plan.run)
             .with_header(OUTCOME_HEADER, "whole");
         match adapter {
-            Some(adapter) => answered.with_header(ADAPTER_HEADER, &adapter),
-            None => answered,
+            Some(adapter) => response.with_header(ADAPTER_HEADER, &adapter),
+            None => response,
         }
     }
 
     /// The head of a stream names the adapter that it is made on.
-    fn named_after_adapter(&self, answered: WebOutcome) -> WebOutcome {
+    fn with_adapter_name(&self, response: WebOutcome) -> WebOutcome {
         match self.attempt.as_ref().and_then(|attempt| attempt.adapter.as_ref()) {
-            Some(adapter) => answered.with_header(ADAPTER_HEADER, &adapter.to_string()),
-            None => answered,
+            Some(adapter) => response.with_header(ADAPTER_HEADER, &adapter.to_string()),
+            None => response,
         }
     }
 
@@ -87,14 +87,14 @@
             let streamed = boot_now().since(self.run.plan.began).as_millis().saturating_sub(first_ms);
             let pace = streamed as f64 / (self.piece_count - 1) as f64;
             let tenant = &self.run.plan.tenant;
-            self.run.shared.note_policy(&self.policy, tenant, |figures| figures.pace.add(pace));
+            self.run.shared.record_policy_metrics(&self.policy, tenant, |figures| figures.pace.add(pace));
         }
         match cut {
             Some(reason) => sink.cut(reason),
             None => {
                 let mut rest = std::mem::take(&mut self.outbox);
                 rest.push_back(Bytes::from(end_event));
-                let limit_left = self.run.plan.limit.since(boot_now()).as_duration().max(SHORTEST_FINISH);
+                let limit_left = self.run.plan.limit.since(boot_now()).as_duration().max(MIN_FINISH_TIME);
                 tokio::spawn(async move { sink.finish(rest, limit_left).await });
             }
         }
@@ -139,13 +139,13 @@
             (_, true) => (StatusCode::BAD_GATEWAY, outcome, reason.as_str()),
             (_, false) => (StatusCode::SERVICE_UNAVAILABLE, outcome, reason.as_str()),
         };
-        let back_after = if kind == GivenUpKind::AdapterCold { COLD_BACK_AFTER_S } else { USUAL_BACK_AFTER_S };
+        let retry_after = if kind == GivenUpKind::AdapterCold { COLD_ADAPTER_RETRY_AFTER_S } else { RETRY_AFTER_S };
         if kind == GivenUpKind::AdapterCold {
             Counts::add(&counts.adapter_cold, 1);
         }
         refuse(status, error_type, told)
             .with_header(OUTCOME_HEADER, outcome)
             .with_header(RUN_HEADER, &plan.run)
-            .with_header("retry-after", back_after)
+            .with_header("retry-after", retry_after)
     }
 }
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -3,52 +3,52 @@
 use super::{Awaited, Forwarder, Input};
 use crate::prelude::*;
 
-pub(super) const CONNECT_LIMIT: Span = Span::millis(700);
-const MOST_WHOLE_BYTES: usize = 8 << 20;
+pub(super) const CONNECT_TIMEOUT: Span = Span::millis(700);
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// How long an engine's whole answer may take once it has begun.
-const WHOLE_ANSWER_LIMIT: Duration = Duration::from_secs(10);
-const MOST_REFUSAL_BYTES: usize = 1 << 16;
-const REFUSAL_LIMIT: Duration = Duration::from_secs(1);
+const ANSWER_READ_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_ERROR_BYTES: usize = 1 << 16;
+const ERROR_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An attempt under way, dropped as a whole when it ends.
 pub(super) struct Attempt {
     pub(super) placement: Box<Placement>,
-    pub(super) sight: Arc<FleetSnapshot>,
+    pub(super) snapshot: Arc<FleetSnapshot>,
     /// The adapter it runs on; none for the bare model.
     pub(super) adapter: Option<AdapterId>,
-    pub(super) place: AttemptPlace,
+    pub(super) occupancy: OccupancyGuard,
     stream: Option<OpenStream>,
     replied: Option<Replied>,
     reader: EventReader,
     /// Allows its engine more time; ends with the attempt.
-    allowing: Option<Allowing>,
+    extender: Option<AllowanceExtender>,
 }
 
 impl Attempt {
     fn new(
         placement: Box<Placement>,
-        sight: Arc<FleetSnapshot>,
+        snapshot: Arc<FleetSnapshot>,
         adapter: Option<AdapterId>,
-        place: AttemptPlace,
+        occupancy: OccupancyGuard,
     ) -> Attempt {
         let reader = EventReader::default();
-        Attempt { placement, sight, adapter, place, stream: None, replied: None, reader, allowing: None }
+        Attempt { placement, snapshot, adapter, occupancy, stream: None, replied: None, reader, extender: None }
     }
 
     /// What the engine is asked to do.
-    fn engine_request(&self, plan: &Plan, salt: &Salt) -> EngineRequest {
+    fn engine_request(&self, plan: &RequestPlan, salt: &Salt) -> EngineRequest {
         EngineRequest {
             model: plan.model.0.clone(),
             prompt: (*plan.prompt_text).clone(),
             max_tokens: plan.max_tokens,
             stream: plan.streams,
             cache_salt: salt.0.clone(),
-            fetch: fetch_orders(&self.placement.fetches),
+            fetch: to_fetch_orders(&self.placement.fetches),
         }
     }
 
     /// What the gate looks at when the first byte is written.
-    fn ground(&self, plan: &Plan, salt: Salt) -> AttemptBasis {
+    fn basis(&self, plan: &RequestPlan, salt: Salt) -> AttemptBasis {
         let chosen = &self.placement.chosen;
         AttemptBasis {
             key_hash: plan.key_hash.clone(),
@@ -89,7 +89,7 @@
     /// The engine's whole answer.
     async fn read_whole(&mut self) -> Input {
         let Some(replied) = self.replied.as_mut() else { return no_stream() };
-        match read_whole(&mut replied.body, MOST_WHOLE_BYTES, WHOLE_ANSWER_LIMIT).await {
+        match read_whole(&mut replied.body, MAX_ANSWER_BYTES, ANSWER_READ_TIMEOUT).await {
             Ok(body) => read_piece(&String::from_utf8_lossy(&body), self.adapter.as_ref()),
             Err(fault) => Input::Broken(format!("answer: {fault:?}")),
         }
@@ -97,18 +97,18 @@
 }
 
 impl Forwarder {
-    /// Has the table pick an engine.
+    /// Has the scheduler pick an engine.
     pub(super) async fn pick(&mut self, tried: &[EngineName], is_retry: bool) -> Input {
-        let sight = self.run.shared.snapshot();
-        let prompt = self.run.plan.prompt(&sight, tried, boot_now());
+        let snapshot = self.run.shared.snapshot();
+        let prompt = self.run.plan.prompt(&snapshot, tried, boot_now());
         let adapter = prompt.adapter.clone();
-        let outcome = match self.run.table.pick(prompt, is_retry).await {
+        let outcome = match self.run.scheduler.pick(prompt, is_retry).await {
             None => PickOutcome::Overloaded,
-            Some((Picked::Placed(placement), Some(place))) => {
+            Some((Picked::Placed(placement), Some(occupancy))) => {
                 let engine = placement.chosen.engine.clone();
                 self.engine = engine.clone();
                 self.policy = placement.policy.clone();
-                self.attempt = Some(Attempt::new(placement, sight, adapter, place));
+                self.attempt = Some(Attempt::new(placement, snapshot, adapter, occupancy));
                 PickOutcome::Placed(engine)
             }
             Some((Picked::NoBudget, _)) => PickOutcome::NoBudget,
@@ -121,7 +121,7 @@
     /// Opens a stream to the engine that is used for this attempt alone.
     pub(super) async fn connect(&mut self) -> Input {
         let Some(attempt) = self.attempt.as_mut() else { return no_attempt() };
-        match open_stream(&attempt.placement.address, CONNECT_LIMIT).await {
+        match open_stream(&attempt.placement.address, CONNECT_TIMEOUT).await {
             Ok(stream) => {
                 attempt.stream = Some(stream);
                 Input::Connected
@@ -132,39 +132,39 @@
 
     /// Writes the request; the gate is looked at in the call that writes its first byte.
     pub(super) async fn send_request(&mut self) -> Input {
-        let attempt_name = self.carriage.attempt();
+        let attempt_name = self.machine.attempt();
         let Some(attempt) = self.attempt.as_mut() else { return no_attempt() };
         let Some(stream) = attempt.stream.take() else { return no_stream() };
         let plan = &self.run.plan;
-        let salt = plan.salt(&attempt.sight, attempt.placement.chosen.weights);
+        let salt = plan.salt(&attempt.snapshot, attempt.placement.chosen.weights);
         let engine_request = attempt.engine_request(plan, &salt);
-        let ground = attempt.ground(plan, salt);
+        let basis = attempt.basis(plan, salt);
         if let Some(prefill_place) = &attempt.placement.prefill {
-            self.run.prefill(prefill_place, &attempt_name, &ground).await;
+            self.run.prefill(prefill_place, &attempt_name, &basis).await;
         }
         let shared = &self.run.shared;
         let allowance = Allowance::under(shared.lease_until(), plan.limit);
         let allowed_ms = allowance.left(boot_now()).as_millis().max(1);
-        attempt.allowing =
-            Some(Allowing::begin(shared, &attempt.placement.address, &attempt_name, plan.limit, allowance));
+        attempt.extender =
+            Some(AllowanceExtender::begin(shared, &attempt.placement.address, &attempt_name, plan.limit, allowance));
         let question = Question::with_json(Method::POST, "/v1/completions", &json!(engine_request))
             .header(ATTEMPT_HEADER, attempt_name)
-            .header(WEIGHTS_HEADER, ground.weights.to_string())
+            .header(WEIGHTS_HEADER, basis.weights.to_string())
             .header(LIMIT_HEADER, allowed_ms.to_string());
-        let question = name_adapter(question, ground.adapter.as_ref());
-        let bar = Arc::new(Mutex::new(None));
+        let question = with_adapter_header(question, basis.adapter.as_ref());
+        let refusal = Arc::new(Mutex::new(None));
         let gate = {
-            let (shared, bar) = (Arc::clone(shared), Arc::clone(&bar));
+            let (shared, refusal) = (Arc::clone(shared), Arc::clone(&refusal));
             Box::new(move || {
-                shared.may_start(&ground).map_err(|found| {
-                    *bar.lock().expect("no holder of this lock panics") = Some(found);
+                shared.may_start(&basis).map_err(|found| {
+                    *refusal.lock().expect("no holder of this lock panics") = Some(found);
                     format!("{found:?}")
                 })
             })
         };
         match stream.send_gated(question, gate).await {
             Ok(replied) => self.read_head(replied).await,
-            Err(SendFault { reason, byte_left }) => match *bar.lock().expect("no holder of this lock panics") {
+            Err(SendFault { reason, byte_left }) => match *refusal.lock().expect("no holder of this lock panics") {
                 Some(found) => Input::StartRefused(found),
                 None => Input::SendFault { byte_left, reason },
             },
@@ -184,7 +184,7 @@
     }
 
     async fn read_refusal(&self, mut replied: Replied) -> Input {
-        let body = read_whole(&mut replied.body, MOST_REFUSAL_BYTES, REFUSAL_LIMIT).await.unwrap_or_default();
+        let body = read_whole(&mut replied.body, MAX_ERROR_BYTES, ERROR_READ_TIMEOUT).await.unwrap_or_default();
         let told: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let told_kind = told["error"]["type"].as_str().unwrap_or("");
         let head = match told_kind {
@@ -193,14 +193,14 @@
             _ => ResponseClass::Failure,
         };
         if told_kind == ADAPTER_NOT_RESIDENT {
-            self.note_cold();
+            self.report_cold_adapter();
         }
         Input::Head { head, detail: format!("engine answered {} {told_kind}", replied.status.as_u16()) }
     }
 
     /// The next of the engine's answer.
     pub(super) async fn read(&mut self) -> Input {
-        let has_end_mark = self.carriage.has_end_mark();
+        let has_end_mark = self.machine.has_end_mark();
         let Some(attempt) = self.attempt.as_mut() else { return no_attempt() };
         match self.run.plan.streams {
             true => attempt.read_streamed(has_end_mark).await,
@@ -209,28 +209,28 @@
     }
 
     /// The engine does not hold the adapter, whatever the state says.
-    fn note_cold(&self) {
+    fn report_cold_adapter(&self) {
         let Some(attempt) = &self.attempt else { return };
         let Some(adapter) = attempt.adapter.clone() else { return };
         Counts::add(&self.run.shared.counts.adapter_refusals, 1);
-        self.run.table.tell(TableCommand::Cold { engine: attempt.place.engine.clone(), adapter });
+        self.run.scheduler.tell(SchedulerCommand::RecordCold { engine: attempt.occupancy.engine.clone(), adapter });
     }
 
     /// Logs and counts an attempt that failed.
-    pub(super) fn note_fault(&self, reason: &str, ran: Ran, avoid_engine: bool) {
+    pub(super) fn record_fault(&self, reason: &str, ran: Ran, avoid_engine: bool) {
         let Some(attempt) = &self.attempt else { return };
         let tenant = &self.run.plan.tenant;
-        self.run.shared.note_policy(&attempt.placement.policy, tenant, |figures| figures.faults += 1);
+        self.run.shared.record_policy_metrics(&attempt.placement.policy, tenant, |figures| figures.faults += 1);
         event!(
             warn,
             "shot_fault",
-            shot = self.carriage.attempt(),
-            engine = attempt.place.engine,
+            shot = self.machine.attempt(),
+            engine = attempt.occupancy.engine,
             reason = reason,
             ran = format!("{ran:?}").to_lowercase()
         );
         if avoid_engine {
-            self.run.table.tell(TableCommand::Fault { engine: attempt.place.engine.clone() });
+            self.run.scheduler.tell(SchedulerCommand::RecordFault { engine: attempt.occupancy.engine.clone() });
         }
     }
 }
@@ -244,7 +244,7 @@
 }
 
 /// A question about a prompt names the adapter that the prompt runs on.
-pub(super) fn name_adapter(question: Question, adapter: Option<&AdapterId>) -> Question {
+pub(super) fn with_adapter_header(question: Question, adapter: Option<&AdapterId>) -> Question {
     match adapter {
         Some(adapter) => question.header(ADAPTER_HEADER, adapter.to_string()),
         None => question,
@@ -267,7 +267,7 @@
 }
 
 /// The runs of blocks that the engine is to fetch, as its interface has them.
-fn fetch_orders(fetches: &[FetchRun]) -> Vec<FetchOrder> {
+fn to_fetch_orders(fetches: &[FetchRun]) -> Vec<FetchOrder> {
     fetches
         .iter()
         .map(|run| FetchOrder { address: run.address.clone(), block_hashes: format_hashes(&run.names) })
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -31,7 +31,7 @@
 /// A run and the machine of its attempts.
 struct Forwarder {
     run: Run,
-    carriage: AttemptMachine<Box<Completion>>,
+    machine: AttemptMachine<Box<Completion>>,
     awaited: Awaited,
     attempt: Option<Attempt>,
     engine: EngineName,
@@ -47,7 +47,7 @@
 impl Run {
     /// Forwards the request until there is an answer; a stream then goes on by itself.
     pub async fn forward(self) -> WebOutcome {
-        Forwarder::new(self).drive().await
+        Forwarder::new(self).run_until_answer().await
     }
 }
 
@@ -63,7 +63,7 @@
         };
         Forwarder {
             run,
-            carriage: AttemptMachine::new(terms),
+            machine: AttemptMachine::new(terms),
             awaited: Awaited::Nothing,
             attempt: None,
             engine: EngineName::from(""),
@@ -75,40 +75,40 @@
         }
     }
 
-    async fn drive(mut self) -> WebOutcome {
-        let mut plan = self.carriage.step(Input::Begin);
+    async fn run_until_answer(mut self) -> WebOutcome {
+        let mut effects = self.machine.step(Input::Begin);
         loop {
-            if let Some(answered) = self.carry_out(plan) {
-                if !self.carriage.is_done() {
-                    tokio::spawn(self.go_on());
+            if let Some(response) = self.apply_effects(effects) {
+                if !self.machine.is_done() {
+                    tokio::spawn(self.run_to_end());
                 }
-                return answered;
+                return response;
             }
-            let input = self.watched_input().await;
-            plan = self.carriage.step(input);
+            let input = self.next_input_or_stop().await;
+            effects = self.machine.step(input);
         }
     }
 
     /// A stream under way, until its end.
-    async fn go_on(mut self) {
-        while !self.carriage.is_done() {
-            let input = self.watched_input().await;
+    async fn run_to_end(mut self) {
+        while !self.machine.is_done() {
+            let input = self.next_input_or_stop().await;
             let is_left = matches!(input, Input::CallerGone);
-            let plan = self.carriage.step(input);
-            self.carry_out(plan);
-            if is_left && self.carriage.is_done() {
-                self.note_cancelled();
+            let effects = self.machine.step(input);
+            self.apply_effects(effects);
+            if is_left && self.machine.is_done() {
+                self.record_cancelled();
             }
         }
     }
 
-    fn note_cancelled(&self) {
+    fn record_cancelled(&self) {
         Counts::add(&self.run.shared.counts.cancelled, 1);
         self.log_end("cancelled", "");
     }
 
     /// The next input, unless limit, key, lease or caller end the work before it.
-    async fn watched_input(&mut self) -> Input {
+    async fn next_input_or_stop(&mut self) -> Input {
         let limit_left = self.run.plan.limit.since(boot_now()).as_duration();
         let shared = Arc::clone(&self.run.shared);
         let (key_hash, tenant) = (self.run.plan.key_hash.clone(), self.run.plan.tenant.clone());
@@ -121,7 +121,7 @@
         };
         tokio::select! {
             biased;
-            bar = shared.work_barred(&key_hash, &tenant) => Input::WorkStopped(bar),
+            reason = shared.wait_until_work_must_stop(&key_hash, &tenant) => Input::WorkStopped(reason),
             () = tokio::time::sleep(limit_left) => Input::LimitPassed,
             () = caller_gone => Input::CallerGone,
             input = self.next_input() => input,
@@ -133,7 +133,7 @@
         while let Some(event) = self.outbox.front().cloned() {
             let Some(sink) = self.sink.clone() else { break };
             if !sink.send(event).await {
-                return if sink.is_book() { Input::BufferFull } else { Input::CallerGone };
+                return if sink.is_buffered() { Input::BufferFull } else { Input::CallerGone };
             }
             self.outbox.pop_front();
         }
@@ -148,35 +148,35 @@
     }
 
     /// Does what the machine wishes; an answer for the caller, if there is one now.
-    fn carry_out(&mut self, plan: Vec<Effect>) -> Option<WebOutcome> {
-        let mut answered = None;
-        for effect in plan {
+    fn apply_effects(&mut self, effects: Vec<Effect>) -> Option<WebOutcome> {
+        let mut response = None;
+        for effect in effects {
             match effect {
                 Effect::Claim => self.awaited = Awaited::Claim,
                 Effect::ReleaseClaim => self.release_claim(),
                 Effect::Pick { tried, is_retry } => self.awaited = Awaited::Pick { tried, is_retry },
                 Effect::Connect { attempt } => {
-                    self.note_placement(&attempt);
+                    self.record_placement(&attempt);
                     self.awaited = Awaited::Stream;
                 }
                 Effect::Write => self.awaited = Awaited::Head,
-                Effect::FirstPieceReceived => answered = self.begin_answer(),
+                Effect::FirstPieceReceived => response = self.begin_answer(),
                 Effect::SendPiece(completion) => self.send_piece(*completion),
-                Effect::AnswerWhole(completion) => answered = Some(self.answer_whole(*completion)),
+                Effect::AnswerWhole(completion) => response = Some(self.answer_whole(*completion)),
                 Effect::EndWhole => self.end_stream(None),
                 Effect::EndCut(reason) => self.end_stream(Some(reason)),
-                Effect::GiveUp(given_up) => answered = Some(self.give_up(given_up)),
+                Effect::GiveUp(given_up) => response = Some(self.give_up(given_up)),
                 Effect::EndAttempt => self.attempt = None,
-                Effect::AttemptFault { reason, ran, avoid_engine } => self.note_fault(&reason, ran, avoid_engine),
+                Effect::AttemptFault { reason, ran, avoid_engine } => self.record_fault(&reason, ran, avoid_engine),
             }
         }
-        answered
+        response
     }
 
-    fn note_placement(&mut self, attempt_name: &str) {
+    fn record_placement(&mut self, attempt_name: &str) {
         if let Some(attempt) = &self.attempt {
             self.run.log_pick(&attempt.placement, attempt_name);
-            self.run.draft = self.run.recorder.is_on().then(|| RecordedPick::of(&attempt.placement));
+            self.run.draft = self.run.recorder.is_on().then(|| RecordedPick::from_placement(&attempt.placement));
         }
     }
 
@@ -200,14 +200,14 @@
 impl Drop for Forwarder {
     /// A run dropped before its end was left by its caller.
     fn drop(&mut self) {
-        if self.carriage.is_done() {
+        if self.machine.is_done() {
             return;
         }
-        for effect in self.carriage.step(Input::CallerGone) {
+        for effect in self.machine.step(Input::CallerGone) {
             if effect == Effect::ReleaseClaim {
                 self.release_claim();
             }
         }
-        self.note_cancelled();
+        self.record_cancelled();
     }
 }
--- a/crates/router/src/forward/prefill.rs
+++ b/crates/router/src/forward/prefill.rs
@@ -1,27 +1,27 @@
 //! Prefill at another engine, in a split pool.
 
-use super::attempt::{CONNECT_LIMIT, name_adapter};
+use super::attempt::{CONNECT_TIMEOUT, with_adapter_header};
 use crate::prelude::*;
 
 impl Run {
     /// In a split pool, asks for the prefill first, through the gate as any work. If it fails, the
     /// decoding engine prefills itself.
-    pub(super) async fn prefill(&self, prefill_place: &PrefillPlace, attempt_name: &str, ground: &AttemptBasis) {
-        let (prompt, cache_salt) = ((*self.plan.prompt_text).clone(), ground.salt.0.clone());
+    pub(super) async fn prefill(&self, prefill_place: &PrefillPlace, attempt_name: &str, basis: &AttemptBasis) {
+        let (prompt, cache_salt) = ((*self.plan.prompt_text).clone(), basis.salt.0.clone());
         let half_left = Span(self.plan.limit.since(boot_now()).0 / 2);
         let allowance = Allowance::under(self.shared.lease_until(), self.plan.limit);
         let allowed_ms = allowance.left(boot_now()).min(half_left).as_millis().max(1);
         let question =
             Question::with_json(Method::POST, "/v1/prefill", &json!(PrefillRequest { prompt, cache_salt }))
                 .header(ATTEMPT_HEADER, attempt_name)
-                .header(WEIGHTS_HEADER, ground.weights.to_string())
+                .header(WEIGHTS_HEADER, basis.weights.to_string())
                 .header(LIMIT_HEADER, allowed_ms.to_string());
-        let question = name_adapter(question, ground.adapter.as_ref());
+        let question = with_adapter_header(question, basis.adapter.as_ref());
         let shared = Arc::clone(&self.shared);
-        let ground = AttemptBasis { engine: prefill_place.engine.clone(), ..ground.clone() };
-        let gate = Box::new(move || shared.may_start(&ground).map_err(|found| format!("{found:?}")));
+        let basis = AttemptBasis { engine: prefill_place.engine.clone(), ..basis.clone() };
+        let gate = Box::new(move || shared.may_start(&basis).map_err(|found| format!("{found:?}")));
         let asking = async {
-            let stream = open_stream(&prefill_place.address, CONNECT_LIMIT).await?;
+            let stream = open_stream(&prefill_place.address, CONNECT_TIMEOUT).await?;
             let replied = stream.send_gated(question, gate).await.map_err(|fault| fault.reason)?;
             match replied.status {
                 StatusCode::OK => Ok(()),
--- a/crates/router/src/forward/run.rs
+++ b/crates/router/src/forward/run.rs
@@ -5,13 +5,13 @@
 
 /// The request as it is forwarded: the plan and what must be given back at its end.
 pub struct Run {
-    pub plan: Plan,
+    pub plan: RequestPlan,
     /// Given back when the run ends, however it ends.
-    pub _held: (Seat, Running),
+    pub _held: (ConcurrencySlot, RunningGuard),
     pub router: NodeId,
     pub shared: Arc<SharedState>,
-    pub table: TableAsker,
-    pub book: Arc<RunBook>,
+    pub scheduler: SchedulerHandle,
+    pub held_runs: Arc<HeldRuns>,
     pub coordinator: Arc<CoordinatorClient>,
     pub recorder: Recorder,
     /// What the last pick looked like, for the recording.
@@ -24,10 +24,10 @@
         if !self.recorder.is_on() {
             return;
         }
-        let sight = self.shared.snapshot();
+        let snapshot = self.shared.snapshot();
         let weights = self.draft.as_ref().map(|draft| WeightsEdition(draft.weights));
         let names = weights
-            .map(|weights| hash_blocks(&self.plan.salt(&sight, weights), self.plan.prompt_text.as_bytes()))
+            .map(|weights| hash_blocks(&self.plan.salt(&snapshot, weights), self.plan.prompt_text.as_bytes()))
             .unwrap_or_default();
         self.recorder.write(RecordedRun {
             at: unix_millis(),
@@ -85,7 +85,7 @@
         let reused_blocks = prompt_blocks.saturating_sub(placement.chosen.prefill_blocks.0);
         Counts::add(&self.shared.counts.reused_blocks, reused_blocks);
         let first_ms = boot_now().since(self.plan.began).as_millis();
-        self.shared.note_policy(&placement.policy, &self.plan.tenant, |figures| {
+        self.shared.record_policy_metrics(&placement.policy, &self.plan.tenant, |figures| {
             figures.requests += 1;
             figures.first.add(first_ms as f64);
             figures.occupancy.add(placement.chosen.decode_blocks.0 as f64);
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -31,7 +31,7 @@
     let router = NodeId::random();
     let shared = Arc::new(SharedState::default());
     let zone = Zone(settings.text("zone")?.to_owned());
-    let table = start_table(router, zone.clone(), Arc::clone(&shared));
+    let scheduler = start_scheduler(router, zone.clone(), Arc::clone(&shared));
     let coordinator = Arc::new(CoordinatorClient::default());
     spawn_feed(FeedConfig {
         agent_address,
@@ -39,8 +39,8 @@
         own_address: RouterAddress { router, address: address.to_string(), ..RouterAddress::default() },
         shared: Arc::clone(&shared),
         on_change: {
-            let table = table.clone();
-            Box::new(move || table.tell(TableCommand::Fleet))
+            let scheduler = scheduler.clone();
+            Box::new(move || scheduler.tell(SchedulerCommand::FleetChanged))
         },
         coordinator: Arc::clone(&coordinator),
     });
@@ -49,14 +49,14 @@
         None => Recorder::default(),
     };
     let runtime = small_runtime(settings.whole("threads")? as usize).map_err(|fault| miette!("{fault}"))?;
-    runtime.spawn(keep_followers(Arc::clone(&shared), table.clone()));
-    runtime.spawn(keep_demand(Arc::clone(&shared), Arc::clone(&coordinator), router, zone));
+    runtime.spawn(run_followers(Arc::clone(&shared), scheduler.clone()));
+    runtime.spawn(report_demand(Arc::clone(&shared), Arc::clone(&coordinator), router, zone));
     let request_site = Arc::new(RequestSite {
         router,
         shared: Arc::clone(&shared),
-        table,
+        scheduler,
         next_run: AtomicU64::new(1),
-        book: Arc::default(),
+        held_runs: Arc::default(),
         coordinator,
         recorder,
     });
--- a/crates/router/src/pieces.rs
+++ b/crates/router/src/pieces.rs
@@ -1,9 +1,9 @@
 //! Reading an engine's answer: the events of a stream one by one, and the shape in which pieces and
-//! whole answers go on to the caller. Whether they may is the carriage's to say.
+//! whole answers go on to the caller. Whether they may is the machine's to say.
 
 use crate::prelude::*;
 
-pub const MOST_EVENT_BYTES: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Splits a byte stream into the data of its events.
 #[derive(Default)]
@@ -13,7 +13,7 @@
 
 impl EventReader {
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), String> {
-        if self.pending.len() + bytes.len() > MOST_EVENT_BYTES {
+        if self.pending.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err("an event is too large".into());
         }
         self.pending.extend_from_slice(bytes);
@@ -39,37 +39,37 @@
     }
 }
 
-/// The piece as the caller gets it, in the form it asked.
-pub fn shape_piece(completion: Completion, run: &str, form: Form) -> Value {
+/// The piece as the caller gets it, in the format it asked.
+pub fn format_piece(completion: Completion, run: &str, format: ApiFormat) -> Value {
     let choices: Vec<Value> = completion
         .choices
         .into_iter()
-        .map(|choice| match form {
-            Form::Completion => {
+        .map(|choice| match format {
+            ApiFormat::Completion => {
                 json!({"index": choice.index, "text": choice.text, "finish_reason": choice.finish_reason})
             }
-            Form::Chat => json!({"index": choice.index, "delta": {"content": choice.text},
+            ApiFormat::Chat => json!({"index": choice.index, "delta": {"content": choice.text},
                                  "finish_reason": choice.finish_reason}),
         })
         .collect();
-    let object = if form == Form::Chat { "chat.completion.chunk" } else { "text_completion" };
-    let mut shaped =
+    let object = if format == ApiFormat::Chat { "chat.completion.chunk" } else { "text_completion" };
+    let mut formatted =
         json!({"id": run, "shot": completion.id, "object": object, "model": completion.model, "choices": choices});
     if let Some(adapter) = completion.adapter {
-        shaped["adapter"] = json!(adapter);
+        formatted["adapter"] = json!(adapter);
     }
     if let Some(usage) = completion.usage {
-        shaped["usage"] = json!(usage);
+        formatted["usage"] = json!(usage);
     }
-    shaped
+    formatted
 }
 
-/// A whole answer in the form that was asked.
-pub fn shape_whole(completion: Completion, run: &str, form: Form) -> Value {
-    let mut shaped = shape_piece(completion, run, form);
-    if form == Form::Chat {
-        shaped["object"] = json!("chat.completion");
-        if let Some(choices) = shaped["choices"].as_array_mut() {
+/// A whole answer in the format that was asked.
+pub fn format_answer(completion: Completion, run: &str, format: ApiFormat) -> Value {
+    let mut formatted = format_piece(completion, run, format);
+    if format == ApiFormat::Chat {
+        formatted["object"] = json!("chat.completion");
+        if let Some(choices) = formatted["choices"].as_array_mut() {
             for choice in choices {
                 let content = choice["delta"]["content"].take();
                 choice["message"] = json!({"role": "assistant", "content": content});
@@ -79,7 +79,7 @@
             }
         }
     }
-    shaped
+    formatted
 }
 
 #[cfg(test)]
@@ -96,6 +96,6 @@
         }
         assert_eq!(found, ["{\"a\":1}", "x\ny"]);
         assert!(!reader.is_empty());
-        assert!(reader.feed(&vec![b'x'; MOST_EVENT_BYTES]).is_err());
+        assert!(reader.feed(&vec![b'x'; MAX_EVENT_BYTES]).is_err());
     }
 }
--- a/crates/router/src/plan.rs
+++ b/crates/router/src/plan.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct RequestPlan {
     pub run: String,
     pub run_number: u64,
     /// The hash of tenant and idempotency key, for a request that may not be repeated.
@@ -22,12 +22,12 @@
     pub began: Instant,
     pub limit: Instant,
     pub share: u64,
-    pub form: Form,
+    pub format: ApiFormat,
 }
 
-/// Which of the two request forms was asked, and is answered.
+/// Which of the two request forms was asked, and is response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum ApiFormat {
     Completion,
     Chat,
 }
@@ -53,55 +53,56 @@
 
     /// Nothing of the request has run or will run.
     pub fn into_outcome(self) -> WebOutcome {
-        let answered = refuse(self.status, self.kind, &self.reason).with_header(OUTCOME_HEADER, "not_run");
+        let response = refuse(self.status, self.kind, &self.reason).with_header(OUTCOME_HEADER, "not_run");
         match self.retry_after {
-            Some(seconds) => answered.with_header("retry-after", &seconds.to_string()),
-            None => answered,
+            Some(seconds) => response.with_header("retry-after", &seconds.to_string()),
+            None => response,
         }
     }
 }
 
-const LONGEST_LIMIT: u64 = 10_000;
-const MOST_TOKENS: u64 = 4096;
-const USUAL_TOKENS: u64 = 16;
+const MAX_LIMIT_MS: u64 = 10_000;
+const MAX_MAX_TOKENS: u64 = 4096;
+const DEFAULT_MAX_TOKENS: u64 = 16;
 
-impl Plan {
+impl RequestPlan {
     pub fn make(
         request: CallerRequest,
-        form: Form,
+        format: ApiFormat,
         headers: &HeaderFields,
-        sight: &FleetSnapshot,
+        snapshot: &FleetSnapshot,
         run: (String, u64),
         now: Instant,
-    ) -> Result<Plan, Refusal> {
+    ) -> Result<RequestPlan, Refusal> {
         let bad = |reason: String| Refusal::new(StatusCode::BAD_REQUEST, "bad_request", reason);
         let Some(key_hash) = headers.key_hash.clone() else {
             return Err(Refusal::new(StatusCode::UNAUTHORIZED, "unknown_key", "a key is needed"));
         };
-        let Some(tenant) = sight.tenants_by_key.get(&key_hash).cloned() else {
+        let Some(tenant) = snapshot.tenants_by_key.get(&key_hash).cloned() else {
             return Err(Refusal::new(StatusCode::UNAUTHORIZED, "unknown_key", "the key is not known"));
         };
         let model = ModelName(request.model.clone());
-        if !sight.state.desired.models.contains_key(&model) {
+        if !snapshot.state.desired.models.contains_key(&model) {
             return Err(Refusal::new(StatusCode::NOT_FOUND, "unknown_model", "the model is not known"));
         }
-        let max_tokens = request.max_tokens.unwrap_or(USUAL_TOKENS);
-        if !(1..=MOST_TOKENS).contains(&max_tokens) {
-            return Err(bad(format!("max_tokens: 1 to {MOST_TOKENS}")));
+        let max_tokens = request.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+        if !(1..=MAX_MAX_TOKENS).contains(&max_tokens) {
+            return Err(bad(format!("max_tokens: 1 to {MAX_MAX_TOKENS}")));
         }
         if request.n.is_some_and(|count| count != 1) {
             return Err(bad("n: only 1 is served".into()));
         }
-        let limit_ms = headers.limit_ms.or(request.limit_ms).unwrap_or(sight.state.desired.routing.limit.as_millis());
-        if !(1..=LONGEST_LIMIT).contains(&limit_ms) {
-            return Err(bad(format!("limit_ms: 1 to {LONGEST_LIMIT}")));
+        let limit_ms =
+            headers.limit_ms.or(request.limit_ms).unwrap_or(snapshot.state.desired.routing.limit.as_millis());
+        if !(1..=MAX_LIMIT_MS).contains(&limit_ms) {
+            return Err(bad(format!("limit_ms: 1 to {MAX_LIMIT_MS}")));
         }
         let prompt_text = request.prompt_text().map_err(bad)?;
         if prompt_text.is_empty() {
             return Err(bad("prompt is empty".into()));
         }
         let kind = headers.kind.clone().or(request.kind).unwrap_or_default();
-        if !kind.is_empty() && !sight.state.desired.kinds.contains(&kind) {
+        if !kind.is_empty() && !snapshot.state.desired.kinds.contains(&kind) {
             return Err(bad("kind: not one of the desired state's".into()));
         }
         let repeatable = headers.repeatable.unwrap_or(request.repeatable);
@@ -110,8 +111,8 @@
             .as_ref()
             .filter(|_| !repeatable)
             .map(|key| BlockHash::of_parts(&[b"claim", tenant.as_str().as_bytes(), key.as_bytes()]));
-        let share = sight.state.desired.tenants.get(&tenant).map_or(0, |wish| wish.share);
-        Ok(Plan {
+        let share = snapshot.state.desired.tenants.get(&tenant).map_or(0, |wish| wish.share);
+        Ok(RequestPlan {
             run: run.0,
             run_number: run.1,
             claim,
@@ -127,33 +128,33 @@
             began: now,
             limit: now + Span::millis(limit_ms),
             share,
-            form,
+            format,
         })
     }
 
     /// The adapter it runs on; none for the bare model.
-    pub fn adapter(&self, sight: &FleetSnapshot) -> Option<AdapterId> {
-        sight.state.adapter_for(&self.tenant, &self.model)
+    pub fn adapter(&self, snapshot: &FleetSnapshot) -> Option<AdapterId> {
+        snapshot.state.adapter_for(&self.tenant, &self.model)
     }
 
     /// The salt of this tenant's memory under an edition of the weights and its adapter.
-    pub fn salt(&self, sight: &FleetSnapshot, weights: WeightsEdition) -> Salt {
-        let wall = sight.state.wall_of(&self.tenant);
-        Salt::for_model(&self.model, weights, wall.id, wall.edition).with_adapter(self.adapter(sight).as_ref())
+    pub fn salt(&self, snapshot: &FleetSnapshot, weights: WeightsEdition) -> Salt {
+        let wall = snapshot.state.wall_of(&self.tenant);
+        Salt::for_model(&self.model, weights, wall.id, wall.edition).with_adapter(self.adapter(snapshot).as_ref())
     }
 
     /// What the picker is asked: block names under every edition in use.
-    pub fn prompt(&self, sight: &FleetSnapshot, tried: &[EngineName], now: Instant) -> Prompt {
-        let names = sight
+    pub fn prompt(&self, snapshot: &FleetSnapshot, tried: &[EngineName], now: Instant) -> Prompt {
+        let names = snapshot
             .editions_in_use(&self.model, now)
             .into_iter()
-            .map(|weights| (weights, hash_blocks(&self.salt(sight, weights), self.prompt_text.as_bytes())))
+            .map(|weights| (weights, hash_blocks(&self.salt(snapshot, weights), self.prompt_text.as_bytes())))
             .collect();
         Prompt {
             tenant: self.tenant.clone(),
             kind: self.kind.clone(),
             model: self.model.clone(),
-            adapter: self.adapter(sight),
+            adapter: self.adapter(snapshot),
             names,
             blocks: blocks_needed(self.prompt_text.len()),
             output_blocks: BlockCount(self.max_tokens.div_ceil(BLOCK_TOKENS as u64)),
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -1,18 +1,18 @@
 //! The one import of this package's files, and of programs that serve routers.
 
-pub use crate::allowing::*;
+pub use crate::allowance_extender::*;
 pub use crate::demand::*;
 pub use crate::feed::*;
 pub use crate::followers::*;
 pub use crate::forward::*;
+pub use crate::held_runs::*;
 pub use crate::pieces::*;
 pub use crate::plan::*;
 pub use crate::recorder::*;
 pub use crate::request_site::*;
 pub use crate::router_roster::*;
-pub use crate::runs::*;
+pub use crate::scheduler::*;
 pub use crate::shared_state::*;
-pub use crate::table::*;
 pub use adapters::prelude::{DemandMeter, DemandReport};
 pub use admission::prelude::{ConcurrencyShares, RetryBudget};
 pub use attempts::prelude::*;
--- a/crates/router/src/recorder.rs
+++ b/crates/router/src/recorder.rs
@@ -6,12 +6,12 @@
 #[derive(Clone, Default)]
 pub struct Recorder {
     queue: Option<Sender<RecordedRun>>,
-    pub missed: Arc<AtomicU64>,
+    pub unrecorded: Arc<AtomicU64>,
 }
 
 impl Recorder {
-    pub fn start(folder: &str, router: NodeId, most_bytes: u64) -> Result<Recorder, Report> {
-        let mut writer = DayWriter::create(std::path::Path::new(folder), &router.to_string(), most_bytes)
+    pub fn start(folder: &str, router: NodeId, max_file_bytes: u64) -> Result<Recorder, Report> {
+        let mut writer = DayWriter::create(std::path::Path::new(folder), &router.to_string(), max_file_bytes)
             .map_err(|fault| miette!("record: {folder}: {fault}"))?;
         let (queue, runs) = bounded_queue::<RecordedRun>(4096);
         spawn_thread("recorder", move || {
@@ -23,7 +23,7 @@
                 }
             }
         });
-        Ok(Recorder { queue: Some(queue), missed: Arc::default() })
+        Ok(Recorder { queue: Some(queue), unrecorded: Arc::default() })
     }
 
     pub fn is_on(&self) -> bool {
@@ -33,18 +33,18 @@
     pub fn write(&self, run: RecordedRun) {
         let Some(queue) = &self.queue else { return };
         if queue.try_send(run).is_err() {
-            Counts::add(&self.missed, 1);
+            Counts::add(&self.unrecorded, 1);
         }
     }
 }
 
 /// A placement as it is recorded.
-pub trait PickExt {
-    fn of(placement: &Placement) -> RecordedPick;
+pub trait FromPlacement {
+    fn from_placement(placement: &Placement) -> RecordedPick;
 }
 
-impl PickExt for RecordedPick {
-    fn of(placement: &Placement) -> RecordedPick {
+impl FromPlacement for RecordedPick {
+    fn from_placement(placement: &Placement) -> RecordedPick {
         let candidates = placement
             .candidates
             .iter()
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/request_site.rs
@@ -1,4 +1,4 @@
-//! Where requests come in: pages, checks, the plan, a seat for the tenant, and on to forwarding.
+//! Where requests come in: pages, checks, the plan, a slot for the tenant, and on to forwarding.
 
 use crate::prelude::*;
 
@@ -6,17 +6,17 @@
 pub struct RequestSite {
     pub router: NodeId,
     pub shared: Arc<SharedState>,
-    pub table: TableAsker,
+    pub scheduler: SchedulerHandle,
     pub next_run: AtomicU64,
-    pub book: Arc<RunBook>,
+    pub held_runs: Arc<HeldRuns>,
     pub coordinator: Arc<CoordinatorClient>,
     pub recorder: Recorder,
 }
 
 /// Counts a request as running until dropped.
-pub struct Running(Arc<SharedState>);
+pub struct RunningGuard(Arc<SharedState>);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.counts.running.fetch_sub(1, Ordering::SeqCst);
     }
@@ -32,8 +32,8 @@
     async fn respond(self: Arc<Self>, asked: Asked) -> WebOutcome {
         let (method, segments) = asked.way();
         match (method.as_str(), segments.as_slice()) {
-            ("POST", ["v1", "completions"]) => self.take(asked, Form::Completion).await,
-            ("POST", ["v1", "chat", "completions"]) => self.take(asked, Form::Chat).await,
+            ("POST", ["v1", "completions"]) => self.take(asked, ApiFormat::Completion).await,
+            ("POST", ["v1", "chat", "completions"]) => self.take(asked, ApiFormat::Chat).await,
             ("GET", ["v1", "runs", run]) => {
                 let (run, last_event) = ((*run).to_owned(), asked.header("last-event-id").map(str::to_owned));
                 self.resume(&asked, &run, last_event.as_deref()).await
@@ -63,19 +63,19 @@
             let reason = "this router holds no lease";
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_lease", reason).retry_after(1).into_outcome();
         }
-        let sight = self.shared.snapshot();
+        let snapshot = self.shared.snapshot();
         let key_hash = asked.bearer().map(sha256_hex).unwrap_or_default();
-        let Some(tenant) = sight.tenants_by_key.get(&key_hash) else {
+        let Some(tenant) = snapshot.tenants_by_key.get(&key_hash) else {
             return refuse(StatusCode::UNAUTHORIZED, "unknown_key", "the key is not known");
         };
         if named.router != self.router {
             let may_carry = asked.header("x-haremount-carried").is_none();
             return match self.shared.address_of(named.router).filter(|_| may_carry) {
-                Some(address) => carry_resume(&address, asked, run, last_event).await.unwrap_or_else(|_| gone()),
+                Some(address) => proxy_resume(&address, asked, run, last_event).await.unwrap_or_else(|_| gone()),
                 None => gone(),
             };
         }
-        let Some(held_run) = self.book.find(named.run).filter(|held_run| held_run.tenant == *tenant) else {
+        let Some(held_run) = self.held_runs.find(named.run).filter(|held_run| held_run.tenant == *tenant) else {
             return gone();
         };
         let Some(first) = resume_index(last_piece, held_run.event_count()) else {
@@ -84,23 +84,23 @@
         held_run.stream_from(first).with_header(RUN_HEADER, run)
     }
 
-    async fn take(&self, mut asked: Asked, form: Form) -> WebOutcome {
+    async fn take(&self, mut asked: Asked, format: ApiFormat) -> WebOutcome {
         if let Some(last_event) = asked.header("last-event-id").map(str::to_owned) {
             let run = last_event.rsplit_once('.').map_or("", |(run, _)| run).to_owned();
             return self.resume(&asked, &run, Some(&last_event)).await;
         }
         Counts::add(&self.shared.counts.requests, 1);
         self.shared.counts.running.fetch_add(1, Ordering::SeqCst);
-        let running = Running(Arc::clone(&self.shared));
-        match self.admit(&mut asked, form).await {
-            Ok((plan, seat)) => {
+        let running = RunningGuard(Arc::clone(&self.shared));
+        match self.admit(&mut asked, format).await {
+            Ok((plan, slot)) => {
                 let run = Run {
                     plan,
-                    _held: (seat, running),
+                    _held: (slot, running),
                     router: self.router,
                     shared: Arc::clone(&self.shared),
-                    table: self.table.clone(),
-                    book: Arc::clone(&self.book),
+                    scheduler: self.scheduler.clone(),
+                    held_runs: Arc::clone(&self.held_runs),
                     coordinator: Arc::clone(&self.coordinator),
                     recorder: self.recorder.clone(),
                     draft: None,
@@ -115,7 +115,7 @@
         }
     }
 
-    async fn admit(&self, asked: &mut Asked, form: Form) -> Result<(Plan, Seat), Refusal> {
+    async fn admit(&self, asked: &mut Asked, format: ApiFormat) -> Result<(RequestPlan, ConcurrencySlot), Refusal> {
         let now = boot_now();
         if self.shared.draining.load(Ordering::SeqCst) {
             let reason = "this router is stopping";
@@ -138,21 +138,21 @@
             .map_err(|fault| Refusal::new(StatusCode::BAD_REQUEST, "bad_request", fault.to_string()))?;
         let run_number = self.next_run.fetch_add(1, Ordering::SeqCst);
         let run = (format!("{}.{run_number}", self.router), run_number);
-        let sight = self.shared.snapshot();
-        let plan = Plan::make(request, form, &headers, &sight, run, now)?;
-        if let Some(adapter) = plan.adapter(&sight) {
-            self.shared.note_demand(&adapter.name, now);
+        let snapshot = self.shared.snapshot();
+        let plan = RequestPlan::make(request, format, &headers, &snapshot, run, now)?;
+        if let Some(adapter) = plan.adapter(&snapshot) {
+            self.shared.record_demand(&adapter.name, now);
         }
         let overloaded = || {
             let reason = "the router is overloaded";
             Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "overloaded", reason).retry_after(1)
         };
-        let admitted = self.table.admit(&plan.tenant, plan.share).await.ok_or_else(overloaded)?;
-        let Some(seat) = admitted else {
+        let admitted = self.scheduler.admit(&plan.tenant, plan.share).await.ok_or_else(overloaded)?;
+        let Some(slot) = admitted else {
             let reason = "the tenant's share is in use";
             return Err(Refusal::new(StatusCode::TOO_MANY_REQUESTS, "over_share", reason).retry_after(1));
         };
-        Ok((plan, seat))
+        Ok((plan, slot))
     }
 
     fn ready(&self) -> WebOutcome {
@@ -167,7 +167,7 @@
     fn metrics(&self) -> WebOutcome {
         let counts = &self.shared.counts;
         let now = boot_now();
-        let sight = self.shared.snapshot();
+        let snapshot = self.shared.snapshot();
         let mut text = String::new();
         let counters = [
             ("requests_total", &counts.requests),
@@ -193,7 +193,7 @@
         for (name, counter) in counters {
             text.push_str(&format!("haremount_router_{name} {}\n", counter.load(Ordering::Relaxed)));
         }
-        text.push_str(&format!("haremount_router_edition {}\n", sight.state.edition));
+        text.push_str(&format!("haremount_router_edition {}\n", snapshot.state.edition));
         text.push_str(&format!("haremount_router_lease_left_ms {}\n", self.shared.lease_left(now).as_millis()));
         text.push_str(&self.shared.policy_metrics());
         outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
@@ -201,7 +201,7 @@
 }
 
 /// Asks the router that holds the run, and passes its stream on byte by byte.
-async fn carry_resume(
+async fn proxy_resume(
     address: &str,
     asked: &Asked,
     run: &str,
@@ -220,7 +220,7 @@
         let body = read_whole(&mut replied.body, 1 << 16, Duration::from_secs(2)).await.unwrap_or_default();
         return Ok(outcome_bytes(status, "application/json", body));
     }
-    let (pieces, answered) = outcome_pieces(StatusCode::OK, "text/event-stream", 32);
+    let (pieces, response) = outcome_pieces(StatusCode::OK, "text/event-stream", 32);
     tokio::spawn(async move {
         loop {
             let piece = tokio::select! {
@@ -238,5 +238,5 @@
             }
         }
     });
-    Ok(answered.with_header(RUN_HEADER, run))
+    Ok(response.with_header(RUN_HEADER, run))
 }
--- a/crates/router/src/router_roster.rs
+++ b/crates/router/src/router_roster.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 
 /// How long a router that is not listed any more is still counted with the others.
-const UNLISTED_SPAN: Span = Span::seconds(5);
+const UNLISTED_RETENTION: Span = Span::seconds(5);
 
 /// The routers that are listed, and those that were until lately.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
     }
 
     fn forget(&mut self, now: Instant) {
-        let is_over = |since: &Instant| now.since(*since) >= UNLISTED_SPAN;
+        let is_over = |since: &Instant| now.since(*since) >= UNLISTED_RETENTION;
         let gone: Vec<NodeId> =
             self.unlisted.iter().filter(|(_, since)| is_over(since)).map(|(router, _)| router.router).collect();
         if gone.is_empty() {
--- a/crates/router/src/table.rs
+++ b/crates/router/src/scheduler.rs
@@ -1,12 +1,12 @@
-//! The table: the one owner of the picker, the tenant shares and the retry budget, working through a
+//! The scheduler: the one owner of the picker, the tenant shares and the retry budget, working through a
 //! queue of commands on a thread of its own. What is taken from it comes back by guards that give it
 //! up exactly once, however a request ends.
 
 use crate::prelude::*;
 
-pub enum TableCommand {
+pub enum SchedulerCommand {
     /// The fleet changed.
-    Fleet,
+    FleetChanged,
     Admit {
         tenant: TenantName,
         share: u64,
@@ -24,39 +24,39 @@
         engine: EngineName,
         blocks: BlockCount,
     },
-    Kept {
+    RecordKept {
         engine: EngineName,
         names: Vec<BlockHash>,
     },
-    Fault {
+    RecordFault {
         engine: EngineName,
     },
     /// An engine refused a request, as it does not hold its adapter.
-    Cold {
+    RecordCold {
         engine: EngineName,
         adapter: AdapterId,
     },
-    Place {
+    EventPosition {
         engine: EngineName,
         reply: oneshot::Sender<Option<EventCursor>>,
     },
-    Snapshot {
+    ApplySnapshot {
         engine: EngineName,
         snapshot: CacheSnapshot,
         names: Vec<BlockHash>,
-        asked: Instant,
+        requested_at: Instant,
     },
-    Events {
+    ApplyEvents {
         engine: EngineName,
         batch: EventBatch,
         events: Vec<CacheEvent>,
-        asked: Instant,
+        requested_at: Instant,
         reply: oneshot::Sender<bool>,
     },
-    Count {
+    RecordRunningCount {
         engine: EngineName,
         running: u64,
-        asked: Instant,
+        requested_at: Instant,
     },
 }
 
@@ -70,134 +70,134 @@
     NoBudget,
 }
 
-/// The way to the table. A full ring is an answer of its own: the caller is turned away.
+/// The way to the scheduler. A full ring is an answer of its own: the caller is turned away.
 #[derive(Clone)]
-pub struct TableAsker {
-    queue: Sender<TableCommand>,
+pub struct SchedulerHandle {
+    queue: Sender<SchedulerCommand>,
 }
 
-impl TableAsker {
-    pub fn tell(&self, command: TableCommand) {
+impl SchedulerHandle {
+    pub fn tell(&self, command: SchedulerCommand) {
         let _ = self.queue.send(command);
     }
 
-    pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> TableCommand) -> Option<T> {
+    pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> SchedulerCommand) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.queue.try_send(command(reply)).ok()?;
         answer.await.ok()
     }
 }
 
-/// A tenant's seat, given back when dropped.
-pub struct Seat {
-    table: TableAsker,
+/// A tenant's slot, given back when dropped.
+pub struct ConcurrencySlot {
+    scheduler: SchedulerHandle,
     tenant: TenantName,
 }
 
-impl Drop for Seat {
+impl Drop for ConcurrencySlot {
     fn drop(&mut self) {
-        self.table.tell(TableCommand::Release { tenant: self.tenant.clone() });
+        self.scheduler.tell(SchedulerCommand::Release { tenant: self.tenant.clone() });
     }
 }
 
 /// An attempt's occupancy, given back when dropped.
-pub struct AttemptPlace {
-    table: TableAsker,
+pub struct OccupancyGuard {
+    scheduler: SchedulerHandle,
     pub engine: EngineName,
     blocks: BlockCount,
 }
 
-impl Drop for AttemptPlace {
+impl Drop for OccupancyGuard {
     fn drop(&mut self) {
-        self.table.tell(TableCommand::EndAttempt { engine: self.engine.clone(), blocks: self.blocks });
+        self.scheduler.tell(SchedulerCommand::EndAttempt { engine: self.engine.clone(), blocks: self.blocks });
     }
 }
 
-impl TableAsker {
-    pub async fn admit(&self, tenant: &TenantName, share: u64) -> Option<Option<Seat>> {
-        let admitted = self.ask(|reply| TableCommand::Admit { tenant: tenant.clone(), share, reply }).await?;
-        Some(admitted.then(|| Seat { table: self.clone(), tenant: tenant.clone() }))
+impl SchedulerHandle {
+    pub async fn admit(&self, tenant: &TenantName, share: u64) -> Option<Option<ConcurrencySlot>> {
+        let admitted = self.ask(|reply| SchedulerCommand::Admit { tenant: tenant.clone(), share, reply }).await?;
+        Some(admitted.then(|| ConcurrencySlot { scheduler: self.clone(), tenant: tenant.clone() }))
     }
 
-    pub async fn pick(&self, prompt: Prompt, is_retry: bool) -> Option<(Picked, Option<AttemptPlace>)> {
+    pub async fn pick(&self, prompt: Prompt, is_retry: bool) -> Option<(Picked, Option<OccupancyGuard>)> {
         let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
-        let picked = self.ask(|reply| TableCommand::Pick { prompt: Box::new(prompt), is_retry, reply }).await?;
-        let place = match &picked {
+        let picked = self.ask(|reply| SchedulerCommand::Pick { prompt: Box::new(prompt), is_retry, reply }).await?;
+        let occupancy = match &picked {
             Picked::Placed(placement) => {
-                Some(AttemptPlace { table: self.clone(), engine: placement.chosen.engine.clone(), blocks })
+                Some(OccupancyGuard { scheduler: self.clone(), engine: placement.chosen.engine.clone(), blocks })
             }
             _ => None,
         };
-        Some((picked, place))
+        Some((picked, occupancy))
     }
 }
 
-pub fn start_table(router: NodeId, zone: Zone, shared: Arc<SharedState>) -> TableAsker {
-    let (queue, commands) = bounded_queue::<TableCommand>(8192);
+pub fn start_scheduler(router: NodeId, zone: Zone, shared: Arc<SharedState>) -> SchedulerHandle {
+    let (queue, commands) = bounded_queue::<SchedulerCommand>(8192);
     spawn_thread("table", move || {
-        let mut table = Table {
+        let mut scheduler = Scheduler {
             picker: Picker::new(router, zone),
             shares: ConcurrencyShares::default(),
             budget: RetryBudget::default(),
             shared,
         };
         while let Ok(command) = commands.recv() {
-            table.take(command);
+            scheduler.take(command);
         }
     });
-    TableAsker { queue }
+    SchedulerHandle { queue }
 }
 
-struct Table {
+struct Scheduler {
     picker: Picker,
     shares: ConcurrencyShares,
     budget: RetryBudget,
     shared: Arc<SharedState>,
 }
 
-impl Table {
-    fn take(&mut self, command: TableCommand) {
+impl Scheduler {
+    fn take(&mut self, command: SchedulerCommand) {
         let now = boot_now();
         match command {
-            TableCommand::Fleet => self.picker.retain_listed(&self.shared.snapshot()),
-            TableCommand::Admit { tenant, share, reply } => {
+            SchedulerCommand::FleetChanged => self.picker.retain_listed(&self.shared.snapshot()),
+            SchedulerCommand::Admit { tenant, share, reply } => {
                 let admitted = self.shares.try_acquire(&tenant, share);
                 if reply.send(admitted).is_err() && admitted {
                     self.shares.release(&tenant);
                 }
             }
-            TableCommand::Release { tenant } => self.shares.release(&tenant),
-            TableCommand::Pick { prompt, is_retry, reply } => {
+            SchedulerCommand::Release { tenant } => self.shares.release(&tenant),
+            SchedulerCommand::Pick { prompt, is_retry, reply } => {
                 let picked = self.pick(&prompt, is_retry, now);
                 if let Err(Picked::Placed(placement)) = reply.send(picked) {
                     let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
                     self.picker.end_attempt(&placement.chosen.engine, blocks);
                 }
             }
-            TableCommand::EndAttempt { engine, blocks } => self.picker.end_attempt(&engine, blocks),
-            TableCommand::Kept { engine, names } => self.picker.record_kept(&engine, &names, now),
-            TableCommand::Fault { engine } => self.picker.record_fault(&engine, now),
-            TableCommand::Cold { engine, adapter } => self.picker.record_cold(&engine, &adapter, now),
-            TableCommand::Place { engine, reply } => {
+            SchedulerCommand::EndAttempt { engine, blocks } => self.picker.end_attempt(&engine, blocks),
+            SchedulerCommand::RecordKept { engine, names } => self.picker.record_kept(&engine, &names, now),
+            SchedulerCommand::RecordFault { engine } => self.picker.record_fault(&engine, now),
+            SchedulerCommand::RecordCold { engine, adapter } => self.picker.record_cold(&engine, &adapter, now),
+            SchedulerCommand::EventPosition { engine, reply } => {
                 let _ = reply.send(self.picker.event_position(&engine));
             }
-            TableCommand::Snapshot { engine, snapshot, names, asked } => {
-                self.picker.apply_snapshot(&engine, &snapshot.boot, snapshot.next, names, asked);
+            SchedulerCommand::ApplySnapshot { engine, snapshot, names, requested_at } => {
+                self.picker.apply_snapshot(&engine, &snapshot.boot, snapshot.next, names, requested_at);
             }
-            TableCommand::Events { engine, batch, events, asked, reply } => {
-                let followed = self.picker.apply_events(&engine, &batch.boot, batch.first, &events, asked);
+            SchedulerCommand::ApplyEvents { engine, batch, events, requested_at, reply } => {
+                let followed = self.picker.apply_events(&engine, &batch.boot, batch.first, &events, requested_at);
                 let _ = reply.send(followed);
             }
-            TableCommand::Count { engine, running, asked } => {
-                self.picker.record_running_count(&engine, running, asked)
+            SchedulerCommand::RecordRunningCount { engine, running, requested_at } => {
+                self.picker.record_running_count(&engine, running, requested_at)
             }
         }
     }
 
     fn pick(&mut self, prompt: &Prompt, is_retry: bool, now: Instant) -> Picked {
-        let sight = self.shared.snapshot();
-        let Some(placement) = self.picker.pick(&sight, prompt, now) else {
-            return unplaced(&sight, prompt, now);
+        let snapshot = self.shared.snapshot();
+        let Some(placement) = self.picker.pick(&snapshot, prompt, now) else {
+            return explain_no_placement(&snapshot, prompt, now);
         };
         if is_retry {
             if !self.budget.try_withdraw() {
@@ -205,7 +205,7 @@
             }
             Counts::add(&self.shared.counts.retries, 1);
         } else {
-            self.budget.deposit(sight.state.desired.routing.retry_percent);
+            self.budget.deposit(snapshot.state.desired.routing.retry_percent);
         }
         Counts::add(&self.shared.counts.attempts, 1);
         let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
@@ -215,7 +215,7 @@
 }
 
 /// Why no engine passes.
-fn unplaced(sight: &FleetSnapshot, prompt: &Prompt, now: Instant) -> Picked {
-    let is_cold = prompt.adapter.as_ref().is_some_and(|adapter| !sight.is_warm_anywhere(adapter, now));
+fn explain_no_placement(snapshot: &FleetSnapshot, prompt: &Prompt, now: Instant) -> Picked {
+    let is_cold = prompt.adapter.as_ref().is_some_and(|adapter| !snapshot.is_warm_anywhere(adapter, now));
     if is_cold { Picked::NoAdapter } else { Picked::NoEngine }
 }
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -4,13 +4,13 @@
 use crate::prelude::*;
 
 /// How often running work looks whether the lease is long gone; changes are heard of at once.
-const WORK_LOOK: Duration = Duration::from_millis(200);
+const WORK_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What all tasks of a router look at.
 #[derive(Default)]
 pub struct SharedState {
-    news: tokio::sync::watch::Sender<u64>,
-    sight: RwLock<Arc<FleetSnapshot>>,
+    changes: tokio::sync::watch::Sender<u64>,
+    snapshot: RwLock<Arc<FleetSnapshot>>,
     /// The end of the lease as the watch tells it, for those who only look at it.
     lease_until: AtomicU64,
     grants: Mutex<GrantTracker>,
@@ -57,7 +57,7 @@
     }
 
     /// How near the engine was that served a request on an adapter.
-    pub fn note_adapter_place(&self, distance_blocks: u64, is_far: bool) {
+    pub fn count_adapter_request(&self, distance_blocks: u64, is_far: bool) {
         let counter = match (distance_blocks, is_far) {
             (0, false) => &self.adapter_own_zone,
             (0, true) => &self.adapter_own_region,
@@ -74,34 +74,34 @@
     }
 
     pub fn snapshot(&self) -> Arc<FleetSnapshot> {
-        Arc::clone(&self.sight.read().expect("no holder of this lock panics"))
+        Arc::clone(&self.snapshot.read().expect("no holder of this lock panics"))
     }
 
-    /// Puts a sight in force. Figures of a policy that was changed, and of a tenant whose trial was, begin
+    /// Puts a snapshot in force. Figures of a policy that was changed, and of a tenant whose trial was, begin
     /// anew, so that both sides of a trial are of the same time.
-    pub fn publish(&self, sight: FleetSnapshot) {
-        let earlier = self.snapshot();
-        let (old_policies, new_policies) = (&earlier.state.desired.policies, &sight.state.desired.policies);
+    pub fn publish(&self, snapshot: FleetSnapshot) {
+        let previous = self.snapshot();
+        let (old_policies, new_policies) = (&previous.state.desired.policies, &snapshot.state.desired.policies);
         let names = old_policies.keys().chain(new_policies.keys());
         for name in names.filter(|name| old_policies.get(*name) != new_policies.get(*name)) {
             self.policies().clear_policy(name);
         }
-        let (before, after) = (&earlier.state.desired, &sight.state.desired);
+        let (before, after) = (&previous.state.desired, &snapshot.state.desired);
         let share_moved = before.routing.trial_percent != after.routing.trial_percent;
         for tenant in before.trials.keys().chain(after.trials.keys()) {
             if share_moved || before.trials.get(tenant) != after.trials.get(tenant) {
                 self.policies().clear_tenant(tenant.as_str());
             }
         }
-        *self.sight.write().expect("no holder of this lock panics") = Arc::new(sight);
-        self.news.send_modify(|count| *count += 1);
+        *self.snapshot.write().expect("no holder of this lock panics") = Arc::new(snapshot);
+        self.changes.send_modify(|count| *count += 1);
     }
 
     fn policies(&self) -> std::sync::MutexGuard<'_, PolicyMetrics> {
         self.policies.lock().expect("no holder of this lock panics")
     }
 
-    pub fn note_policy(&self, policy: &str, tenant: &TenantName, note: impl FnOnce(&mut TrafficMetrics)) {
+    pub fn record_policy_metrics(&self, policy: &str, tenant: &TenantName, note: impl FnOnce(&mut TrafficMetrics)) {
         note(self.policies().entry(policy, tenant.as_str()));
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Counts a request for the adapter it runs on, whether it is served or not.
-    pub fn note_demand(&self, adapter: &AdapterName, now: Instant) {
+    pub fn record_demand(&self, adapter: &AdapterName, now: Instant) {
         let span = self.snapshot().state.desired.warming.demand_window;
         self.demand.lock().expect("no holder of this lock panics").record(adapter, span, now);
     }
@@ -121,7 +121,7 @@
         self.demand.lock().expect("no holder of this lock panics").rates(span, now)
     }
 
-    pub fn know_routers(&self, routers: Vec<RouterAddress>) {
+    pub fn update_routers(&self, routers: Vec<RouterAddress>) {
         self.routers.lock().expect("no holder of this lock panics").take(routers, boot_now());
     }
 
@@ -146,11 +146,11 @@
     }
 
     /// Looks at the watch over grants, or tells it something; the end of the lease follows.
-    pub fn with_grants<T>(&self, look: impl FnOnce(&mut GrantTracker) -> T) -> T {
+    pub fn with_grants<T>(&self, access: impl FnOnce(&mut GrantTracker) -> T) -> T {
         let mut grants = self.grants.lock().expect("no holder of this lock panics");
-        let told = look(&mut grants);
+        let result = access(&mut grants);
         self.lease_until.fetch_max(grants.until().0, Ordering::SeqCst);
-        told
+        result
     }
 
     /// From now on old weights are given up by undisturbed time alone.
@@ -158,7 +158,7 @@
         Arc::clone(self.disturbed.get_or_init(Arc::default))
     }
 
-    pub fn note_disturbed(&self, disturbed: Instant) {
+    pub fn record_disturbance(&self, disturbed: Instant) {
         if let Some(known) = self.disturbed.get() {
             known.fetch_max(disturbed.0, Ordering::Relaxed);
         }
@@ -177,22 +177,22 @@
     }
 
     /// The last look before the first byte of an attempt.
-    pub fn may_start(&self, ground: &AttemptBasis) -> Result<(), StartRefusal> {
-        may_start(&self.snapshot(), self.lease_until(), ground, boot_now())
+    pub fn may_start(&self, basis: &AttemptBasis) -> Result<(), StartRefusal> {
+        may_start(&self.snapshot(), self.lease_until(), basis, boot_now())
     }
 
     /// Resolves when work for this key must end here.
-    pub async fn work_barred(&self, key_hash: &str, tenant: &TenantName) -> StopReason {
-        let mut news = self.news.subscribe();
+    pub async fn wait_until_work_must_stop(&self, key_hash: &str, tenant: &TenantName) -> StopReason {
+        let mut changes = self.changes.subscribe();
         loop {
-            news.borrow_and_update();
+            changes.borrow_and_update();
             let now = boot_now();
-            if let Err(bar) = may_continue(&self.snapshot(), self.lease_until(), key_hash, tenant, now) {
-                return bar;
+            if let Err(reason) = may_continue(&self.snapshot(), self.lease_until(), key_hash, tenant, now) {
+                return reason;
             }
             tokio::select! {
-                _ = news.changed() => {}
-                () = tokio::time::sleep(WORK_LOOK) => {}
+                _ = changes.changed() => {}
+                () = tokio::time::sleep(WORK_CHECK_INTERVAL) => {}
             }
         }
     }
