--- a/crates/router/src/demand.rs
+++ b/crates/router/src/demand.rs
@@ -1,11 +1,12 @@
-//! Tells the core, through the agent, which adapters' requests arrive here. What is lost on the way is said
-//! again a moment later; a router without such requests says nothing.
+//! Reports to the coordinator, through the agent, the rate of requests for each adapter at this router. A lost
+//! report is made good by the next one; a router without such requests sends none.
 
 use crate::prelude::*;
 
+/// How often the rates are reported.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells as long as the program runs.
+/// Reports the rates for as long as the program runs.
 pub async fn report_demand(
     shared: Arc<SharedState>,
     coordinator: Arc<CoordinatorClient>,
@@ -18,7 +19,7 @@
         interval.tick().await;
         let rates = shared.demand(boot_now());
         if !rates.is_empty() {
-            coordinator.say(&RouterToAgent::Demand(DemandReport { router, zone: zone.clone(), rates }));
+            coordinator.send(&RouterToAgent::Demand(DemandReport { router, zone: zone.clone(), rates }));
         }
     }
 }
--- a/crates/router/src/followers.rs
+++ b/crates/router/src/followers.rs
@@ -1,19 +1,33 @@
-//! Followers: for each listed engine a task that follows its kept-memory events and, rarely, asks for
-//! its coarse count of running requests.
+//! A follower for each listed engine, and for the store: a task that follows its cache events and, for engines, polls
+//! the number of running requests at a lower rate.
 
 use crate::prelude::*;
 
+/// How long an engine may hold a request for events until there are some, in milliseconds.
 const POLL_WAIT_MS: u64 = 1000;
-const POLL_LIMIT: Span = Span::millis(2500);
+/// The time limit of any request of a follower.
+const POLL_TIMEOUT: Span = Span::millis(2500);
+/// The pause between two requests for events.
 const POLL_SPACING: Duration = Duration::from_millis(40);
+/// The pause after a failed request or connection.
 const FAULT_PAUSE: Duration = Duration::from_millis(300);
+/// How often the number of running requests is polled.
 const COUNT_INTERVAL: Span = Span::millis(1000);
+/// Maximum size of a snapshot or a batch of events.
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
+/// Maximum size of an engine's metrics.
+const MAX_METRICS_BYTES: usize = 1 << 20;
+/// How often the list of engines is compared with the followers.
+const LISTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The time limit for connecting to an engine or the store.
+const CONNECT_TIMEOUT: Span = Span::millis(500);
+/// A poll for events that was answered this much after its waiting time may have been answered from an old state.
+const POLL_SLACK_MS: u64 = 500;
 
-/// Starts a follower for each newly listed engine and ends those of engines that are gone.
+/// Starts a follower for each newly listed engine or address, and stops those of delisted ones.
 pub async fn run_followers(shared: Arc<SharedState>, scheduler: SchedulerHandle) {
     let mut followers: HashMap<(EngineName, String), tokio::task::JoinHandle<()>> = HashMap::new();
-    let mut interval = tokio::time::interval(Duration::from_millis(100));
+    let mut interval = tokio::time::interval(LISTING_CHECK_INTERVAL);
     loop {
         interval.tick().await;
         let snapshot = shared.snapshot();
@@ -45,7 +59,7 @@
 async fn follow(engine: EngineName, address: String, scheduler: SchedulerHandle) {
     let mut last_count = Instant(0);
     loop {
-        let mut stream = match open_stream(&address, Span::millis(500)).await {
+        let mut stream = match open_stream(&address, CONNECT_TIMEOUT).await {
             Ok(stream) => stream,
             Err(_) => {
                 tokio::time::sleep(FAULT_PAUSE).await;
@@ -67,7 +81,7 @@
 ) -> Result<(), String> {
     let requested_at = boot_now();
     if requested_at.since(*last_count) >= COUNT_INTERVAL && engine.as_str() != STORE_SOURCE {
-        let (_, _, body) = stream.ask_again(Question::get("/metrics"), POLL_LIMIT, 1 << 20).await?;
+        let (_, _, body) = stream.ask_again(Question::get("/metrics"), POLL_TIMEOUT, MAX_METRICS_BYTES).await?;
         if let Some(running) = parse_running_requests(&String::from_utf8_lossy(&body)) {
             scheduler.tell(SchedulerCommand::RecordRunningCount { engine: engine.clone(), running, requested_at });
         }
@@ -76,18 +90,22 @@
     let cursor = scheduler
         .ask(|reply| SchedulerCommand::EventPosition { engine: engine.clone(), reply })
         .await
-        .ok_or("the scheduler is full")?;
+        .ok_or("the scheduler's queue is full")?;
     let Some(cursor) = cursor else { return fetch_snapshot(engine, stream, scheduler).await };
     let path = format!("/v1/kept/events?from={}&wait_ms={POLL_WAIT_MS}", cursor.next_number);
     let requested_at = boot_now();
-    let (_, _, body) = stream.ask_again(Question::get(&path), POLL_LIMIT, MAX_RESPONSE_BYTES).await?;
+    let (_, _, body) = stream.ask_again(Question::get(&path), POLL_TIMEOUT, MAX_RESPONSE_BYTES).await?;
     let answered = boot_now();
     let batch: EventBatch = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
     let events: Option<Vec<CacheEvent>> = batch.events.iter().map(EngineEvent::read).collect();
-    let events = events.ok_or("an event is unreadable")?;
-    // A long poll that answers has looked at the very end.
-    let known_until =
-        if answered.since(requested_at) < Span::millis(POLL_WAIT_MS + 500) { answered } else { requested_at };
+    let events = events.ok_or("an event is malformed")?;
+    // An engine answers a long poll from its latest state, so all events until the answer are known. After a late
+    // answer, only those until the request are certain.
+    let known_until = if answered.since(requested_at) < Span::millis(POLL_WAIT_MS + POLL_SLACK_MS) {
+        answered
+    } else {
+        requested_at
+    };
     let followed = scheduler
         .ask(|reply| SchedulerCommand::ApplyEvents {
             engine: engine.clone(),
@@ -109,9 +127,9 @@
     scheduler: &SchedulerHandle,
 ) -> Result<(), String> {
     let requested_at = boot_now();
-    let (_, _, body) = stream.ask_again(Question::get("/v1/kept/snapshot"), POLL_LIMIT, MAX_RESPONSE_BYTES).await?;
+    let (_, _, body) = stream.ask_again(Question::get("/v1/kept/snapshot"), POLL_TIMEOUT, MAX_RESPONSE_BYTES).await?;
     let snapshot: CacheSnapshot = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
-    let names = parse_hashes(&snapshot.block_hashes).ok_or("a block name is unreadable")?;
+    let names = parse_hashes(&snapshot.block_hashes).ok_or("a block hash is malformed")?;
     event!(debug, "snapshot_taken", engine = engine, blocks = names.len());
     scheduler.tell(SchedulerCommand::ApplySnapshot { engine: engine.clone(), snapshot, names, requested_at });
     Ok(())
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -146,7 +146,7 @@
         let allowance = Allowance::under(shared.lease_until(), plan.limit);
         let allowed_ms = allowance.left(boot_now()).as_millis().max(1);
         attempt.extender =
-            Some(AllowanceExtender::begin(shared, &attempt.placement.address, &attempt_name, plan.limit, allowance));
+            Some(AllowanceExtender::spawn(shared, &attempt.placement.address, &attempt_name, plan.limit, allowance));
         let question = Question::with_json(Method::POST, "/v1/completions", &json!(engine_request))
             .header(ATTEMPT_HEADER, attempt_name)
             .header(WEIGHTS_HEADER, basis.weights.to_string())
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,8 @@
-//! The router: takes prompts, picks each one's engine by the source's cost, and forwards the stream.
-//! Duties: the feed (fleet and lease from the agent), the table (picks, shares, budget), followers of
-//! the engines' events, and the request site on a small runtime. Nothing starts without a lease.
+//! The router accepts prompts, picks an engine for each by its estimated cost, and forwards the stream.
+//!
+//! Its long-running parts are the feed (fleet state and lease, from the agent), the scheduler (picks, concurrency
+//! shares, retry budget), a follower of each engine's cache events, and the HTTP handlers. No attempt starts
+//! without a lease.
 
 mod allowance_extender;
 mod demand;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The router program: settings, then the duties of the library.
+//! The router program: reads the settings and starts the parts of the library.
 
 use router::prelude::*;
 
@@ -17,11 +17,16 @@
     ],
 };
 
+/// How often draining checks whether requests still run.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long tasks of the runtime may take to stop after draining.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
+
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, route)
+    run_trade(&TRADE, run)
 }
 
-fn route(settings: Settings) -> Result<(), Report> {
+fn run(settings: Settings) -> Result<(), Report> {
     let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
     let agent_address = settings.address("agent")?.to_string();
     let drain_span = Span::seconds(settings.whole("drain_s")?);
@@ -70,17 +75,17 @@
         stop.notified().await;
         drain_router(&shared, drain_span).await;
     });
-    runtime.shutdown_timeout(Duration::from_millis(500));
+    runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     Ok(())
 }
 
-/// Starts nothing new, and waits for what runs, within the limit.
+/// Stops accepting requests and waits for running ones, at most for `drain_span`.
 async fn drain_router(shared: &SharedState, drain_span: Span) {
     shared.draining.store(true, Ordering::SeqCst);
     event!(info, "draining", running = shared.counts.running.load(Ordering::SeqCst));
     let limit = boot_now() + drain_span;
     while shared.counts.running.load(Ordering::SeqCst) > 0 && boot_now() < limit {
-        tokio::time::sleep(Duration::from_millis(20)).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     event!(info, "stopped", cut = shared.counts.running.load(Ordering::SeqCst));
 }
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of programs that serve routers.
+//! The items that every file of this crate, and programs that embed a router, import.
 
 pub use crate::allowance_extender::*;
 pub use crate::demand::*;
--- a/crates/router/tests/router_roster.rs
+++ b/crates/router/tests/router_roster.rs
@@ -1,4 +1,4 @@
-//! Routers that a list leaves out are counted for a while yet.
+//! Routers that a list leaves out are still counted for a limited time.
 
 use router::prelude::*;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_list_that_is_not_whole_takes_nobody_away_at_once() {
+fn an_incomplete_list_removes_no_router_at_once() {
     let mut roster = RouterRoster::default();
     roster.take(list(0..89), at(0));
     roster.take(list(0..1), at(1000));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn one_that_stays_out_is_gone_once_its_time_is_over_however_many_lists_come() {
+fn a_router_left_out_for_the_retention_time_is_removed_however_many_lists_come() {
     let mut roster = RouterRoster::default();
     roster.take(list(0..4), at(0));
     for step in 1..=12 {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn one_that_started_again_takes_the_place_of_its_earlier_life() {
+fn a_restarted_router_replaces_its_earlier_entry() {
     let mut roster = RouterRoster::default();
     roster.take(list(0..3), at(0));
     roster.take(vec![address(0, 0), address(1, 1), address(77, 2)], at(100));
