--- a/crates/router/src/forward/answer.rs
+++ b/crates/router/src/forward/answer.rs
@@ -1,19 +1,20 @@
-//! What goes to the caller: the head of the answer, its pieces and its end, or the refusal of a request that
-//! is given up.
+//! Responses to the caller: the head of an answer, its pieces and its end, or the error of a request given up.
 
 use super::Forwarder;
 use super::sink::Sink;
 use crate::prelude::*;
 
+/// How many events may wait for a caller that reads slowly.
 const PIECE_QUEUE_CAPACITY: usize = 32;
-/// How long the rest of a whole stream may take to be sent, at least.
+/// The least time that the rest of a complete stream gets to be sent.
 const MIN_FINISH_TIME: Duration = Duration::from_millis(500);
-/// When a caller is told to come back, in seconds: an adapter has to be loaded first.
+/// The `retry-after` of a request given up, in seconds.
 const RETRY_AFTER_S: &str = "1";
+/// The `retry-after` of a request whose adapter has to be loaded first, in seconds.
 const COLD_ADAPTER_RETRY_AFTER_S: &str = "2";
 
 impl Forwarder {
-    /// The first piece came: the engine has the blocks now, and a stream to the caller opens.
+    /// Handles the first piece: the engine holds the prompt's blocks now, and a stream to the caller opens.
     pub(super) fn begin_answer(&mut self) -> Option<WebOutcome> {
         self.first_ms = Some(boot_now().since(self.run.plan.began).as_millis());
         if let Some(attempt) = &self.attempt {
@@ -42,7 +43,7 @@
         Some(self.with_adapter_name(response.with_header(RUN_HEADER, &plan.run)))
     }
 
-    /// A piece goes to the caller in the format that it asked for.
+    /// Queues a piece for the caller, in the format of its request.
     pub(super) fn send_piece(&mut self, completion: Completion) {
         let plan = &self.run.plan;
         let formatted = format_piece(completion, &plan.run, plan.format);
@@ -51,7 +52,7 @@
         self.outbox.push_back(Bytes::from(event_text));
     }
 
-    /// The whole answer of a request that does not stream.
+    /// The response to a request that does not stream.
     pub(super) fn answer_whole(&mut self, completion: Completion) -> WebOutcome {
         let plan = &self.run.plan;
         Counts::add(&self.run.shared.counts.whole, 1);
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The head of a stream names the adapter that it is made on.
+    /// Adds the name of the attempt's adapter to the head of a stream.
     fn with_adapter_name(&self, response: WebOutcome) -> WebOutcome {
         match self.attempt.as_ref().and_then(|attempt| attempt.adapter.as_ref()) {
             Some(adapter) => response.with_header(ADAPTER_HEADER, &adapter.to_string()),
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Ends the stream; whole only once every piece and the end mark have been taken.
+    /// Ends the stream. It is complete only once the caller has received every piece and the end mark.
     pub(super) fn end_stream(&mut self, cut: Option<CutReason>) {
         let Some(sink) = self.sink.clone() else { return };
         let counts = &self.run.shared.counts;
@@ -115,24 +116,26 @@
         );
     }
 
-    /// The final answer, given at once, with when to come back.
+    /// The final response of a request given up, with the time after which to retry.
     pub(super) fn give_up(&self, given_up: GivenUp) -> WebOutcome {
         let counts = &self.run.shared.counts;
         let plan = &self.run.plan;
         let GivenUp { kind, ran, reason } = given_up;
         if kind == GivenUpKind::Claimed {
             Counts::add(&counts.refused, 1);
-            let message = "this key is claimed by an earlier request; it is not run again";
-            let told = json!({"error": {"type": "claimed", "message": message}, "run": reason});
-            return outcome_json(StatusCode::CONFLICT, &told).with_header(OUTCOME_HEADER, "claimed");
+            let message = "the idempotency key is claimed by an earlier request; the request is not run again";
+            let body = json!({"error": {"type": "claimed", "message": message}, "run": reason});
+            return outcome_json(StatusCode::CONFLICT, &body).with_header(OUTCOME_HEADER, "claimed");
         }
         let may_have_run = ran == Ran::Perhaps;
         let (counter, outcome) =
             if may_have_run { (&counts.unknown, "unknown") } else { (&counts.not_run, "not_run") };
         Counts::add(counter, 1);
         self.log_end(outcome, &reason);
-        let (status, error_type, told) = match (kind, may_have_run) {
-            (GivenUpKind::LimitPassed, _) => (StatusCode::GATEWAY_TIMEOUT, outcome, "the limit passed"),
+        let (status, error_type, message) = match (kind, may_have_run) {
+            (GivenUpKind::LimitPassed, _) => {
+                (StatusCode::GATEWAY_TIMEOUT, outcome, "the request's time limit passed")
+            }
             (GivenUpKind::NoLease, _) => (StatusCode::SERVICE_UNAVAILABLE, "no_lease", "this router holds no lease"),
             (GivenUpKind::KeyWithdrawn, _) => (StatusCode::UNAUTHORIZED, "unknown_key", "the key was withdrawn"),
             (GivenUpKind::AdapterCold, false) => (StatusCode::SERVICE_UNAVAILABLE, "adapter_cold", reason.as_str()),
@@ -143,7 +146,7 @@
         if kind == GivenUpKind::AdapterCold {
             Counts::add(&counts.adapter_cold, 1);
         }
-        refuse(status, error_type, told)
+        refuse(status, error_type, message)
             .with_header(OUTCOME_HEADER, outcome)
             .with_header(RUN_HEADER, &plan.run)
             .with_header("retry-after", retry_after)
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -1,26 +1,31 @@
-//! One attempt at an engine: picked, connected, asked through the gate, and read piece by piece.
+//! One attempt at an engine: picks it, connects, sends the request if it may still start, and reads the answer.
 
 use super::{Awaited, Forwarder, Input};
 use crate::prelude::*;
 
+/// The time limit for connecting to an engine.
 pub(super) const CONNECT_TIMEOUT: Span = Span::millis(700);
+/// Maximum size of an answer that is not streamed.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// How long an engine's whole answer may take once it has begun.
+/// How long an answer that is not streamed may take once it has begun.
 const ANSWER_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size of the body of an engine's error response.
 const MAX_ERROR_BYTES: usize = 1 << 16;
+/// How long the body of an engine's error response may take.
 const ERROR_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An attempt under way, dropped as a whole when it ends.
+/// A running attempt; dropped when it ends, which frees all that it holds.
 pub(super) struct Attempt {
     pub(super) placement: Box<Placement>,
+    /// The fleet snapshot from which it was placed.
     pub(super) snapshot: Arc<FleetSnapshot>,
-    /// The adapter it runs on; none for the bare model.
+    /// The adapter it runs on; `None` for the base model.
     pub(super) adapter: Option<AdapterId>,
     pub(super) occupancy: OccupancyGuard,
     stream: Option<OpenStream>,
     replied: Option<Replied>,
     reader: EventReader,
-    /// Allows its engine more time; ends with the attempt.
+    /// Extends the engine's time allowance; ends with the attempt.
     extender: Option<AllowanceExtender>,
 }
 
@@ -35,7 +40,7 @@
         Attempt { placement, snapshot, adapter, occupancy, stream: None, replied: None, reader, extender: None }
     }
 
-    /// What the engine is asked to do.
+    /// The body of the request to the engine.
     fn engine_request(&self, plan: &RequestPlan, salt: &Salt) -> EngineRequest {
         EngineRequest {
             model: plan.model.0.clone(),
@@ -47,7 +52,7 @@
         }
     }
 
-    /// What the gate looks at when the first byte is written.
+    /// The facts that are checked again when the first byte is written.
     fn basis(&self, plan: &RequestPlan, salt: Salt) -> AttemptBasis {
         let chosen = &self.placement.chosen;
         AttemptBasis {
@@ -62,15 +67,15 @@
         }
     }
 
-    /// The next piece of the engine's stream, or its end.
+    /// Reads the next piece of the engine's stream, or its end.
     async fn read_streamed(&mut self, has_end_mark: bool) -> Input {
-        let Some(replied) = self.replied.as_mut() else { return no_stream() };
+        let Some(replied) = self.replied.as_mut() else { return no_connection() };
         loop {
             match self.reader.next_data() {
                 Some(data) if data == STREAM_END => return Input::EndMark,
                 Some(data) => return read_piece(&data, self.adapter.as_ref()),
                 None if has_end_mark && !self.reader.is_empty() => {
-                    return Input::Broken("something came after the end mark".into());
+                    return Input::Broken("data after the end mark".into());
                 }
                 None => {}
             }
@@ -86,9 +91,9 @@
         }
     }
 
-    /// The engine's whole answer.
+    /// Reads an answer that is not streamed.
     async fn read_whole(&mut self) -> Input {
-        let Some(replied) = self.replied.as_mut() else { return no_stream() };
+        let Some(replied) = self.replied.as_mut() else { return no_connection() };
         match read_whole(&mut replied.body, MAX_ANSWER_BYTES, ANSWER_READ_TIMEOUT).await {
             Ok(body) => read_piece(&String::from_utf8_lossy(&body), self.adapter.as_ref()),
             Err(fault) => Input::Broken(format!("answer: {fault:?}")),
@@ -97,7 +102,7 @@
 }
 
 impl Forwarder {
-    /// Has the scheduler pick an engine.
+    /// Asks the scheduler for an engine.
     pub(super) async fn pick(&mut self, tried: &[EngineName], is_retry: bool) -> Input {
         let snapshot = self.run.shared.snapshot();
         let prompt = self.run.plan.prompt(&snapshot, tried, boot_now());
@@ -118,7 +123,7 @@
         Input::Picked(outcome)
     }
 
-    /// Opens a stream to the engine that is used for this attempt alone.
+    /// Opens a connection to the engine for this attempt alone.
     pub(super) async fn connect(&mut self) -> Input {
         let Some(attempt) = self.attempt.as_mut() else { return no_attempt() };
         match open_stream(&attempt.placement.address, CONNECT_TIMEOUT).await {
@@ -130,11 +135,11 @@
         }
     }
 
-    /// Writes the request; the gate is looked at in the call that writes its first byte.
+    /// Sends the request. The same call that writes its first byte checks that the attempt may start.
     pub(super) async fn send_request(&mut self) -> Input {
         let attempt_name = self.machine.attempt();
         let Some(attempt) = self.attempt.as_mut() else { return no_attempt() };
-        let Some(stream) = attempt.stream.take() else { return no_stream() };
+        let Some(stream) = attempt.stream.take() else { return no_connection() };
         let plan = &self.run.plan;
         let salt = plan.salt(&attempt.snapshot, attempt.placement.chosen.weights);
         let engine_request = attempt.engine_request(plan, &salt);
@@ -171,10 +176,10 @@
         }
     }
 
-    /// The head of the engine's answer: it began, or why it did not.
+    /// Reads the head of the engine's response: the answer begins, or the reason why it does not.
     async fn read_head(&mut self, replied: Replied) -> Input {
         if replied.status != StatusCode::OK {
-            return self.read_refusal(replied).await;
+            return self.read_error(replied).await;
         }
         if let Some(attempt) = self.attempt.as_mut() {
             attempt.replied = Some(replied);
@@ -183,22 +188,22 @@
         Input::Head { head: ResponseClass::Success, detail: String::new() }
     }
 
-    async fn read_refusal(&self, mut replied: Replied) -> Input {
+    async fn read_error(&self, mut replied: Replied) -> Input {
         let body = read_whole(&mut replied.body, MAX_ERROR_BYTES, ERROR_READ_TIMEOUT).await.unwrap_or_default();
-        let told: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-        let told_kind = told["error"]["type"].as_str().unwrap_or("");
-        let head = match told_kind {
+        let error_body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
+        let error_type = error_body["error"]["type"].as_str().unwrap_or("");
+        let head = match error_type {
             "not_accepting" | "other_weights" | ADAPTER_NOT_RESIDENT => ResponseClass::NotStarted,
             "limit_passed" => ResponseClass::OutOfTime,
             _ => ResponseClass::Failure,
         };
-        if told_kind == ADAPTER_NOT_RESIDENT {
+        if error_type == ADAPTER_NOT_RESIDENT {
             self.report_cold_adapter();
         }
-        Input::Head { head, detail: format!("engine answered {} {told_kind}", replied.status.as_u16()) }
+        Input::Head { head, detail: format!("engine answered {} {error_type}", replied.status.as_u16()) }
     }
 
-    /// The next of the engine's answer.
+    /// Reads the next piece of the answer, or an answer that is not streamed.
     pub(super) async fn read(&mut self) -> Input {
         let has_end_mark = self.machine.has_end_mark();
         let Some(attempt) = self.attempt.as_mut() else { return no_attempt() };
@@ -208,7 +213,7 @@
         }
     }
 
-    /// The engine does not hold the adapter, whatever the state says.
+    /// Reports that the engine does not hold the adapter, contrary to the fleet state.
     fn report_cold_adapter(&self) {
         let Some(attempt) = &self.attempt else { return };
         let Some(adapter) = attempt.adapter.clone() else { return };
@@ -216,7 +221,7 @@
         self.run.scheduler.tell(SchedulerCommand::RecordCold { engine: attempt.occupancy.engine.clone(), adapter });
     }
 
-    /// Logs and counts an attempt that failed.
+    /// Logs and counts a failed attempt.
     pub(super) fn record_fault(&self, reason: &str, ran: Ran, avoid_engine: bool) {
         let Some(attempt) = &self.attempt else { return };
         let tenant = &self.run.plan.tenant;
@@ -236,14 +241,14 @@
 }
 
 fn no_attempt() -> Input {
-    Input::Broken("no shot is under way".into())
+    Input::Broken("no attempt is running".into())
 }
 
-fn no_stream() -> Input {
-    Input::Broken("no stream is open".into())
+fn no_connection() -> Input {
+    Input::Broken("no connection is open".into())
 }
 
-/// A question about a prompt names the adapter that the prompt runs on.
+/// Names the adapter that the prompt runs on in the request's headers.
 pub(super) fn with_adapter_header(question: Question, adapter: Option<&AdapterId>) -> Question {
     match adapter {
         Some(adapter) => question.header(ADAPTER_HEADER, adapter.to_string()),
@@ -251,22 +256,22 @@
     }
 }
 
-/// A piece, or a whole answer, if it was made on the adapter of its attempt.
+/// Parses a piece, or an answer that is not streamed, and checks that it names the adapter of its attempt.
 fn read_piece(data: &str, adapter: Option<&AdapterId>) -> Input {
     match serde_json::from_str::<Completion>(data) {
         Ok(completion) if !names_expected_adapter(adapter, completion.adapter.as_deref()) => {
-            Input::Broken("an answer of another adapter".into())
+            Input::Broken("the answer names another adapter".into())
         }
         Ok(completion) => {
             let finished = !completion.choices.is_empty()
                 && completion.choices.iter().all(|choice| choice.finish_reason.is_some());
             Input::Piece { attempt: completion.id.clone(), finished, piece: Box::new(completion) }
         }
-        Err(fault) => Input::Broken(format!("unreadable piece: {fault}")),
+        Err(fault) => Input::Broken(format!("malformed piece: {fault}")),
     }
 }
 
-/// The runs of blocks that the engine is to fetch, as its interface has them.
+/// Converts the runs of blocks that the engine is to fetch to the form of its API.
 fn to_fetch_orders(fetches: &[FetchRun]) -> Vec<FetchOrder> {
     fetches
         .iter()
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -1,7 +1,7 @@
-//! Forwarding a request: the attempts' machine says what is to be done, this does it and tells the machine
-//! what came of it. Until the first piece the run lives in its caller's own call, so that a caller who
-//! leaves ends it; a stream under way has a task of its own. All the while the key, the lease and the limit
-//! are watched, and the machine is told when one of them ends the work.
+//! Forwards a request to engines. The attempt state machine decides; this module carries out its effects and feeds
+//! their outcomes back as inputs. Until the first piece the run lives in the future of its HTTP request, so it ends
+//! if the caller disconnects; a stream that has begun runs in its own task. Meanwhile the API key, the lease and the
+//! time limit are watched, and the machine is told when one of them ends the work.
 
 mod answer;
 mod attempt;
@@ -17,7 +17,7 @@
 type Input = AttemptInput<Box<Completion>>;
 type Effect = AttemptEffect<Box<Completion>>;
 
-/// What the machine waits for.
+/// The operation whose outcome is the machine's next input.
 #[derive(Clone, Debug)]
 enum Awaited {
     Nothing,
@@ -28,24 +28,25 @@
     Pieces,
 }
 
-/// A run and the machine of its attempts.
+/// A run with its attempt state machine.
 struct Forwarder {
     run: Run,
     machine: AttemptMachine<Box<Completion>>,
     awaited: Awaited,
     attempt: Option<Attempt>,
+    /// The engine of the latest attempt.
     engine: EngineName,
     sink: Option<Arc<Sink>>,
-    /// Events that the caller has still to take.
+    /// Events still to be sent to the caller.
     outbox: VecDeque<Bytes>,
     piece_count: u64,
     first_ms: Option<u64>,
-    /// The policy that placed it.
+    /// The policy that placed the latest attempt.
     policy: String,
 }
 
 impl Run {
-    /// Forwards the request until there is an answer; a stream then goes on by itself.
+    /// Forwards the request and returns its response; a stream then continues in its own task.
     pub async fn forward(self) -> WebOutcome {
         Forwarder::new(self).run_until_answer().await
     }
@@ -89,14 +90,14 @@
         }
     }
 
-    /// A stream under way, until its end.
+    /// Runs a stream that has begun to its end.
     async fn run_to_end(mut self) {
         while !self.machine.is_done() {
             let input = self.next_input_or_stop().await;
-            let is_left = matches!(input, Input::CallerGone);
+            let caller_left = matches!(input, Input::CallerGone);
             let effects = self.machine.step(input);
             self.apply_effects(effects);
-            if is_left && self.machine.is_done() {
+            if caller_left && self.machine.is_done() {
                 self.record_cancelled();
             }
         }
@@ -107,7 +108,7 @@
         self.log_end("cancelled", "");
     }
 
-    /// The next input, unless limit, key, lease or caller end the work before it.
+    /// The next input, unless the time limit, the key, the lease or the caller ends the work first.
     async fn next_input_or_stop(&mut self) -> Input {
         let limit_left = self.run.plan.limit.since(boot_now()).as_duration();
         let shared = Arc::clone(&self.run.shared);
@@ -128,7 +129,7 @@
         }
     }
 
-    /// What the machine waits for, once the caller has taken what was sent.
+    /// Sends the pending events, then performs the awaited operation.
     async fn next_input(&mut self) -> Input {
         while let Some(event) = self.outbox.front().cloned() {
             let Some(sink) = self.sink.clone() else { break };
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Does what the machine wishes; an answer for the caller, if there is one now.
+    /// Applies the machine's effects; returns the response to the caller if there is one now.
     fn apply_effects(&mut self, effects: Vec<Effect>) -> Option<WebOutcome> {
         let mut response = None;
         for effect in effects {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Claims the idempotency key in the core.
+    /// Claims the idempotency key at the coordinator.
     async fn claim(&mut self) -> Input {
         let (router, run) = (self.run.router, self.run.plan.run_number);
         let Some(claim) = self.run.plan.claim else { return Input::ClaimSettled(ClaimOutcome::Unknown) };
@@ -188,7 +189,7 @@
         Input::ClaimSettled(ClaimOutcome::of(settled))
     }
 
-    /// Gives the claim back, since the run surely did not run.
+    /// Releases the claim, as the request certainly did not run.
     fn release_claim(&self) {
         let (router, run) = (self.run.router, self.run.plan.run_number);
         let Some(claim) = self.run.plan.claim else { return };
@@ -198,7 +199,7 @@
 }
 
 impl Drop for Forwarder {
-    /// A run dropped before its end was left by its caller.
+    /// Cancels a run that is dropped before its end: its caller has left.
     fn drop(&mut self) {
         if self.machine.is_done() {
             return;
--- a/crates/router/src/forward/prefill.rs
+++ b/crates/router/src/forward/prefill.rs
@@ -1,11 +1,11 @@
-//! Prefill at another engine, in a split pool.
+//! Prefill at another engine, in a pool with separate prefill and decode engines.
 
 use super::attempt::{CONNECT_TIMEOUT, with_adapter_header};
 use crate::prelude::*;
 
 impl Run {
-    /// In a split pool, asks for the prefill first, through the gate as any work. If it fails, the
-    /// decoding engine prefills itself.
+    /// Requests the prefill ahead of the decode, with the same checks before the first byte as any attempt. If it
+    /// fails, the decode engine does the prefill itself.
     pub(super) async fn prefill(&self, prefill_place: &PrefillPlace, attempt_name: &str, basis: &AttemptBasis) {
         let (prompt, cache_salt) = ((*self.plan.prompt_text).clone(), basis.salt.0.clone());
         let half_left = Span(self.plan.limit.since(boot_now()).0 / 2);
@@ -20,7 +20,7 @@
         let shared = Arc::clone(&self.shared);
         let basis = AttemptBasis { engine: prefill_place.engine.clone(), ..basis.clone() };
         let gate = Box::new(move || shared.may_start(&basis).map_err(|found| format!("{found:?}")));
-        let asking = async {
+        let request = async {
             let stream = open_stream(&prefill_place.address, CONNECT_TIMEOUT).await?;
             let replied = stream.send_gated(question, gate).await.map_err(|fault| fault.reason)?;
             match replied.status {
@@ -28,8 +28,8 @@
                 status => Err(format!("engine answered {}", status.as_u16())),
             }
         };
-        let late = Err("it took half of the time left".into());
-        if let Err(reason) = tokio::time::timeout(half_left.as_duration(), asking).await.unwrap_or(late) {
+        let timed_out = Err("prefill took more than half of the time left".into());
+        if let Err(reason) = tokio::time::timeout(half_left.as_duration(), request).await.unwrap_or(timed_out) {
             event!(warn, "prefill_fault", run = self.plan.run, engine = prefill_place.engine, reason = reason);
         }
     }
--- a/crates/router/src/forward/run.rs
+++ b/crates/router/src/forward/run.rs
@@ -1,25 +1,32 @@
-//! The request as it is forwarded: its plan, what it needs of the router, and what is recorded, logged and
-//! counted of it.
+//! A request being forwarded: its plan, its handles to the router's parts, and what is recorded, logged and counted
+//! of it.
 
 use crate::prelude::*;
 
-/// The request as it is forwarded: the plan and what must be given back at its end.
+/// A request being forwarded.
 pub struct Run {
+    /// What is to be done.
     pub plan: RequestPlan,
-    /// Given back when the run ends, however it ends.
+    /// Released when the run ends, however it ends.
     pub _held: (ConcurrencySlot, RunningGuard),
+    /// This router's id.
     pub router: NodeId,
+    /// The router's shared state.
     pub shared: Arc<SharedState>,
+    /// Picks engines.
     pub scheduler: SchedulerHandle,
+    /// The buffers of resumable runs.
     pub held_runs: Arc<HeldRuns>,
+    /// Settles claims of idempotency keys.
     pub coordinator: Arc<CoordinatorClient>,
+    /// Records the run, if recording is on.
     pub recorder: Recorder,
-    /// What the last pick looked like, for the recording.
+    /// The last pick, kept for the recording.
     pub draft: Option<RecordedPick>,
 }
 
 impl Run {
-    /// Writes the run into the day's recording, if there is one.
+    /// Writes the run to the recording, if recording is on.
     pub(super) fn record(&self, outcome: &str, first_ms: Option<u64>) {
         if !self.recorder.is_on() {
             return;
@@ -48,7 +55,7 @@
         });
     }
 
-    /// Logs what an attempt was placed by.
+    /// Logs the basis on which an attempt was placed.
     pub(super) fn log_pick(&self, placement: &Placement, attempt_name: &str) {
         let candidates: Vec<String> = placement
             .candidates
@@ -78,7 +85,7 @@
         );
     }
 
-    /// The first piece came: what the pick was worth.
+    /// Counts, at the first piece, how many blocks the pick let the engine reuse or fetch.
     pub(super) fn count_blocks(&self, placement: &Placement) {
         let prompt_blocks = blocks_needed(self.plan.prompt_text.len()).0;
         Counts::add(&self.shared.counts.prompt_blocks, prompt_blocks);
--- a/crates/router/src/forward/sink.rs
+++ b/crates/router/src/forward/sink.rs
@@ -1,20 +1,22 @@
-//! Where the pieces of a stream go: to the caller, or into the held_runs that callers are served from.
+//! The destination of a stream's events: the caller's connection, or the buffer of a resumable run.
 
 use crate::prelude::*;
 
-/// Where the pieces go: to the caller, or into the held_runs that callers are served from.
+/// The destination of a stream's events.
 pub(super) enum Sink {
+    /// The caller's connection.
     Caller(PieceSender),
+    /// The buffer of a resumable run, from which callers are served.
     Buffer(Arc<HeldRun>),
 }
 
 impl Sink {
-    /// Whether it is the held_runs.
+    /// Whether events go to the buffer of a resumable run.
     pub(super) fn is_buffered(&self) -> bool {
         matches!(self, Sink::Buffer(_))
     }
 
-    /// Sends an event on; false if nobody takes it any more.
+    /// Sends an event; false if the caller has left or the buffer is full.
     pub(super) async fn send(&self, event: Bytes) -> bool {
         match self {
             Sink::Caller(pieces) => pieces.send(event).await,
@@ -22,7 +24,7 @@
         }
     }
 
-    /// Resolves when nobody waits any more; a run in the held_runs goes on without its caller.
+    /// Resolves when the caller has left. Never resolves for a resumable run, which continues without its caller.
     pub(super) async fn gone(&self) {
         match self {
             Sink::Caller(pieces) => pieces.gone().await,
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Ends the stream with an error.
+    /// Ends the stream with an error event.
     pub(super) fn cut(&self, reason: CutReason) {
         match self {
             Sink::Caller(pieces) => pieces.cut(error_event(&reason)),
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Sends the rest and ends cleanly; what cannot be sent in time is an aborted stream.
+    /// Sends the remaining events and ends the stream cleanly, or aborts it if they cannot be sent in time.
     pub(super) async fn finish(&self, rest: VecDeque<Bytes>, limit_left: Duration) {
         let sending = async {
             for event in rest {
@@ -54,7 +56,7 @@
             Sink::Caller(_) => {}
             Sink::Buffer(held_run) if all_sent => held_run.end(HeldEnd::Whole),
             Sink::Buffer(_) => {
-                self.cut(CutReason { kind: "cut", message: "the run is too large to be held".into() });
+                self.cut(CutReason { kind: "cut", message: "the run exceeds the resume buffer".into() });
             }
         }
     }
--- a/crates/router/src/pieces.rs
+++ b/crates/router/src/pieces.rs
@@ -1,26 +1,28 @@
-//! Reading an engine's answer: the events of a stream one by one, and the shape in which pieces and
-//! whole answers go on to the caller. Whether they may is the machine's to say.
+//! Splits an engine's stream into events, and formats pieces and whole answers for the caller. The attempt state
+//! machine decides whether they are sent on.
 
 use crate::prelude::*;
 
+/// Maximum size of the buffered bytes of an event.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Splits a byte stream into the data of its events.
+/// Splits a byte stream into the data of its server-sent events.
 #[derive(Default)]
 pub struct EventReader {
     pending: Vec<u8>,
 }
 
 impl EventReader {
+    /// Appends bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), String> {
         if self.pending.len() + bytes.len() > MAX_EVENT_BYTES {
-            return Err("an event is too large".into());
+            return Err("an event exceeds the size limit".into());
         }
         self.pending.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// The data of the next whole event.
+    /// Takes the data of the next complete event.
     pub fn next_data(&mut self) -> Option<String> {
         loop {
             let end = self.pending.windows(2).position(|pair| pair == b"\n\n")?;
@@ -34,12 +36,13 @@
         }
     }
 
+    /// Whether no bytes of an incomplete event are left.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// The piece as the caller gets it, in the format it asked.
+/// A piece of an answer in the format of the caller's request.
 pub fn format_piece(completion: Completion, run: &str, format: ApiFormat) -> Value {
     let choices: Vec<Value> = completion
         .choices
@@ -64,7 +67,7 @@
     formatted
 }
 
-/// A whole answer in the format that was asked.
+/// A whole answer in the format of the caller's request.
 pub fn format_answer(completion: Completion, run: &str, format: ApiFormat) -> Value {
     let mut formatted = format_piece(completion, run, format);
     if format == ApiFormat::Chat {
@@ -87,7 +90,7 @@
     use crate::prelude::*;
 
     #[test]
-    fn events_come_whole_however_they_are_cut() {
+    fn events_are_read_whole_however_the_bytes_are_split() {
         let mut reader = EventReader::default();
         let mut found = Vec::new();
         for byte in b"data: {\"a\":1}\n\n: note\n\ndata: x\ndata: y\n\ndata: part" {
