--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -1,5 +1,6 @@
-//! Recorded days. A file begins with a head line naming the format, then has one line for each run: a
-//! checksum of eight hex digits, a space, JSON. No prompt text is in it, only block names and sizes.
+//! Recordings of the runs that a router forwarded. A file starts with a header line that names the format, followed
+//! by one line for each run. Each line is a checksum of eight hex digits, a space and JSON. No prompt text is recorded,
+//! only block hashes and sizes.
 
 pub mod prelude;
 
--- a/crates/recording/src/prelude.rs
+++ b/crates/recording/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of who records or replays.
+//! The items that every file of this crate, and programs that record or replay runs, import.
 
 pub use crate::lines::*;
 pub use crate::reading::*;
--- a/crates/recording/src/reading.rs
+++ b/crates/recording/src/reading.rs
@@ -1,42 +1,46 @@
-//! Reading, with every fault named by its place. A cut last line can be passed over if that is asked.
+//! Reads recordings. Errors name the line; a truncated last line can be skipped on request.
 
 use crate::prelude::*;
 
+/// The content of a recording.
 #[derive(Clone, Debug)]
 pub struct RecordedDay {
+    /// The header line.
     pub header: DayHeader,
+    /// The runs, in the order of their lines.
     pub runs: Vec<RecordedRun>,
-    /// The number of a cut last line that was passed over.
+    /// The number of the truncated last line, if one was skipped.
     pub truncated_line: Option<usize>,
 }
 
-pub fn read_day(text: &str, passes_cut: bool) -> Result<RecordedDay, String> {
-    let ends_whole = text.ends_with('\n');
+/// Parses a recording; a truncated last line is an error unless `skip_truncated` is set.
+pub fn read_day(text: &str, skip_truncated: bool) -> Result<RecordedDay, String> {
+    let is_complete = text.ends_with('\n');
     let lines: Vec<&str> = text.lines().collect();
-    let Some(head_line) = lines.first() else { return Err("line 1: empty, no recording".into()) };
-    let head_text = check_line(head_line, 1)?;
-    let head_value: serde_json::Value =
-        serde_json::from_str(head_text).map_err(|fault| format!("line 1: no header: {fault}"))?;
-    let format = head_value["format"].as_u64().ok_or("line 1: the header names no format")?;
+    let Some(header_line) = lines.first() else { return Err("line 1: the file is empty, not a recording".into()) };
+    let header_text = check_line(header_line, 1)?;
+    let header_value: serde_json::Value =
+        serde_json::from_str(header_text).map_err(|fault| format!("line 1: malformed header: {fault}"))?;
+    let format = header_value["format"].as_u64().ok_or("line 1: the header names no format")?;
     if format != FORMAT {
         return Err(format!("line 1: format {format}, this program reads format {FORMAT}"));
     }
     let header: DayHeader =
-        serde_json::from_value(head_value).map_err(|fault| format!("line 1: no header: {fault}"))?;
+        serde_json::from_value(header_value).map_err(|fault| format!("line 1: malformed header: {fault}"))?;
     let mut runs = Vec::new();
-    for (place, line) in lines.iter().enumerate().skip(1) {
-        let number = place + 1;
+    for (index, line) in lines.iter().enumerate().skip(1) {
+        let number = index + 1;
         let is_last = number == lines.len();
         let read = check_line(line, number).and_then(|text| {
             serde_json::from_str(text).map_err(|fault| format!("line {number}: not a run: {fault}"))
         });
         match read {
             Ok(run) => runs.push(run),
-            Err(_) if is_last && !ends_whole && passes_cut => {
+            Err(_) if is_last && !is_complete && skip_truncated => {
                 return Ok(RecordedDay { header, runs, truncated_line: Some(number) });
             }
-            Err(reason) if is_last && !ends_whole => {
-                return Err(format!("{reason}; the last line is cut, the rest can be used with --use-cut"));
+            Err(reason) if is_last && !is_complete => {
+                return Err(format!("{reason}; the last line is truncated; use the rest with --use-cut"));
             }
             Err(reason) => return Err(reason),
         }
@@ -44,12 +48,13 @@
     Ok(RecordedDay { header, runs, truncated_line: None })
 }
 
+/// Checks a line's checksum and returns its JSON.
 fn check_line(line: &str, number: usize) -> Result<&str, String> {
     let parts = line.split_once(' ').filter(|(sum, _)| sum.len() == 8);
     let Some((sum_text, text)) = parts else { return Err(format!("line {number}: no checksum")) };
     let sum = u32::from_str_radix(sum_text, 16).map_err(|_| format!("line {number}: no checksum"))?;
     if sum != crc32fast::hash(text.as_bytes()) {
-        return Err(format!("line {number}: damaged, its checksum differs"));
+        return Err(format!("line {number}: corrupted, the checksum differs"));
     }
     Ok(text)
 }
@@ -79,17 +84,17 @@
     }
 
     #[test]
-    fn damage_is_named_by_its_place() {
+    fn errors_name_the_line() {
         let header = write_line(&DayHeader { format: FORMAT, router: "r".into() });
         let (first, second) = (write_line(&recorded(1)), write_line(&recorded(2)));
         let whole = format!("{header}{first}{second}");
         assert_eq!(read_day(&whole, false).unwrap().runs.len(), 2);
-        let damaged = whole.replace("r.1", "r.9");
-        assert_eq!(read_day(&damaged, true).unwrap_err(), "line 2: damaged, its checksum differs");
-        let cut = &whole[..whole.len() - 9];
-        assert!(read_day(cut, false).unwrap_err().starts_with("line 3: damaged"));
-        let used = read_day(cut, true).unwrap();
-        assert_eq!((used.runs.len(), used.truncated_line), (1, Some(3)));
+        let corrupted = whole.replace("r.1", "r.9");
+        assert_eq!(read_day(&corrupted, true).unwrap_err(), "line 2: corrupted, the checksum differs");
+        let truncated = &whole[..whole.len() - 9];
+        assert!(read_day(truncated, false).unwrap_err().starts_with("line 3: corrupted"));
+        let partial = read_day(truncated, true).unwrap();
+        assert_eq!((partial.runs.len(), partial.truncated_line), (1, Some(3)));
         let other_format = write_line(&DayHeader { format: 7, router: "r".into() });
         assert_eq!(read_day(&other_format, true).unwrap_err(), "line 1: format 7, this program reads format 1");
         assert!(read_day("", true).unwrap_err().contains("empty"));
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -1,7 +1,7 @@
 //! Forwards a request to engines. The attempt state machine decides; this module carries out its effects and feeds
 //! their outcomes back as inputs. Until the first piece the run lives in the future of its HTTP request, so it ends
 //! if the caller disconnects; a stream that has begun runs in its own task. Meanwhile the API key, the lease and the
-//! time limit are watched, and the machine is told when one of them ends the work.
+//! time limit are watched, and the machine is notified when one of them ends the work.
 
 mod answer;
 mod attempt;
--- a/crates/router/src/held_runs.rs
+++ b/crates/router/src/held_runs.rs
@@ -1,23 +1,29 @@
-//! Runs that may be resumed: their events are held, bounded in number, size and time, so that a caller
-//! whose stream broke can go on where it left off, through any router. Nothing here begins a run.
+//! Buffers of resumable runs. A run's events are kept, bounded in number, size and time, so that a caller whose
+//! stream broke can resume it through any router. Nothing here starts a run.
 
 use crate::prelude::*;
 
+/// Maximum number of buffered runs.
 pub const MAX_HELD_RUNS: usize = 1024;
+/// How many events may wait for a caller that reads slowly.
+const EVENT_QUEUE_CAPACITY: usize = 32;
 
+/// The buffered runs, by their numbers.
 #[derive(Default)]
 pub struct HeldRuns {
     runs: Mutex<HashMap<u64, Arc<HeldRun>>>,
 }
 
+/// The buffered events of a run, and a signal for its readers.
 pub struct HeldRun {
+    /// The tenant that started the run; no other may resume it.
     pub tenant: TenantName,
-    held: Mutex<HeldEvents<Bytes>>,
+    events: Mutex<HeldEvents<Bytes>>,
     changes: tokio::sync::watch::Sender<u64>,
 }
 
 impl HeldRuns {
-    /// A index for a new run; nothing if the book is full.
+    /// A buffer for a new run; `None` if there are too many.
     pub fn open(&self, run: u64, tenant: &TenantName) -> Option<Arc<HeldRun>> {
         let mut runs = self.runs.lock().expect("no holder of this lock panics");
         let now = boot_now();
@@ -27,13 +33,14 @@
         }
         let held_run = Arc::new(HeldRun {
             tenant: tenant.clone(),
-            held: Mutex::default(),
+            events: Mutex::default(),
             changes: tokio::sync::watch::channel(0).0,
         });
         runs.insert(run, Arc::clone(&held_run));
         Some(held_run)
     }
 
+    /// The buffer of a run, if it is still kept.
     pub fn find(&self, run: u64) -> Option<Arc<HeldRun>> {
         let runs = self.runs.lock().expect("no holder of this lock panics");
         runs.get(&run).filter(|held_run| !held_run.is_over(boot_now())).cloned()
@@ -41,40 +48,42 @@
 }
 
 impl HeldRun {
-    fn held(&self) -> std::sync::MutexGuard<'_, HeldEvents<Bytes>> {
-        self.held.lock().expect("no holder of this lock panics")
+    fn lock_events(&self) -> std::sync::MutexGuard<'_, HeldEvents<Bytes>> {
+        self.events.lock().expect("no holder of this lock panics")
     }
 
     fn is_over(&self, now: Instant) -> bool {
-        self.held().is_over(now)
+        self.lock_events().is_over(now)
     }
 
-    /// Holds an event; false if there is no more room.
+    /// Appends an event; false if the buffer is full.
     pub fn hold(&self, event: Bytes) -> bool {
         let size = event.len();
-        let has_room = self.held().hold(event, size);
+        let has_room = self.lock_events().hold(event, size);
         self.changes.send_modify(|count| *count += 1);
         has_room
     }
 
+    /// Records how the run ended.
     pub fn end(&self, end: HeldEnd) {
-        self.held().end(end, boot_now());
+        self.lock_events().end(end, boot_now());
         self.changes.send_modify(|count| *count += 1);
     }
 
+    /// The number of buffered events.
     pub fn event_count(&self) -> usize {
-        self.held().count()
+        self.lock_events().count()
     }
 
-    /// Streams the events from a index on, as far as they have come, and on as they come.
+    /// Streams the events from an index on: those already buffered, then the others as they arrive.
     pub fn stream_from(self: Arc<Self>, first: usize) -> WebOutcome {
-        let (pieces, response) = outcome_pieces(StatusCode::OK, "text/event-stream", 32);
+        let (pieces, response) = outcome_pieces(StatusCode::OK, "text/event-stream", EVENT_QUEUE_CAPACITY);
         tokio::spawn(async move {
             let mut changes = self.changes.subscribe();
             let mut index = first;
             loop {
                 changes.borrow_and_update();
-                let (new_events, end) = self.held().from(index);
+                let (new_events, end) = self.lock_events().from(index);
                 for event in new_events {
                     index += 1;
                     if !pieces.send(event).await {
@@ -96,10 +105,10 @@
     }
 }
 
-/// The last words of a stream that is not whole.
+/// The last event of a stream that is cut.
 pub fn error_event(reason: &CutReason) -> Bytes {
-    let told = json!({"error": {"type": reason.kind, "message": reason.message}});
-    Bytes::from(format!("event: error\ndata: {told}\n\n"))
+    let body = json!({"error": {"type": reason.kind, "message": reason.message}});
+    Bytes::from(format!("event: error\ndata: {body}\n\n"))
 }
 
 #[cfg(test)]
@@ -107,13 +116,13 @@
     use crate::prelude::*;
 
     #[test]
-    fn a_full_book_takes_no_more() {
-        let book = HeldRuns::default();
+    fn no_run_is_buffered_beyond_the_maximum() {
+        let held_runs = HeldRuns::default();
         for run in 0..MAX_HELD_RUNS as u64 {
-            assert!(book.open(run, &"t".into()).is_some());
+            assert!(held_runs.open(run, &"t".into()).is_some());
         }
-        assert!(book.open(9999, &"t".into()).is_none());
-        assert!(book.find(3).is_some());
-        assert!(book.find(9999).is_none());
+        assert!(held_runs.open(9999, &"t".into()).is_none());
+        assert!(held_runs.find(3).is_some());
+        assert!(held_runs.find(9999).is_none());
     }
 }
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/request_site.rs
@@ -1,15 +1,31 @@
-//! Where requests come in: pages, checks, the plan, a slot for the tenant, and on to forwarding.
+//! The HTTP handlers: route requests, check and admit prompts, resume streams, and serve health and metrics pages.
 
 use crate::prelude::*;
 
-/// The pages that callers ask.
+/// The time limit for connecting to another router.
+const PROXY_CONNECT_TIMEOUT: Span = Span::millis(700);
+/// Maximum size of another router's error response.
+const MAX_PROXIED_ERROR_BYTES: usize = 1 << 16;
+/// How long another router's error response may take.
+const PROXIED_ERROR_TIMEOUT: Duration = Duration::from_secs(2);
+/// How many chunks of a proxied stream may wait for a caller that reads slowly.
+const PROXY_QUEUE_CAPACITY: usize = 32;
+
+/// The handlers of the router's HTTP routes.
 pub struct RequestSite {
+    /// This router's id.
     pub router: NodeId,
+    /// The router's shared state.
     pub shared: Arc<SharedState>,
+    /// Admits requests and picks engines.
     pub scheduler: SchedulerHandle,
+    /// The number of the next run.
     pub next_run: AtomicU64,
+    /// The buffers of resumable runs.
     pub held_runs: Arc<HeldRuns>,
+    /// Settles claims of idempotency keys.
     pub coordinator: Arc<CoordinatorClient>,
+    /// Records runs, if recording is on.
     pub recorder: Recorder,
 }
 
@@ -32,8 +48,8 @@
     async fn respond(self: Arc<Self>, asked: Asked) -> WebOutcome {
         let (method, segments) = asked.way();
         match (method.as_str(), segments.as_slice()) {
-            ("POST", ["v1", "completions"]) => self.take(asked, ApiFormat::Completion).await,
-            ("POST", ["v1", "chat", "completions"]) => self.take(asked, ApiFormat::Chat).await,
+            ("POST", ["v1", "completions"]) => self.handle_prompt(asked, ApiFormat::Completion).await,
+            ("POST", ["v1", "chat", "completions"]) => self.handle_prompt(asked, ApiFormat::Chat).await,
             ("GET", ["v1", "runs", run]) => {
                 let (run, last_event) = ((*run).to_owned(), asked.header("last-event-id").map(str::to_owned));
                 self.resume(&asked, &run, last_event.as_deref()).await
@@ -45,19 +61,20 @@
         }
     }
 
-    /// Goes on with a run where the caller left off; never begins one.
+    /// Resumes a run after the last event that the caller received; never starts one. A run held by another router
+    /// is proxied from there, at most once.
     async fn resume(&self, asked: &Asked, run: &str, last_event: Option<&str>) -> WebOutcome {
         let bad = |reason: &str| refuse(StatusCode::BAD_REQUEST, "bad_request", reason);
-        let gone = || refuse(StatusCode::GONE, "gone", "this run is not held any more; it is not begun anew");
+        let gone = || refuse(StatusCode::GONE, "gone", "this run is no longer buffered; it is not started again");
         let Some(named) = EventId::read(run).filter(|named| named.piece.is_none()) else {
-            return bad("a run is ROUTER.NUMBER, as told in x-haremount-run");
+            return bad("a run is named ROUTER.NUMBER, as in the header x-haremount-run");
         };
         let last_piece = match last_event.map(EventId::read) {
             None => None,
             Some(Some(last)) if (last.router, last.run) == (named.router, named.run) && last.piece.is_some() => {
                 last.piece
             }
-            Some(_) => return bad("Last-Event-ID is no event of this run"),
+            Some(_) => return bad("Last-Event-ID does not name an event of this run"),
         };
         if !self.shared.holds_lease(boot_now()) {
             let reason = "this router holds no lease";
@@ -69,8 +86,8 @@
             return refuse(StatusCode::UNAUTHORIZED, "unknown_key", "the key is not known");
         };
         if named.router != self.router {
-            let may_carry = asked.header("x-haremount-carried").is_none();
-            return match self.shared.address_of(named.router).filter(|_| may_carry) {
+            let may_proxy = asked.header("x-haremount-carried").is_none();
+            return match self.shared.address_of(named.router).filter(|_| may_proxy) {
                 Some(address) => proxy_resume(&address, asked, run, last_event).await.unwrap_or_else(|_| gone()),
                 None => gone(),
             };
@@ -84,7 +101,8 @@
         held_run.stream_from(first).with_header(RUN_HEADER, run)
     }
 
-    async fn take(&self, mut asked: Asked, format: ApiFormat) -> WebOutcome {
+    /// Handles a prompt, or resumes a run if the request names a last event.
+    async fn handle_prompt(&self, mut asked: Asked, format: ApiFormat) -> WebOutcome {
         if let Some(last_event) = asked.header("last-event-id").map(str::to_owned) {
             let run = last_event.rsplit_once('.').map_or("", |(run, _)| run).to_owned();
             return self.resume(&asked, &run, Some(&last_event)).await;
@@ -115,6 +133,7 @@
         }
     }
 
+    /// Checks a prompt and takes a concurrency slot for its tenant.
     async fn admit(&self, asked: &mut Asked, format: ApiFormat) -> Result<(RequestPlan, ConcurrencySlot), Refusal> {
         let now = boot_now();
         if self.shared.draining.load(Ordering::SeqCst) {
@@ -155,6 +174,7 @@
         Ok((plan, slot))
     }
 
+    /// Ready while it holds a lease and is not draining.
     fn ready(&self) -> WebOutcome {
         let is_ready = self.shared.holds_lease(boot_now()) && !self.shared.draining.load(Ordering::SeqCst);
         if is_ready {
@@ -200,7 +220,7 @@
     }
 }
 
-/// Asks the router that holds the run, and passes its stream on byte by byte.
+/// Proxies the stream of a run from the router that holds it.
 async fn proxy_resume(
     address: &str,
     asked: &Asked,
@@ -213,14 +233,15 @@
     if let Some(last_event) = last_event {
         question = question.header("last-event-id", last_event);
     }
-    let stream = open_stream(address, Span::millis(700)).await?;
+    let stream = open_stream(address, PROXY_CONNECT_TIMEOUT).await?;
     let mut replied = stream.send(question).await.map_err(|fault| fault.reason)?;
     if replied.status != StatusCode::OK {
         let status = replied.status;
-        let body = read_whole(&mut replied.body, 1 << 16, Duration::from_secs(2)).await.unwrap_or_default();
+        let body =
+            read_whole(&mut replied.body, MAX_PROXIED_ERROR_BYTES, PROXIED_ERROR_TIMEOUT).await.unwrap_or_default();
         return Ok(outcome_bytes(status, "application/json", body));
     }
-    let (pieces, response) = outcome_pieces(StatusCode::OK, "text/event-stream", 32);
+    let (pieces, response) = outcome_pieces(StatusCode::OK, "text/event-stream", PROXY_QUEUE_CAPACITY);
     tokio::spawn(async move {
         loop {
             let piece = tokio::select! {
--- a/crates/router/src/scheduler.rs
+++ b/crates/router/src/scheduler.rs
@@ -1,51 +1,35 @@
-//! The scheduler: the one owner of the picker, the tenant shares and the retry budget, working through a
-//! queue of commands on a thread of its own. What is taken from it comes back by guards that give it
-//! up exactly once, however a request ends.
+//! The scheduler owns the picker, the tenants' concurrency shares and the retry budget, and handles a queue of
+//! commands on a thread of its own. What a request takes from it is held by guards, which release it exactly once
+//! however the request ends.
 
 use crate::prelude::*;
 
+/// How many commands may wait.
+const QUEUE_CAPACITY: usize = 8192;
+
+/// A command to the scheduler.
 pub enum SchedulerCommand {
-    /// The fleet changed.
+    /// The fleet snapshot changed.
     FleetChanged,
-    Admit {
-        tenant: TenantName,
-        share: u64,
-        reply: oneshot::Sender<bool>,
-    },
-    Release {
-        tenant: TenantName,
-    },
-    Pick {
-        prompt: Box<Prompt>,
-        is_retry: bool,
-        reply: oneshot::Sender<Picked>,
-    },
-    EndAttempt {
-        engine: EngineName,
-        blocks: BlockCount,
-    },
-    RecordKept {
-        engine: EngineName,
-        names: Vec<BlockHash>,
-    },
-    RecordFault {
-        engine: EngineName,
-    },
-    /// An engine refused a request, as it does not hold its adapter.
-    RecordCold {
-        engine: EngineName,
-        adapter: AdapterId,
-    },
-    EventPosition {
-        engine: EngineName,
-        reply: oneshot::Sender<Option<EventCursor>>,
-    },
-    ApplySnapshot {
-        engine: EngineName,
-        snapshot: CacheSnapshot,
-        names: Vec<BlockHash>,
-        requested_at: Instant,
-    },
+    /// Take a concurrency slot for a tenant; the reply is false if its share is in use.
+    Admit { tenant: TenantName, share: u64, reply: oneshot::Sender<bool> },
+    /// Release a concurrency slot.
+    Release { tenant: TenantName },
+    /// Pick an engine and begin an attempt there.
+    Pick { prompt: Box<Prompt>, is_retry: bool, reply: oneshot::Sender<Picked> },
+    /// End an attempt, which occupied this many blocks.
+    EndAttempt { engine: EngineName, blocks: BlockCount },
+    /// An engine holds these blocks now.
+    RecordKept { engine: EngineName, names: Vec<BlockHash> },
+    /// An attempt at an engine failed.
+    RecordFault { engine: EngineName },
+    /// An engine refused an attempt because it does not hold the adapter.
+    RecordCold { engine: EngineName, adapter: AdapterId },
+    /// Return the position up to which an engine's cache events are known; `None` if a snapshot is needed.
+    EventPosition { engine: EngineName, reply: oneshot::Sender<Option<EventCursor>> },
+    /// Replace an engine's known blocks.
+    ApplySnapshot { engine: EngineName, snapshot: CacheSnapshot, names: Vec<BlockHash>, requested_at: Instant },
+    /// Apply an engine's cache events; the reply is false if they do not follow the known ones.
     ApplyEvents {
         engine: EngineName,
         batch: EventBatch,
@@ -53,34 +37,35 @@
         requested_at: Instant,
         reply: oneshot::Sender<bool>,
     },
-    RecordRunningCount {
-        engine: EngineName,
-        running: u64,
-        requested_at: Instant,
-    },
+    /// An engine reported this many running requests.
+    RecordRunningCount { engine: EngineName, running: u64, requested_at: Instant },
 }
 
+/// The outcome of a pick.
 pub enum Picked {
+    /// The engine picked, with what the pick was based on.
     Placed(Box<Placement>),
-    /// No engine passes now.
+    /// No engine qualifies.
     NoEngine,
-    /// Engines pass, but none holds the adapter warm.
+    /// Engines serve the model, but none holds the adapter warm.
     NoAdapter,
-    /// A second attempt would go over the retry budget.
+    /// A retry would exceed the retry budget.
     NoBudget,
 }
 
-/// The way to the scheduler. A full ring is an answer of its own: the caller is turned away.
+/// Sends commands to the scheduler. Requests are refused while its queue is full.
 #[derive(Clone)]
 pub struct SchedulerHandle {
     queue: Sender<SchedulerCommand>,
 }
 
 impl SchedulerHandle {
+    /// Sends a command that needs no reply; waits while the queue is full.
     pub fn tell(&self, command: SchedulerCommand) {
         let _ = self.queue.send(command);
     }
 
+    /// Sends a command and awaits its reply; `None` if the queue is full.
     pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> SchedulerCommand) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.queue.try_send(command(reply)).ok()?;
@@ -88,7 +73,7 @@
     }
 }
 
-/// A tenant's slot, given back when dropped.
+/// A tenant's concurrency slot, released when dropped.
 pub struct ConcurrencySlot {
     scheduler: SchedulerHandle,
     tenant: TenantName,
@@ -100,9 +85,10 @@
     }
 }
 
-/// An attempt's occupancy, given back when dropped.
+/// The blocks that an attempt occupies at its engine, released when dropped.
 pub struct OccupancyGuard {
     scheduler: SchedulerHandle,
+    /// The engine of the attempt.
     pub engine: EngineName,
     blocks: BlockCount,
 }
@@ -114,11 +100,14 @@
 }
 
 impl SchedulerHandle {
+    /// Takes a concurrency slot. The outer `None` means that the queue is full, the inner one that the tenant's
+    /// share is in use.
     pub async fn admit(&self, tenant: &TenantName, share: u64) -> Option<Option<ConcurrencySlot>> {
         let admitted = self.ask(|reply| SchedulerCommand::Admit { tenant: tenant.clone(), share, reply }).await?;
         Some(admitted.then(|| ConcurrencySlot { scheduler: self.clone(), tenant: tenant.clone() }))
     }
 
+    /// Picks an engine; `None` if the queue is full. The guard ends the attempt.
     pub async fn pick(&self, prompt: Prompt, is_retry: bool) -> Option<(Picked, Option<OccupancyGuard>)> {
         let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
         let picked = self.ask(|reply| SchedulerCommand::Pick { prompt: Box::new(prompt), is_retry, reply }).await?;
@@ -132,8 +121,9 @@
     }
 }
 
+/// Starts the scheduler's thread.
 pub fn start_scheduler(router: NodeId, zone: Zone, shared: Arc<SharedState>) -> SchedulerHandle {
-    let (queue, commands) = bounded_queue::<SchedulerCommand>(8192);
+    let (queue, commands) = bounded_queue::<SchedulerCommand>(QUEUE_CAPACITY);
     spawn_thread("table", move || {
         let mut scheduler = Scheduler {
             picker: Picker::new(router, zone),
@@ -142,7 +132,7 @@
             shared,
         };
         while let Ok(command) = commands.recv() {
-            scheduler.take(command);
+            scheduler.handle(command);
         }
     });
     SchedulerHandle { queue }
@@ -156,7 +146,7 @@
 }
 
 impl Scheduler {
-    fn take(&mut self, command: SchedulerCommand) {
+    fn handle(&mut self, command: SchedulerCommand) {
         let now = boot_now();
         match command {
             SchedulerCommand::FleetChanged => self.picker.retain_listed(&self.shared.snapshot()),
@@ -214,7 +204,7 @@
     }
 }
 
-/// Why no engine passes.
+/// Why no engine qualifies.
 fn explain_no_placement(snapshot: &FleetSnapshot, prompt: &Prompt, now: Instant) -> Picked {
     let is_cold = prompt.adapter.as_ref().is_some_and(|adapter| !snapshot.is_warm_anywhere(adapter, now));
     if is_cold { Picked::NoAdapter } else { Picked::NoEngine }
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -1,62 +1,81 @@
-//! What the tasks of a router share: the fleet as it is in force here, the lease, whether it drains, and its
-//! counters. Read by all, written by the feed (fleet and lease) and the signals (drain) alone.
+//! The state shared by a router's tasks: the fleet snapshot in force, the lease, whether the router is draining, and
+//! its counters. All tasks read it; only the feed writes the snapshot and the lease, only shutdown sets draining.
 
 use crate::prelude::*;
 
-/// How often running work looks whether the lease is long gone; changes are heard of at once.
+/// How often running work checks the lease; it is notified of changes of the fleet state at once.
 const WORK_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What all tasks of a router look at.
+/// The state shared by a router's tasks.
 #[derive(Default)]
 pub struct SharedState {
     changes: tokio::sync::watch::Sender<u64>,
     snapshot: RwLock<Arc<FleetSnapshot>>,
-    /// The end of the lease as the watch tells it, for those who only look at it.
+    /// The end of the lease according to `grants`, readable without the lock.
     lease_until: AtomicU64,
     grants: Mutex<GrantTracker>,
+    /// Whether the router is stopping and accepts no requests.
     pub draining: AtomicBool,
+    /// Counters for `/metrics`.
     pub counts: Counts,
     routers: Mutex<RouterRoster>,
-    /// Where the bound on old weights is counted in undisturbed time: when the core was last disturbed.
+    /// The time of the coordinator's last disturbance; set only where the grace period for old weights counts
+    /// undisturbed time.
     disturbed: std::sync::OnceLock<Arc<AtomicU64>>,
     policies: Mutex<PolicyMetrics>,
     demand: Mutex<DemandMeter>,
 }
 
-/// Counters for `/metrics`.
+/// The counters of a router.
 #[derive(Default)]
 pub struct Counts {
+    /// Requests received.
     pub requests: AtomicU64,
+    /// Requests running now.
     pub running: AtomicU64,
+    /// Attempts placed.
     pub attempts: AtomicU64,
+    /// Attempts that were retries.
     pub retries: AtomicU64,
+    /// Requests answered completely.
     pub whole: AtomicU64,
+    /// Requests given up that certainly did not run.
     pub not_run: AtomicU64,
+    /// Requests given up that may have run.
     pub unknown: AtomicU64,
+    /// Streams cut before their end.
     pub cut: AtomicU64,
+    /// Requests whose caller left.
     pub cancelled: AtomicU64,
+    /// Requests refused before any attempt.
     pub refused: AtomicU64,
+    /// Blocks of prompts whose first piece came.
     pub prompt_blocks: AtomicU64,
+    /// Those of `prompt_blocks` that the engine did not have to prefill.
     pub reused_blocks: AtomicU64,
+    /// Blocks that engines were told to fetch.
     pub fetch_blocks: AtomicU64,
+    /// Picks based on sent prompts instead of cache events.
     pub history_picks: AtomicU64,
-    /// Requests on adapters whose first piece came from our own zone, from another of our region, from
-    /// another region.
+    /// Requests on an adapter served from the router's own zone.
     pub adapter_own_zone: AtomicU64,
+    /// Requests on an adapter served from another zone of the router's region.
     pub adapter_own_region: AtomicU64,
+    /// Requests on an adapter served from another region.
     pub adapter_other_region: AtomicU64,
-    /// Requests refused because their adapter was warm nowhere.
+    /// Requests refused because no engine held their adapter warm.
     pub adapter_cold: AtomicU64,
-    /// Attempts that an engine refused for want of the adapter.
+    /// Attempts that an engine refused because it did not hold the adapter.
     pub adapter_refusals: AtomicU64,
 }
 
 impl Counts {
+    /// Adds to a counter.
     pub fn add(counter: &AtomicU64, count: u64) {
         counter.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// How near the engine was that served a request on an adapter.
+    /// Counts a request on an adapter by how near its engine is.
     pub fn count_adapter_request(&self, distance_blocks: u64, is_far: bool) {
         let counter = match (distance_blocks, is_far) {
             (0, false) => &self.adapter_own_zone,
@@ -68,17 +87,18 @@
 }
 
 impl SharedState {
-    /// The state of a router that has heard of nothing yet.
+    /// The initial state, with the given lease timing.
     pub fn with_timing(timing: Timing) -> SharedState {
         SharedState { grants: Mutex::new(GrantTracker::new(timing)), ..SharedState::default() }
     }
 
+    /// The fleet snapshot in force.
     pub fn snapshot(&self) -> Arc<FleetSnapshot> {
         Arc::clone(&self.snapshot.read().expect("no holder of this lock panics"))
     }
 
-    /// Puts a snapshot in force. Figures of a policy that was changed, and of a tenant whose trial was, begin
-    /// anew, so that both sides of a trial are of the same time.
+    /// Puts a snapshot in force. Resets the metrics of changed policies and of tenants whose trial changed, so that
+    /// both sides of a trial cover the same time.
     pub fn publish(&self, snapshot: FleetSnapshot) {
         let previous = self.snapshot();
         let (old_policies, new_policies) = (&previous.state.desired.policies, &snapshot.state.desired.policies);
@@ -86,10 +106,10 @@
         for name in names.filter(|name| old_policies.get(*name) != new_policies.get(*name)) {
             self.policies().clear_policy(name);
         }
-        let (before, after) = (&previous.state.desired, &snapshot.state.desired);
-        let share_moved = before.routing.trial_percent != after.routing.trial_percent;
-        for tenant in before.trials.keys().chain(after.trials.keys()) {
-            if share_moved || before.trials.get(tenant) != after.trials.get(tenant) {
+        let (old_desired, new_desired) = (&previous.state.desired, &snapshot.state.desired);
+        let percent_changed = old_desired.routing.trial_percent != new_desired.routing.trial_percent;
+        for tenant in old_desired.trials.keys().chain(new_desired.trials.keys()) {
+            if percent_changed || old_desired.trials.get(tenant) != new_desired.trials.get(tenant) {
                 self.policies().clear_tenant(tenant.as_str());
             }
         }
@@ -101,51 +121,54 @@
         self.policies.lock().expect("no holder of this lock panics")
     }
 
-    pub fn record_policy_metrics(&self, policy: &str, tenant: &TenantName, note: impl FnOnce(&mut TrafficMetrics)) {
-        note(self.policies().entry(policy, tenant.as_str()));
+    /// Updates the metrics of a policy for a tenant.
+    pub fn record_policy_metrics(&self, policy: &str, tenant: &TenantName, update: impl FnOnce(&mut TrafficMetrics)) {
+        update(self.policies().entry(policy, tenant.as_str()));
     }
 
+    /// The policies' metrics in the Prometheus text format.
     pub fn policy_metrics(&self) -> String {
         self.policies().to_prometheus()
     }
 
-    /// Counts a request for the adapter it runs on, whether it is served or not.
+    /// Counts a request for an adapter, whether or not it is served.
     pub fn record_demand(&self, adapter: &AdapterName, now: Instant) {
-        let span = self.snapshot().state.desired.warming.demand_window;
-        self.demand.lock().expect("no holder of this lock panics").record(adapter, span, now);
+        let window = self.snapshot().state.desired.warming.demand_window;
+        self.demand.lock().expect("no holder of this lock panics").record(adapter, window, now);
     }
 
-    /// The rates of requests for adapters, as the core is told them.
+    /// The rate of requests for each adapter, as reported to the coordinator.
     pub fn demand(&self, now: Instant) -> BTreeMap<AdapterName, u64> {
-        let span = self.snapshot().state.desired.warming.demand_window;
-        self.demand.lock().expect("no holder of this lock panics").rates(span, now)
+        let window = self.snapshot().state.desired.warming.demand_window;
+        self.demand.lock().expect("no holder of this lock panics").rates(window, now)
     }
 
+    /// Applies a new list of the fleet's routers.
     pub fn update_routers(&self, routers: Vec<RouterAddress>) {
         self.routers.lock().expect("no holder of this lock panics").take(routers, boot_now());
     }
 
-    /// The routers that hold leases or lately did, as far as we were told.
+    /// The routers that hold leases or did until recently, as far as known.
     pub fn routers(&self) -> Arc<Vec<RouterAddress>> {
         self.routers.lock().expect("no holder of this lock panics").counted(boot_now())
     }
 
-    /// How many routers hold leases or lately did, as far as we were told; this one at least.
+    /// The number of routers that hold leases or did until recently, as far as known; at least 1, for this router.
     pub fn router_count(&self) -> usize {
         self.routers().len().max(1)
     }
 
-    /// Where another router is reached, if it holds a lease as far as we were told.
+    /// The address of another router, if it is among `routers`.
     pub fn address_of(&self, router: NodeId) -> Option<String> {
         self.routers().iter().find(|listed| listed.router == router).map(|listed| listed.address.clone())
     }
 
-    /// A renewal sent at `asked` was granted.
+    /// Records that the renewal requested at `asked` was granted.
     pub fn renew_lease(&self, asked: Instant, until: Instant) {
         self.with_grants(|grants| grants.renew(asked, until));
     }
 
-    /// Looks at the watch over grants, or tells it something; the end of the lease follows.
+    /// Gives access to the grant tracker, then updates the end of the lease from it.
     pub fn with_grants<T>(&self, access: impl FnOnce(&mut GrantTracker) -> T) -> T {
         let mut grants = self.grants.lock().expect("no holder of this lock panics");
         let result = access(&mut grants);
@@ -153,35 +176,40 @@
         result
     }
 
-    /// From now on old weights are given up by undisturbed time alone.
+    /// Starts keeping the time of the coordinator's last disturbance, for a grace period for old weights that counts
+    /// undisturbed time only. Returns that time, which later disturbances update.
     pub fn track_disturbances(&self) -> Arc<AtomicU64> {
         Arc::clone(self.disturbed.get_or_init(Arc::default))
     }
 
+    /// Records a disturbance of the coordinator, where that is tracked.
     pub fn record_disturbance(&self, disturbed: Instant) {
         if let Some(known) = self.disturbed.get() {
             known.fetch_max(disturbed.0, Ordering::Relaxed);
         }
     }
 
+    /// The time left of the lease.
     pub fn lease_left(&self, now: Instant) -> Span {
         Instant(self.lease_until.load(Ordering::SeqCst)).since(now)
     }
 
+    /// Whether the lease is in force.
     pub fn holds_lease(&self, now: Instant) -> bool {
         is_leased(self.lease_until(), now)
     }
 
+    /// The end of the lease.
     pub fn lease_until(&self) -> Instant {
         Instant(self.lease_until.load(Ordering::SeqCst))
     }
 
-    /// The last look before the first byte of an attempt.
+    /// Checks that an attempt may start; called right before its first byte is written.
     pub fn may_start(&self, basis: &AttemptBasis) -> Result<(), StartRefusal> {
         may_start(&self.snapshot(), self.lease_until(), basis, boot_now())
     }
 
-    /// Resolves when work for this key must end here.
+    /// Resolves when running work for this key must stop.
     pub async fn wait_until_work_must_stop(&self, key_hash: &str, tenant: &TenantName) -> StopReason {
         let mut changes = self.changes.subscribe();
         loop {
