--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -4,13 +4,18 @@
 
 static TRADE: Trade = Trade {
     program: "router",
-    about: "Chooses each prompt's engine and carries the stream.",
+    about: "Picks an engine for each prompt and forwards the stream.",
     settings: &[
-        setting("listen", Kind::Address, Some("127.0.0.1:0"), "where callers are served"),
-        setting("agent", Kind::Address, None, "this machine's agent, on loopback"),
-        setting("zone", Kind::Text, Some("a"), "the zone this machine stands in"),
-        setting("drain_s", Kind::Whole(0, 600), Some("12"), "seconds that running streams get when stopping"),
-        setting("record", Kind::Path, None, "folder for recordings of the day; none if left out"),
+        setting("listen", Kind::Address, Some("127.0.0.1:0"), "the address at which callers are served"),
+        setting("agent", Kind::Address, None, "the loopback address of this machine's agent"),
+        setting("zone", Kind::Text, Some("a"), "the zone of this machine"),
+        setting(
+            "drain_s",
+            Kind::Whole(0, 600),
+            Some("12"),
+            "seconds that running streams may take to end on shutdown",
+        ),
+        setting("record", Kind::Path, None, "folder for recordings of runs; if left out, none are made"),
         setting("record_mb", Kind::Whole(1, 4096), Some("64"), "size of a recording file; four are kept"),
         setting("threads", Kind::Whole(1, 64), Some("2"), "threads for HTTP"),
         LOG_LEVEL,
@@ -29,7 +34,7 @@
 fn run(settings: Settings) -> Result<(), Report> {
     let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
     let agent_address = settings.address("agent")?.to_string();
-    let drain_span = Span::seconds(settings.whole("drain_s")?);
+    let drain_limit = Span::seconds(settings.whole("drain_s")?);
     let listener = bind(settings.address("listen")?)
         .map_err(|fault| miette!("listen: {}: {fault}", settings.text("listen").unwrap_or("")))?;
     let address = listener.local_addr().map_err(|fault| miette!("listen: {fault}"))?;
@@ -73,18 +78,18 @@
     event!(info, "started", id = router, address = address);
     runtime.block_on(async {
         stop.notified().await;
-        drain_router(&shared, drain_span).await;
+        drain_router(&shared, drain_limit).await;
     });
     runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     Ok(())
 }
 
-/// Stops accepting requests and waits for running ones, at most for `drain_span`.
-async fn drain_router(shared: &SharedState, drain_span: Span) {
+/// Stops accepting requests and waits for running ones, at most for `drain_limit`.
+async fn drain_router(shared: &SharedState, drain_limit: Span) {
     shared.draining.store(true, Ordering::SeqCst);
     event!(info, "draining", running = shared.counts.running.load(Ordering::SeqCst));
-    let limit = boot_now() + drain_span;
-    while shared.counts.running.load(Ordering::SeqCst) > 0 && boot_now() < limit {
+    let deadline = boot_now() + drain_limit;
+    while shared.counts.running.load(Ordering::SeqCst) > 0 && boot_now() < deadline {
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     event!(info, "stopped", cut = shared.counts.running.load(Ordering::SeqCst));
