--- a/crates/router/src/followers.rs
+++ b/crates/router/src/followers.rs
@@ -21,7 +21,7 @@
 const LISTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The time limit for connecting to an engine or the store.
 const CONNECT_TIMEOUT: Span = Span::millis(500);
-/// A poll for events that was answered this much after its waiting time may have been answered from an old state.
+/// How much longer than its waiting time a poll for events may take before its answer counts as late.
 const POLL_SLACK_MS: u64 = 500;
 
 /// Starts a follower for each newly listed engine or address, and stops those of delisted ones.
--- a/crates/router/src/plan.rs
+++ b/crates/router/src/plan.rs
@@ -87,9 +87,9 @@
 /// The longest time limit that a request may set, in milliseconds.
 const MAX_LIMIT_MS: u64 = 10_000;
 /// The largest `max_tokens` that a request may set.
-const MAX_MAX_TOKENS: u64 = 4096;
+const MAX_OUTPUT_TOKENS: u64 = 4096;
 /// The `max_tokens` of a request that sets none.
-const DEFAULT_MAX_TOKENS: u64 = 16;
+const DEFAULT_OUTPUT_TOKENS: u64 = 16;
 
 impl RequestPlan {
     /// Checks a request against the fleet snapshot.
@@ -112,9 +112,9 @@
         if !snapshot.state.desired.models.contains_key(&model) {
             return Err(Refusal::new(StatusCode::NOT_FOUND, "unknown_model", "the model is not known"));
         }
-        let max_tokens = request.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
-        if !(1..=MAX_MAX_TOKENS).contains(&max_tokens) {
-            return Err(bad(format!("max_tokens: must be 1 to {MAX_MAX_TOKENS}")));
+        let max_tokens = request.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
+        if !(1..=MAX_OUTPUT_TOKENS).contains(&max_tokens) {
+            return Err(bad(format!("max_tokens: must be 1 to {MAX_OUTPUT_TOKENS}")));
         }
         if request.n.is_some_and(|count| count != 1) {
             return Err(bad("n: must be 1".into()));
