--- a/crates/gateway/src/relay_site.rs
+++ b/crates/gateway/src/relay_site.rs
@@ -36,7 +36,7 @@
 
 impl RelaySite {
     fn grant_news(&self) -> WebResponse {
-        let news = self.shared.watch_grants(|grants| grants.report(boot_now()));
+        let news = self.shared.with_grants(|grants| grants.report(boot_now()));
         let bytes = rmp_serde::to_vec(&news).unwrap_or_default();
         bytes_response(StatusCode::OK, "application/octet-stream", bytes)
     }
--- a/crates/router/src/demand.rs
+++ b/crates/router/src/demand.rs
@@ -1,19 +1,25 @@
-//! Tells the core, through the agent, which adapters' requests arrive here. What is lost on the way is said
-//! again a moment later; a router without such requests says nothing.
+//! Reports to the coordinator, through the agent, the rate of requests for each adapter at this router. A lost
+//! report is made good by the next one; a router without such requests sends none.
 
 use crate::prelude::*;
 
-const TELL_EVERY: Duration = Duration::from_secs(1);
+/// How often the rates are reported.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells as long as the program runs.
-pub async fn keep_demand(shared: Arc<SharedState>, core_line: Arc<CoreLine>, router: NodeId, zone: Zone) {
-    let mut pulse = tokio::time::interval(TELL_EVERY);
-    pulse.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+/// Reports the rates for as long as the program runs.
+pub async fn report_demand(
+    shared: Arc<SharedState>,
+    coordinator: Arc<CoordinatorClient>,
+    router: NodeId,
+    zone: Zone,
+) {
+    let mut interval = tokio::time::interval(REPORT_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        pulse.tick().await;
+        interval.tick().await;
         let rates = shared.demand(boot_now());
         if !rates.is_empty() {
-            core_line.say(&RouterToAgent::Demand(DemandReport { router, zone: zone.clone(), rates }));
+            coordinator.send(&RouterToAgent::Demand(DemandReport { router, zone: zone.clone(), rates }));
         }
     }
 }
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -1,7 +1,7 @@
-//! Forwarding a request: the attempts' machine says what is to be done, this does it and tells the machine
-//! what came of it. Until the first piece the run lives in its caller's own call, so that a caller who
-//! leaves ends it; a stream under way has a task of its own. All the while the key, the lease and the limit
-//! are watched, and the machine is told when one of them ends the work.
+//! Forwards a request to engines. The attempt state machine decides; this module carries out its effects and feeds
+//! their outcomes back as inputs. Until the first piece the run lives in the future of its HTTP request, so it ends
+//! if the caller disconnects; a stream that has begun runs in its own task. Meanwhile the API key, the lease and the
+//! time limit are watched, and the machine is notified when one of them ends the work.
 
 mod answer;
 mod attempt;
@@ -17,7 +17,7 @@
 type Input = AttemptInput<Box<Completion>>;
 type Effect = AttemptEffect<Box<Completion>>;
 
-/// What the machine waits for.
+/// The operation whose outcome is the machine's next input.
 #[derive(Clone, Debug)]
 enum Awaited {
     Nothing,
@@ -28,26 +28,27 @@
     Pieces,
 }
 
-/// A run and the machine of its attempts.
+/// A run with its attempt state machine.
 struct Forwarder {
     run: Run,
-    carriage: AttemptMachine<Box<Completion>>,
+    machine: AttemptMachine<Box<Completion>>,
     awaited: Awaited,
     attempt: Option<Attempt>,
+    /// The engine of the latest attempt.
     engine: EngineName,
     sink: Option<Arc<Sink>>,
-    /// Events that the caller has still to take.
+    /// Events still to be sent to the caller.
     outbox: VecDeque<Bytes>,
     piece_count: u64,
     first_ms: Option<u64>,
-    /// The policy that placed it.
+    /// The policy that placed the latest attempt.
     policy: String,
 }
 
 impl Run {
-    /// Forwards the request until there is an answer; a stream then goes on by itself.
+    /// Forwards the request and returns its response; a stream then continues in its own task.
     pub async fn forward(self) -> WebResponse {
-        Forwarder::new(self).drive().await
+        Forwarder::new(self).run_until_answer().await
     }
 }
 
@@ -63,7 +64,7 @@
         };
         Forwarder {
             run,
-            carriage: AttemptMachine::new(terms),
+            machine: AttemptMachine::new(terms),
             awaited: Awaited::Nothing,
             attempt: None,
             engine: EngineName::from(""),
@@ -75,40 +76,40 @@
         }
     }
 
-    async fn drive(mut self) -> WebResponse {
-        let mut plan = self.carriage.step(Input::Begin);
+    async fn run_until_answer(mut self) -> WebResponse {
+        let mut effects = self.machine.step(Input::Begin);
         loop {
-            if let Some(answered) = self.carry_out(plan) {
-                if !self.carriage.is_done() {
-                    tokio::spawn(self.go_on());
+            if let Some(response) = self.apply_effects(effects) {
+                if !self.machine.is_done() {
+                    tokio::spawn(self.run_to_end());
                 }
-                return answered;
+                return response;
             }
-            let input = self.watched_input().await;
-            plan = self.carriage.step(input);
+            let input = self.next_input_or_stop().await;
+            effects = self.machine.step(input);
         }
     }
 
-    /// A stream under way, until its end.
-    async fn go_on(mut self) {
-        while !self.carriage.is_done() {
-            let input = self.watched_input().await;
-            let is_left = matches!(input, Input::CallerGone);
-            let plan = self.carriage.step(input);
-            self.carry_out(plan);
-            if is_left && self.carriage.is_done() {
-                self.note_cancelled();
+    /// Runs a stream that has begun to its end.
+    async fn run_to_end(mut self) {
+        while !self.machine.is_done() {
+            let input = self.next_input_or_stop().await;
+            let caller_left = matches!(input, Input::CallerGone);
+            let effects = self.machine.step(input);
+            self.apply_effects(effects);
+            if caller_left && self.machine.is_done() {
+                self.record_cancelled();
             }
         }
     }
 
-    fn note_cancelled(&self) {
+    fn record_cancelled(&self) {
         Counts::add(&self.run.shared.counts.cancelled, 1);
         self.log_end("cancelled", "");
     }
 
-    /// The next input, unless limit, key, lease or caller end the work before it.
-    async fn watched_input(&mut self) -> Input {
+    /// The next input, unless the time limit, the key, the lease or the caller ends the work first.
+    async fn next_input_or_stop(&mut self) -> Input {
         let limit_left = self.run.plan.limit.since(boot_now()).as_duration();
         let shared = Arc::clone(&self.run.shared);
         let (key_hash, tenant) = (self.run.plan.key_hash.clone(), self.run.plan.tenant.clone());
@@ -121,19 +122,19 @@
         };
         tokio::select! {
             biased;
-            bar = shared.work_barred(&key_hash, &tenant) => Input::WorkStopped(bar),
+            reason = shared.wait_until_work_must_stop(&key_hash, &tenant) => Input::WorkStopped(reason),
             () = tokio::time::sleep(limit_left) => Input::LimitPassed,
             () = caller_gone => Input::CallerGone,
             input = self.next_input() => input,
         }
     }
 
-    /// What the machine waits for, once the caller has taken what was sent.
+    /// Sends the pending events, then performs the awaited operation.
     async fn next_input(&mut self) -> Input {
         while let Some(event) = self.outbox.front().cloned() {
             let Some(sink) = self.sink.clone() else { break };
             if !sink.send(event).await {
-                return if sink.is_book() { Input::BufferFull } else { Input::CallerGone };
+                return if sink.is_buffered() { Input::BufferFull } else { Input::CallerGone };
             }
             self.outbox.pop_front();
         }
@@ -147,67 +148,67 @@
         }
     }
 
-    /// Does what the machine wishes; an answer for the caller, if there is one now.
-    fn carry_out(&mut self, plan: Vec<Effect>) -> Option<WebResponse> {
-        let mut answered = None;
-        for effect in plan {
+    /// Applies the machine's effects; returns the response to the caller if there is one now.
+    fn apply_effects(&mut self, effects: Vec<Effect>) -> Option<WebResponse> {
+        let mut response = None;
+        for effect in effects {
             match effect {
                 Effect::Claim => self.awaited = Awaited::Claim,
                 Effect::ReleaseClaim => self.release_claim(),
                 Effect::Pick { tried, is_retry } => self.awaited = Awaited::Pick { tried, is_retry },
                 Effect::Connect { attempt } => {
-                    self.note_placement(&attempt);
+                    self.record_placement(&attempt);
                     self.awaited = Awaited::Stream;
                 }
                 Effect::Write => self.awaited = Awaited::Head,
-                Effect::FirstPieceReceived => answered = self.begin_answer(),
+                Effect::FirstPieceReceived => response = self.begin_answer(),
                 Effect::SendPiece(completion) => self.send_piece(*completion),
-                Effect::AnswerWhole(completion) => answered = Some(self.answer_whole(*completion)),
+                Effect::AnswerWhole(completion) => response = Some(self.answer_whole(*completion)),
                 Effect::EndWhole => self.end_stream(None),
                 Effect::EndCut(reason) => self.end_stream(Some(reason)),
-                Effect::GiveUp(given_up) => answered = Some(self.give_up(given_up)),
+                Effect::GiveUp(given_up) => response = Some(self.give_up(given_up)),
                 Effect::EndAttempt => self.attempt = None,
-                Effect::AttemptFault { reason, ran, avoid_engine } => self.note_fault(&reason, ran, avoid_engine),
+                Effect::AttemptFault { reason, ran, avoid_engine } => self.record_fault(&reason, ran, avoid_engine),
             }
         }
-        answered
+        response
     }
 
-    fn note_placement(&mut self, attempt_name: &str) {
+    fn record_placement(&mut self, attempt_name: &str) {
         if let Some(attempt) = &self.attempt {
             self.run.log_pick(&attempt.placement, attempt_name);
-            self.run.draft = self.run.recorder.is_on().then(|| RecordedPick::of(&attempt.placement));
+            self.run.draft = self.run.recorder.is_on().then(|| RecordedPick::from_placement(&attempt.placement));
         }
     }
 
-    /// Claims the idempotency key in the core.
+    /// Claims the idempotency key at the coordinator.
     async fn claim(&mut self) -> Input {
         let (router, run) = (self.run.router, self.run.plan.run_number);
         let Some(claim) = self.run.plan.claim else { return Input::ClaimSettled(ClaimOutcome::Unknown) };
-        let settled = self.run.core_line.submit(Command::Claim { claim, router, run }).await;
+        let settled = self.run.coordinator.submit(Command::Claim { claim, router, run }).await;
         Input::ClaimSettled(ClaimOutcome::of(settled))
     }
 
-    /// Gives the claim back, since the run surely did not run.
+    /// Releases the claim, as the request certainly did not run.
     fn release_claim(&self) {
         let (router, run) = (self.run.router, self.run.plan.run_number);
         let Some(claim) = self.run.plan.claim else { return };
-        let core_line = Arc::clone(&self.run.core_line);
-        tokio::spawn(async move { core_line.submit(Command::Release { claim, router, run }).await });
+        let coordinator = Arc::clone(&self.run.coordinator);
+        tokio::spawn(async move { coordinator.submit(Command::Release { claim, router, run }).await });
     }
 }
 
 impl Drop for Forwarder {
-    /// A run dropped before its end was left by its caller.
+    /// Cancels a run that is dropped before its end: its caller has left.
     fn drop(&mut self) {
-        if self.carriage.is_done() {
+        if self.machine.is_done() {
             return;
         }
-        for effect in self.carriage.step(Input::CallerGone) {
+        for effect in self.machine.step(Input::CallerGone) {
             if effect == Effect::ReleaseClaim {
                 self.release_claim();
             }
         }
-        self.note_cancelled();
+        self.record_cancelled();
     }
 }
--- a/crates/router/src/pieces.rs
+++ b/crates/router/src/pieces.rs
@@ -1,26 +1,28 @@
-//! Reading an engine's answer: the events of a stream one by one, and the shape in which pieces and
-//! whole answers go on to the caller. Whether they may is the carriage's to say.
+//! Splits an engine's stream into events, and formats pieces and whole answers for the caller. The attempt state
+//! machine decides whether they are sent on.
 
 use crate::prelude::*;
 
-pub const MOST_EVENT_BYTES: usize = 1 << 20;
+/// Maximum size of the buffered bytes of an event.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Splits a byte stream into the data of its events.
+/// Splits a byte stream into the data of its server-sent events.
 #[derive(Default)]
 pub struct EventReader {
     pending: Vec<u8>,
 }
 
 impl EventReader {
+    /// Appends bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), String> {
-        if self.pending.len() + bytes.len() > MOST_EVENT_BYTES {
-            return Err("an event is too large".into());
+        if self.pending.len() + bytes.len() > MAX_EVENT_BYTES {
+            return Err("an event exceeds the size limit".into());
         }
         self.pending.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// The data of the next whole event.
+    /// Takes the data of the next complete event.
     pub fn next_data(&mut self) -> Option<String> {
         loop {
             let end = self.pending.windows(2).position(|pair| pair == b"\n\n")?;
@@ -34,42 +36,43 @@
         }
     }
 
+    /// Whether no bytes of an incomplete event are left.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// The piece as the caller gets it, in the form it asked.
-pub fn shape_piece(completion: Completion, run: &str, form: Form) -> Value {
+/// A piece of an answer in the format of the caller's request.
+pub fn format_piece(completion: Completion, run: &str, format: ApiFormat) -> Value {
     let choices: Vec<Value> = completion
         .choices
         .into_iter()
-        .map(|choice| match form {
-            Form::Completion => {
+        .map(|choice| match format {
+            ApiFormat::Completion => {
                 json!({"index": choice.index, "text": choice.text, "finish_reason": choice.finish_reason})
             }
-            Form::Chat => json!({"index": choice.index, "delta": {"content": choice.text},
+            ApiFormat::Chat => json!({"index": choice.index, "delta": {"content": choice.text},
                                  "finish_reason": choice.finish_reason}),
         })
         .collect();
-    let object = if form == Form::Chat { "chat.completion.chunk" } else { "text_completion" };
-    let mut shaped =
+    let object = if format == ApiFormat::Chat { "chat.completion.chunk" } else { "text_completion" };
+    let mut formatted =
         json!({"id": run, "shot": completion.id, "object": object, "model": completion.model, "choices": choices});
     if let Some(adapter) = completion.adapter {
-        shaped["adapter"] = json!(adapter);
+        formatted["adapter"] = json!(adapter);
     }
     if let Some(usage) = completion.usage {
-        shaped["usage"] = json!(usage);
+        formatted["usage"] = json!(usage);
     }
-    shaped
+    formatted
 }
 
-/// A whole answer in the form that was asked.
-pub fn shape_whole(completion: Completion, run: &str, form: Form) -> Value {
-    let mut shaped = shape_piece(completion, run, form);
-    if form == Form::Chat {
-        shaped["object"] = json!("chat.completion");
-        if let Some(choices) = shaped["choices"].as_array_mut() {
+/// A whole answer in the format of the caller's request.
+pub fn format_answer(completion: Completion, run: &str, format: ApiFormat) -> Value {
+    let mut formatted = format_piece(completion, run, format);
+    if format == ApiFormat::Chat {
+        formatted["object"] = json!("chat.completion");
+        if let Some(choices) = formatted["choices"].as_array_mut() {
             for choice in choices {
                 let content = choice["delta"]["content"].take();
                 choice["message"] = json!({"role": "assistant", "content": content});
@@ -79,7 +82,7 @@
             }
         }
     }
-    shaped
+    formatted
 }
 
 #[cfg(test)]
@@ -87,7 +90,7 @@
     use crate::prelude::*;
 
     #[test]
-    fn events_come_whole_however_they_are_cut() {
+    fn events_are_read_whole_however_the_bytes_are_split() {
         let mut reader = EventReader::default();
         let mut found = Vec::new();
         for byte in b"data: {\"a\":1}\n\n: note\n\ndata: x\ndata: y\n\ndata: part" {
@@ -96,6 +99,6 @@
         }
         assert_eq!(found, ["{\"a\":1}", "x\ny"]);
         assert!(!reader.is_empty());
-        assert!(reader.feed(&vec![b'x'; MOST_EVENT_BYTES]).is_err());
+        assert!(reader.feed(&vec![b'x'; MAX_EVENT_BYTES]).is_err());
     }
 }
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/request_site.rs
@@ -1,22 +1,38 @@
-//! Where requests come in: pages, checks, the plan, a seat for the tenant, and on to forwarding.
+//! The HTTP handlers: route requests, check and admit prompts, resume streams, and serve health and metrics pages.
 
 use crate::prelude::*;
 
-/// The pages that callers ask.
+/// The time limit for connecting to another router.
+const PROXY_CONNECT_TIMEOUT: Span = Span::millis(700);
+/// Maximum size of another router's error response.
+const MAX_PROXIED_ERROR_BYTES: usize = 1 << 16;
+/// How long another router's error response may take.
+const PROXIED_ERROR_TIMEOUT: Duration = Duration::from_secs(2);
+/// How many chunks of a proxied stream may wait for a caller that reads slowly.
+const PROXY_QUEUE_CAPACITY: usize = 32;
+
+/// The handlers of the router's HTTP routes.
 pub struct RequestSite {
+    /// This router's id.
     pub router: NodeId,
+    /// The router's shared state.
     pub shared: Arc<SharedState>,
-    pub table: TableAsker,
+    /// Admits requests and picks engines.
+    pub scheduler: SchedulerHandle,
+    /// The number of the next run.
     pub next_run: AtomicU64,
-    pub book: Arc<RunBook>,
-    pub core_line: Arc<CoreLine>,
+    /// The buffers of resumable runs.
+    pub held_runs: Arc<HeldRuns>,
+    /// Settles claims of idempotency keys.
+    pub coordinator: Arc<CoordinatorClient>,
+    /// Records runs, if recording is on.
     pub recorder: Recorder,
 }
 
 /// Counts a request as running until dropped.
-pub struct Running(Arc<SharedState>);
+pub struct RunningGuard(Arc<SharedState>);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.counts.running.fetch_sub(1, Ordering::SeqCst);
     }
@@ -32,8 +48,8 @@
     async fn respond(self: Arc<Self>, asked: IncomingRequest) -> WebResponse {
         let (method, segments) = asked.method_and_path();
         match (method.as_str(), segments.as_slice()) {
-            ("POST", ["v1", "completions"]) => self.take(asked, Form::Completion).await,
-            ("POST", ["v1", "chat", "completions"]) => self.take(asked, Form::Chat).await,
+            ("POST", ["v1", "completions"]) => self.handle_prompt(asked, ApiFormat::Completion).await,
+            ("POST", ["v1", "chat", "completions"]) => self.handle_prompt(asked, ApiFormat::Chat).await,
             ("GET", ["v1", "runs", run]) => {
                 let (run, last_event) = ((*run).to_owned(), asked.header("last-event-id").map(str::to_owned));
                 self.resume(&asked, &run, last_event.as_deref()).await
@@ -45,37 +61,39 @@
         }
     }
 
-    /// Goes on with a run where the caller left off; never begins one.
+    /// Resumes a run after the last event that the caller received; never starts one. A run held by another router
+    /// is proxied from there, at most once.
     async fn resume(&self, asked: &IncomingRequest, run: &str, last_event: Option<&str>) -> WebResponse {
         let bad = |reason: &str| error_response(StatusCode::BAD_REQUEST, "bad_request", reason);
-        let gone = || error_response(StatusCode::GONE, "gone", "this run is not held any more; it is not begun anew");
+        let gone =
+            || error_response(StatusCode::GONE, "gone", "this run is no longer buffered; it is not started again");
         let Some(named) = EventId::read(run).filter(|named| named.piece.is_none()) else {
-            return bad("a run is ROUTER.NUMBER, as told in x-haremount-run");
+            return bad("a run is named ROUTER.NUMBER, as in the header x-haremount-run");
         };
         let last_piece = match last_event.map(EventId::read) {
             None => None,
             Some(Some(last)) if (last.router, last.run) == (named.router, named.run) && last.piece.is_some() => {
                 last.piece
             }
-            Some(_) => return bad("Last-Event-ID is no event of this run"),
+            Some(_) => return bad("Last-Event-ID does not name an event of this run"),
         };
         if !self.shared.holds_lease(boot_now()) {
             let reason = "this router holds no lease";
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_lease", reason).retry_after(1).into_outcome();
         }
-        let sight = self.shared.sight();
+        let snapshot = self.shared.snapshot();
         let key_hash = asked.bearer_token().map(sha256_hex).unwrap_or_default();
-        let Some(tenant) = sight.tenants_by_key.get(&key_hash) else {
+        let Some(tenant) = snapshot.tenants_by_key.get(&key_hash) else {
             return error_response(StatusCode::UNAUTHORIZED, "unknown_key", "the key is not known");
         };
         if named.router != self.router {
-            let may_carry = asked.header("x-haremount-carried").is_none();
-            return match self.shared.address_of(named.router).filter(|_| may_carry) {
-                Some(address) => carry_resume(&address, asked, run, last_event).await.unwrap_or_else(|_| gone()),
+            let may_proxy = asked.header("x-haremount-carried").is_none();
+            return match self.shared.address_of(named.router).filter(|_| may_proxy) {
+                Some(address) => proxy_resume(&address, asked, run, last_event).await.unwrap_or_else(|_| gone()),
                 None => gone(),
             };
         }
-        let Some(held_run) = self.book.find(named.run).filter(|held_run| held_run.tenant == *tenant) else {
+        let Some(held_run) = self.held_runs.find(named.run).filter(|held_run| held_run.tenant == *tenant) else {
             return gone();
         };
         let Some(first) = resume_index(last_piece, held_run.event_count()) else {
@@ -84,24 +102,25 @@
         held_run.stream_from(first).with_header(RUN_HEADER, run)
     }
 
-    async fn take(&self, mut asked: IncomingRequest, form: Form) -> WebResponse {
+    /// Handles a prompt, or resumes a run if the request names a last event.
+    async fn handle_prompt(&self, mut asked: IncomingRequest, format: ApiFormat) -> WebResponse {
         if let Some(last_event) = asked.header("last-event-id").map(str::to_owned) {
             let run = last_event.rsplit_once('.').map_or("", |(run, _)| run).to_owned();
             return self.resume(&asked, &run, Some(&last_event)).await;
         }
         Counts::add(&self.shared.counts.requests, 1);
         self.shared.counts.running.fetch_add(1, Ordering::SeqCst);
-        let running = Running(Arc::clone(&self.shared));
-        match self.admit(&mut asked, form).await {
-            Ok((plan, seat)) => {
+        let running = RunningGuard(Arc::clone(&self.shared));
+        match self.admit(&mut asked, format).await {
+            Ok((plan, slot)) => {
                 let run = Run {
                     plan,
-                    _held: (seat, running),
+                    _held: (slot, running),
                     router: self.router,
                     shared: Arc::clone(&self.shared),
-                    table: self.table.clone(),
-                    book: Arc::clone(&self.book),
-                    core_line: Arc::clone(&self.core_line),
+                    scheduler: self.scheduler.clone(),
+                    held_runs: Arc::clone(&self.held_runs),
+                    coordinator: Arc::clone(&self.coordinator),
                     recorder: self.recorder.clone(),
                     draft: None,
                 };
@@ -115,7 +134,12 @@
         }
     }
 
-    async fn admit(&self, asked: &mut IncomingRequest, form: Form) -> Result<(Plan, Seat), Refusal> {
+    /// Checks a prompt and takes a concurrency slot for its tenant.
+    async fn admit(
+        &self,
+        asked: &mut IncomingRequest,
+        format: ApiFormat,
+    ) -> Result<(RequestPlan, ConcurrencySlot), Refusal> {
         let now = boot_now();
         if self.shared.draining.load(Ordering::SeqCst) {
             let reason = "this router is stopping";
@@ -138,23 +162,24 @@
             .map_err(|fault| Refusal::new(StatusCode::BAD_REQUEST, "bad_request", fault.to_string()))?;
         let run_number = self.next_run.fetch_add(1, Ordering::SeqCst);
         let run = (format!("{}.{run_number}", self.router), run_number);
-        let sight = self.shared.sight();
-        let plan = Plan::make(request, form, &headers, &sight, run, now)?;
-        if let Some(adapter) = plan.adapter(&sight) {
-            self.shared.note_demand(&adapter.name, now);
+        let snapshot = self.shared.snapshot();
+        let plan = RequestPlan::make(request, format, &headers, &snapshot, run, now)?;
+        if let Some(adapter) = plan.adapter(&snapshot) {
+            self.shared.record_demand(&adapter.name, now);
         }
         let overloaded = || {
             let reason = "the router is overloaded";
             Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "overloaded", reason).retry_after(1)
         };
-        let admitted = self.table.admit(&plan.tenant, plan.share).await.ok_or_else(overloaded)?;
-        let Some(seat) = admitted else {
+        let admitted = self.scheduler.admit(&plan.tenant, plan.share).await.ok_or_else(overloaded)?;
+        let Some(slot) = admitted else {
             let reason = "the tenant's share is in use";
             return Err(Refusal::new(StatusCode::TOO_MANY_REQUESTS, "over_share", reason).retry_after(1));
         };
-        Ok((plan, seat))
+        Ok((plan, slot))
     }
 
+    /// Ready while it holds a lease and is not draining.
     fn ready(&self) -> WebResponse {
         let is_ready = self.shared.holds_lease(boot_now()) && !self.shared.draining.load(Ordering::SeqCst);
         if is_ready {
@@ -167,7 +192,7 @@
     fn metrics(&self) -> WebResponse {
         let counts = &self.shared.counts;
         let now = boot_now();
-        let sight = self.shared.sight();
+        let snapshot = self.shared.snapshot();
         let mut text = String::new();
         let counters = [
             ("requests_total", &counts.requests),
@@ -193,15 +218,15 @@
         for (name, counter) in counters {
             text.push_str(&format!("haremount_router_{name} {}\n", counter.load(Ordering::Relaxed)));
         }
-        text.push_str(&format!("haremount_router_edition {}\n", sight.state.edition));
+        text.push_str(&format!("haremount_router_edition {}\n", snapshot.state.edition));
         text.push_str(&format!("haremount_router_lease_left_ms {}\n", self.shared.lease_left(now).as_millis()));
         text.push_str(&self.shared.policy_metrics());
         bytes_response(StatusCode::OK, "text/plain; version=0.0.4", text)
     }
 }
 
-/// Asks the router that holds the run, and passes its stream on byte by byte.
-async fn carry_resume(
+/// Proxies the stream of a run from the router that holds it.
+async fn proxy_resume(
     address: &str,
     asked: &IncomingRequest,
     run: &str,
@@ -213,14 +238,15 @@
     if let Some(last_event) = last_event {
         question = question.header("last-event-id", last_event);
     }
-    let stream = open_stream(address, Span::millis(700)).await?;
+    let stream = open_stream(address, PROXY_CONNECT_TIMEOUT).await?;
     let mut replied = stream.send(question).await.map_err(|fault| fault.reason)?;
     if replied.status != StatusCode::OK {
         let status = replied.status;
-        let body = read_whole(&mut replied.body, 1 << 16, Duration::from_secs(2)).await.unwrap_or_default();
+        let body =
+            read_whole(&mut replied.body, MAX_PROXIED_ERROR_BYTES, PROXIED_ERROR_TIMEOUT).await.unwrap_or_default();
         return Ok(bytes_response(status, "application/json", body));
     }
-    let (pieces, answered) = streaming_response(StatusCode::OK, "text/event-stream", 32);
+    let (pieces, response) = streaming_response(StatusCode::OK, "text/event-stream", PROXY_QUEUE_CAPACITY);
     tokio::spawn(async move {
         loop {
             let piece = tokio::select! {
@@ -238,5 +264,5 @@
             }
         }
     });
-    Ok(answered.with_header(RUN_HEADER, run))
+    Ok(response.with_header(RUN_HEADER, run))
 }
