--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -196,8 +196,8 @@
                 return ERROR_PAUSE;
             };
             let outcome = match position {
-                Some(position) => self.ask_news(connection, position).await,
-                None => self.ask_list(connection).await,
+                Some(position) => self.follow_events(connection, position).await,
+                None => self.fetch_parts_list(connection).await,
             };
             match outcome {
                 Ok(()) => tokio::time::sleep(CALL_INTERVAL).await,
@@ -206,19 +206,19 @@
         }
     }
 
-    async fn ask_news(&self, connection: &mut KeptConnection, position: SourcePosition) -> Result<(), Duration> {
-        let request = self.protocol.ask_news(position.next, LONG_POLL_WAIT);
+    async fn follow_events(&self, connection: &mut KeptConnection, position: SourcePosition) -> Result<(), Duration> {
+        let request = self.protocol.events_request(position.next, LONG_POLL_WAIT);
         let body = self.ask(connection, request).await?;
-        let news = self.protocol.read_news(&body).map_err(|reason| self.log_unreadable(&reason))?;
+        let news = self.protocol.read_events(&body).map_err(|reason| self.log_unreadable(&reason))?;
         let batch = PartBatch { epoch: news.epoch, next: news.next, lost: news.is_lost, events: news.events };
         self.table.tell(TableCommand::Events { source: self.source.clone(), batch, received: boot_now() });
         Ok(())
     }
 
-    async fn ask_list(&self, connection: &mut KeptConnection) -> Result<(), Duration> {
+    async fn fetch_parts_list(&self, connection: &mut KeptConnection) -> Result<(), Duration> {
         let received = boot_now();
-        let body = self.ask(connection, self.protocol.ask_list()).await?;
-        let list = self.protocol.read_list(&body).map_err(|reason| self.log_unreadable(&reason))?;
+        let body = self.ask(connection, self.protocol.parts_request()).await?;
+        let list = self.protocol.read_parts_list(&body).map_err(|reason| self.log_unreadable(&reason))?;
         self.table.tell(TableCommand::List { source: self.source.clone(), list, received });
         Ok(())
     }
--- a/crates/gateway/src/mechanism.rs
+++ b/crates/gateway/src/mechanism.rs
@@ -46,13 +46,13 @@
 }
 
 /// Mechanisms that are switched off.
-pub type Disabled = BTreeSet<Mechanism>;
+pub type DisabledMechanisms = BTreeSet<Mechanism>;
 
 /// A reading speed that is not learnt: the middle of the orders of magnitude that engines have.
 const FIXED_TOKENS_PER_MS: f64 = 50.0;
 
 /// The settings of the selection without some mechanisms.
-pub(crate) fn disable_mechanisms(disabled: &Disabled, settings: SelectionSettings) -> SelectionSettings {
+pub(crate) fn disable_mechanisms(disabled: &DisabledMechanisms, settings: SelectionSettings) -> SelectionSettings {
     let mut settings = settings;
     for mechanism in disabled {
         match mechanism {
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -17,7 +17,7 @@
     pub retry_bounds: RetryBounds,
     pub protocol: Arc<dyn Protocol>,
     /// Mechanisms that are switched off, for trials alone.
-    pub disabled: Disabled,
+    pub disabled: DisabledMechanisms,
 }
 
 /// Told to stop, a gateway drains.
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -33,13 +33,13 @@
     /// The engine that is meant; any other must not run the request.
     pub engine: &'a EngineName,
     /// How long the engine may work.
-    pub left: Span,
+    pub time_left: Span,
     pub tenant: Option<&'a TenantName>,
     pub last_event: Option<u64>,
     pub weights: Option<WeightsEdition>,
     /// Under which text the parts of the prompt are kept.
     pub salt: Option<&'a str>,
-    pub urgency: u64,
+    pub priority: u64,
     /// Where parts are fetched from that the engine lacks.
     pub fetch_from: Option<&'a str>,
     /// The store that gets the parts once they are read.
@@ -72,7 +72,7 @@
 
 /// A batch of news about kept parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PartNews {
+pub struct PartEvents {
     pub epoch: u64,
     /// The number to ask from next.
     pub next: u64,
@@ -109,14 +109,14 @@
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
     /// Asks a source for its news after a number, held for as long as there is none.
-    fn ask_news(&self, since: u64, wait: Span) -> Request<Full<Bytes>>;
+    fn events_request(&self, since: u64, wait: Span) -> Request<Full<Bytes>>;
 
-    fn read_news(&self, body: &[u8]) -> Result<PartNews, String>;
+    fn read_events(&self, body: &[u8]) -> Result<PartEvents, String>;
 
     /// Asks a source for all that it keeps.
-    fn ask_list(&self) -> Request<Full<Bytes>>;
+    fn parts_request(&self) -> Request<Full<Bytes>>;
 
-    fn read_list(&self, body: &[u8]) -> Result<PartList, String>;
+    fn read_parts_list(&self, body: &[u8]) -> Result<PartList, String>;
 }
 
 /// Both sides of what a gateway speaks.
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -130,12 +130,12 @@
         let attempt_head = AttemptHead {
             attempt: &planned.head.attempt,
             engine: &chosen.engine,
-            left: planned.deadline.since(boot_now()),
+            time_left: planned.deadline.since(boot_now()),
             tenant: planned.tenant.as_ref().map(|(tenant, _)| tenant),
             last_event,
             weights: planned.head.model.as_ref().map(|_| chosen.weights),
             salt: salt.map(|salt| salt.0.as_str()),
-            urgency: planned.priority(snapshot),
+            priority: planned.priority(snapshot),
             fetch_from: chosen.fetch.as_ref().map(|fetch| fetch.address.as_str()),
             store_to: chosen.sink.as_deref(),
         };
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -196,7 +196,7 @@
     zone: Zone,
     shared: Arc<SharedState>,
     bounds: RetryBounds,
-    disabled: Disabled,
+    disabled: DisabledMechanisms,
 ) -> (TableHandle, tokio::sync::watch::Receiver<u64>) {
     let (queue, commands) = bounded_queue::<TableCommand>(TABLE_QUEUE_CAPACITY);
     let (changes, changes_receiver) = tokio::sync::watch::channel(0);
@@ -238,7 +238,7 @@
     selector: Selector,
     budgets: HashMap<ServiceName, RetryBudget>,
     bounds: RetryBounds,
-    disabled: Disabled,
+    disabled: DisabledMechanisms,
     shared: Arc<SharedState>,
     log: RelayLog,
     /// How often an engine was asked for.
