--- a/crates/gateway/src/relay_log.rs
+++ b/crates/gateway/src/relay_log.rs
@@ -9,6 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayQuery {
     /// The incarnation of the log that `since` refers to, and the number after the last change known.
+    #[serde(rename = "life")]
     pub incarnation: u64,
     pub since: u64,
 }
@@ -32,12 +33,14 @@
     /// The number of requests, their tokens, and their tokens whose prefill is pending.
     pub requests: u64,
     pub tokens: u64,
+    #[serde(rename = "unread_tokens")]
     pub pending_prefill_tokens: u64,
 }
 
 /// A router's response to a `RelayQuery`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayUpdate {
+    #[serde(rename = "life")]
     pub incarnation: u64,
     pub next: u64,
     pub sources: Vec<RelayedSource>,
