--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,19 +1,18 @@
-//! The gateway: takes opaque requests, chooses an engine of the route's service for each by the cost of
-//! its prompt's parts, and passes the answer back unchanged. What callers and engines speak is read and
-//! written by protocols that the program hands in; nothing here knows a header's name.
+//! The gateway: receives opaque requests, selects an engine of the route's service for each by the cost of its
+//! prompt's parts, and forwards the response unchanged. The program provides the caller and engine protocols;
+//! this crate knows no protocol header by name.
 
 pub mod prelude;
 
+mod assignment;
+mod caller_site;
 mod candidates;
 mod connections;
 mod events;
-mod exchange;
 mod followers;
-mod front;
 mod gate;
-mod grant_news;
 mod mechanism;
-mod ownership;
+mod peer_grants;
 mod process;
 mod protocol;
 mod readiness;
@@ -21,4 +20,5 @@
 mod relay_log;
 mod relay_site;
 mod request;
+mod retry_state;
 mod table;
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,20 +1,20 @@
-//! The table and its look-up.
+//! The route table and its lookup.
 
 use crate::prelude::*;
 
-/// A route and its name.
+/// A route's name and specification.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedRoute {
     pub name: RouteName,
-    pub wish: RouteSpec,
+    pub spec: RouteSpec,
 }
 
 impl NamedRoute {
-    /// The service for a draw: each branch gets its share of draws.
+    /// The service for a draw: each branch gets its share of all draws; `None` if no branch has a share.
     pub fn service(&self, draw: u64) -> Option<&ServiceName> {
-        let total: u64 = self.wish.branches.iter().map(|branch| branch.share).sum();
+        let total: u64 = self.spec.branches.iter().map(|branch| branch.share).sum();
         let mut place = draw.checked_rem(total)?;
-        for branch in &self.wish.branches {
+        for branch in &self.spec.branches {
             if place < branch.share {
                 return Some(&branch.service);
             }
@@ -23,30 +23,31 @@
         None
     }
 
-    /// Whether the route sends requests to a service at all.
+    /// Whether the route sends any requests to the service.
     pub fn allows(&self, service: &ServiceName) -> bool {
-        self.wish.branches.iter().any(|branch| branch.share > 0 && branch.service == *service)
+        self.spec.branches.iter().any(|branch| branch.share > 0 && branch.service == *service)
     }
 }
 
-/// All routes, by host; those of one host by prefix.
+/// All routes, by host and path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     hosts: HashMap<String, HashMap<String, Arc<NamedRoute>>>,
 }
 
 impl RouteTable {
+    /// The routes of a desired state.
     pub fn of(desired: &DesiredState) -> RouteTable {
         let mut table = RouteTable::default();
-        for (name, wish) in &desired.routes {
-            let named_route = Arc::new(NamedRoute { name: name.clone(), wish: wish.clone() });
-            let host = table.hosts.entry(wish.host.to_ascii_lowercase()).or_default();
-            host.insert(wish.prefix.clone(), named_route);
+        for (name, spec) in &desired.routes {
+            let named_route = Arc::new(NamedRoute { name: name.clone(), spec: spec.clone() });
+            let host = table.hosts.entry(spec.host.to_ascii_lowercase()).or_default();
+            host.insert(spec.prefix.clone(), named_route);
         }
         table
     }
 
-    /// The route of a request: of its host's, the one with the longest prefix that begins the path.
+    /// The route of the host with the longest prefix of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<NamedRoute>> {
         let host_name = host_without_port(host).to_ascii_lowercase();
         let prefixes = self.hosts.get(&host_name)?;
@@ -55,6 +56,7 @@
         ends.into_iter().rev().find_map(|end| prefixes.get(&path[..=end]))
     }
 
+    /// The number of routes.
     pub fn count(&self) -> usize {
         self.hosts.values().map(HashMap::len).sum()
     }
