--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -31,8 +31,8 @@
     if !address.ip().is_loopback() {
         return Err(miette!("listen: {address}: an agent serves its own machine only; take a loopback address"));
     }
-    let plan = AgentPlan { listener, seeds, parting: Span(0) };
-    run_agent(plan, move |handle| {
+    let config = AgentConfig { listener, seeds, router_exit_timeout: Span(0) };
+    run_agent(config, move |handle| {
         let (stopped, reloaded) = (handle.clone(), handle.clone());
         let reload = move |settings: &Settings| reloaded.set_seeds(settings.addresses("seeds"));
         tend_signals(&TRADE, settings, logs, move || stopped.stop(), reload)?;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -5,12 +5,12 @@
 const BATCH: usize = 256;
 
 /// All that an agent is told at its start.
-pub struct AgentPlan {
+pub struct AgentConfig {
     /// Where this machine's router arrives.
     pub listener: std::net::TcpListener,
     pub seeds: Vec<String>,
     /// How long a stopping agent waits for its router to end first.
-    pub parting: Span,
+    pub router_exit_timeout: Span,
 }
 
 /// What signals do to a running agent.
@@ -31,21 +31,21 @@
 }
 
 /// Runs an agent until it is told to stop. `begun` is called once everything is in place.
-pub fn run_agent(plan: AgentPlan, begun: impl FnOnce(AgentHandle) -> Result<(), Report>) -> Result<(), Report> {
+pub fn run_agent(config: AgentConfig, begun: impl FnOnce(AgentHandle) -> Result<(), Report>) -> Result<(), Report> {
     let node = NodeId::random();
     let fleet = Arc::new(AtomicU64::new(0));
     let (queue, commands) = bounded_queue::<AgentCommand>(4096);
     let router_queue = queue.clone();
     let hello_fleet = Arc::clone(&fleet);
     let own_hello = move || Hello::new(FleetId(hello_fleet.load(Ordering::SeqCst)), node, Purpose::Agent);
-    accept_links(plan.listener, own_hello, move |link_event| {
+    accept_links(config.listener, own_hello, move |link_event| {
         router_queue.send(AgentCommand::Router(link_event)).is_ok()
     });
     begun(AgentHandle { queue: queue.clone(), identity: node })?;
     event!(info, "started", id = node);
-    let subscription = Subscription::new(plan.seeds, node.0 as usize % 64);
+    let subscription = Subscription::new(config.seeds, node.0 as usize % 64);
     let mut agent = Agent { subscription, node, queue, core: None, router: None, dial_number: 0, fleet };
-    agent.work(&commands, plan.parting);
+    agent.work(&commands, config.router_exit_timeout);
     event!(info, "stopped");
     Ok(())
 }
@@ -69,7 +69,7 @@
 }
 
 impl Agent {
-    fn work(&mut self, commands: &Receiver<AgentCommand>, parting: Span) {
+    fn work(&mut self, commands: &Receiver<AgentCommand>, router_exit_timeout: Span) {
         let mut next_tick = Instant(0);
         let mut stops_at: Option<Instant> = None;
         loop {
@@ -78,7 +78,7 @@
             for command in batch {
                 match command {
                     AgentCommand::Stop => {
-                        stops_at.get_or_insert(boot_now() + parting);
+                        stops_at.get_or_insert(boot_now() + router_exit_timeout);
                     }
                     command => self.take(command),
                 }
--- a/crates/keeper/src/bringing.rs
+++ b/crates/keeper/src/bringing.rs
@@ -133,8 +133,8 @@
     });
     let giving = async {
         let stream = open_stream(&address, CONNECT_LIMIT).await?;
-        let replied = stream.send_gated(orders.load(&order), gate).await.map_err(|fault| fault.reason)?;
-        Ok::<_, String>(orders.answer(replied.status))
+        let replied = stream.send_gated(orders.load_request(&order), gate).await.map_err(|fault| fault.reason)?;
+        Ok::<_, String>(orders.classify_answer(replied.status))
     };
     let outcome = tokio::time::timeout(ANSWER_LIMIT.as_duration(), giving).await;
     let answer = outcome.unwrap_or_else(|_| Err("limit passed".into())).unwrap_or_else(|reason| {
@@ -167,7 +167,7 @@
 }
 
 async fn report_of(orders: &Arc<dyn EngineOrders>, address: &str) -> Option<EngineReport> {
-    let asked = ask_whole(address, orders.report_question(), CONNECT_LIMIT, REPORT_BYTES).await;
+    let asked = ask_whole(address, orders.report_request(), CONNECT_LIMIT, REPORT_BYTES).await;
     let (_, _, body) = asked.ok().filter(|(status, _, _)| status.is_success())?;
-    orders.report(&body).ok()
+    orders.parse_report(&body).ok()
 }
--- a/crates/keeper/src/directory.rs
+++ b/crates/keeper/src/directory.rs
@@ -105,12 +105,12 @@
     let mut engines = BTreeMap::new();
     let mut page_name: Option<String> = None;
     for pages in 1..=MOST_PAGES {
-        let question = directory.question(page_name.as_deref());
+        let question = directory.page_request(page_name.as_deref());
         let (status, _, body) = ask_whole(&address, question, PAGE_LIMIT, MOST_PAGE_BYTES).await?;
         if status != StatusCode::OK {
             return Err(format!("status {status}"));
         }
-        let page = directory.page(&body)?;
+        let page = directory.parse_page(&body)?;
         engines.extend(page.engines);
         page_name = page.next;
         if page_name.is_none() {
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -47,7 +47,7 @@
     let address = advertised(&settings, "advertise", local(listener.local_addr())?)?;
     let operator_address = advertised(&settings, "advertise_door", local(operator_listener.local_addr())?)?;
     let platform = settings.maybe("platform").map(str::to_owned);
-    let plan = KeeperPlan {
+    let config = KeeperConfig {
         listener,
         operator_listener,
         address: address.clone(),
@@ -56,13 +56,13 @@
         data_folder: PathBuf::from(data_folder),
         disk_faults: settings.maybe("disk_faults").map(PathBuf::from),
         seeds: settings.addresses("seeds"),
-        founding: founding(&settings).map_err(|reason| miette!("found: {reason}"))?,
+        bootstrap: bootstrap(&settings).map_err(|reason| miette!("found: {reason}"))?,
         core_size: settings.whole("core_size")? as usize,
         automatic_size: false,
         timing: Timing::default(),
         engines: platform.map_or(EngineSource::None, EngineSource::Listing),
-        orders: OrderSource::Own,
-        operators: OperatorSource::Own,
+        orders: EngineOrderSource::BuiltIn,
+        operators: OperatorSource::BuiltIn,
         threads: settings.whole("threads")? as usize,
     };
     let tended = move |handle: KeeperHandle| {
@@ -70,7 +70,7 @@
         let reload = move |settings: &Settings| reloaded.set_seeds(settings.addresses("seeds"));
         tend_signals(&TRADE, settings, logs, move || handle.stop(), reload)
     };
-    run_keeper(plan, tended, move |identity| {
+    run_keeper(config, tended, move |identity| {
         say_ready(&[
             ("id", identity.to_string()),
             ("address", address),
@@ -92,9 +92,9 @@
 }
 
 /// A founder's document names the first operator's key.
-fn founding(settings: &Settings) -> Result<Founding, String> {
+fn bootstrap(settings: &Settings) -> Result<Bootstrap, String> {
     if !settings.flag("found") {
-        return Ok(Founding::Joins);
+        return Ok(Bootstrap::Join);
     }
     let key_file = settings.maybe("operator_key_file").ok_or("operator_key_file is needed")?;
     let key = std::fs::read_to_string(Path::new(key_file)).map_err(|fault| format!("{key_file}: {fault}"))?;
@@ -102,5 +102,5 @@
         return Err(format!("{key_file}: a key has at least 8 characters"));
     }
     let document = serde_json::json!({"operators": {"founder": sha256_hex(key.trim())}}).to_string();
-    Ok(Founding::Founds { document, tolerance: 1, or_joins: false })
+    Ok(Bootstrap::Found { document, tolerance: 1, join_if_exists: false })
 }
--- a/crates/keeper/src/ports.rs
+++ b/crates/keeper/src/ports.rs
@@ -15,8 +15,8 @@
 pub trait EngineDirectory: Send + Sync + 'static {
     fn address(&self) -> String;
     /// Asks for the first page, or for the one that a page named.
-    fn question(&self, page: Option<&str>) -> web::prelude::Question;
-    fn page(&self, body: &[u8]) -> Result<DirectoryPage, String>;
+    fn page_request(&self, page: Option<&str>) -> web::prelude::Question;
+    fn parse_page(&self, body: &[u8]) -> Result<DirectoryPage, String>;
 }
 
 /// An order to bring an engine to new weights.
@@ -41,15 +41,15 @@
 
 /// Orders to engines and their reports.
 pub trait EngineOrders: Send + Sync + 'static {
-    fn load(&self, order: &LoadOrder) -> web::prelude::Question;
-    fn answer(&self, status: StatusCode) -> OrderAnswer;
-    fn report_question(&self) -> web::prelude::Question;
-    fn report(&self, body: &[u8]) -> Result<EngineReport, String>;
+    fn load_request(&self, order: &LoadOrder) -> web::prelude::Question;
+    fn classify_answer(&self, status: StatusCode) -> OrderAnswer;
+    fn report_request(&self) -> web::prelude::Question;
+    fn parse_report(&self, body: &[u8]) -> Result<EngineReport, String>;
 }
 
 /// A configuration as operators sent it, checked and translated.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ReadConfiguration {
+pub struct ParsedConfiguration {
     pub revision: Revision,
     /// The product's document.
     pub document: String,
@@ -59,22 +59,22 @@
 
 /// What an operator's call is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OperatorPage {
+pub enum OperatorCall {
     /// A whole configuration.
     Replace,
     /// Named items of it.
     Patch,
-    ReadBack,
-    NameWeights,
+    Read,
+    RaiseWeights,
 }
 
 /// How operators speak.
 pub trait OperatorProtocol: Send + Sync + 'static {
-    fn page(&self, method: &Method, segments: &[&str]) -> Option<OperatorPage>;
+    fn call(&self, method: &Method, segments: &[&str]) -> Option<OperatorCall>;
     /// The header that names the revision a change builds on, and its reading.
-    fn base(&self, headers: &HeaderMap) -> Result<Revision, String>;
-    fn whole(&self, body: &JsonValue) -> Result<ReadConfiguration, Vec<ValidationError>>;
+    fn base_revision(&self, headers: &HeaderMap) -> Result<Revision, String>;
+    fn parse_configuration(&self, body: &JsonValue) -> Result<ParsedConfiguration, Vec<ValidationError>>;
     /// The configuration that a change of named items makes of the one before.
-    fn patched(&self, source: &str, body: &JsonValue) -> Result<ReadConfiguration, Vec<ValidationError>>;
-    fn weights(&self, body: &JsonValue) -> Result<(ModelName, WeightsEdition), Vec<ValidationError>>;
+    fn apply_patch(&self, source: &str, body: &JsonValue) -> Result<ParsedConfiguration, Vec<ValidationError>>;
+    fn parse_weights(&self, body: &JsonValue) -> Result<(ModelName, WeightsEdition), Vec<ValidationError>>;
 }
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -26,8 +26,8 @@
 impl ProtocolInterface {
     async fn enter(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
         let (_, segments) = asked.way();
-        let Some(page) = self.protocol.page(&asked.method, &segments) else { return no_such_page() };
-        if page == OperatorPage::ReadBack {
+        let Some(page) = self.protocol.call(&asked.method, &segments) else { return no_such_page() };
+        if page == OperatorCall::Read {
             return self.read_back().await;
         }
         let body = match asked.read_body(BODY_BOUNDS.bytes).await {
@@ -43,9 +43,9 @@
             Err(complaint) => return tell_faults(&[complaint]),
         };
         match page {
-            OperatorPage::NameWeights => self.name_weights(&body).await,
-            OperatorPage::Replace | OperatorPage::Patch => self.change(page, &asked.headers, &body).await,
-            OperatorPage::ReadBack => no_such_page(),
+            OperatorCall::RaiseWeights => self.name_weights(&body).await,
+            OperatorCall::Replace | OperatorCall::Patch => self.change(page, &asked.headers, &body).await,
+            OperatorCall::Read => no_such_page(),
         }
     }
 
@@ -67,15 +67,15 @@
         }
     }
 
-    async fn change(&self, page: OperatorPage, headers: &HeaderMap, body: &JsonValue) -> WebOutcome {
-        let base = match self.protocol.base(headers) {
+    async fn change(&self, page: OperatorCall, headers: &HeaderMap, body: &JsonValue) -> WebOutcome {
+        let base = match self.protocol.base_revision(headers) {
             Ok(base) => base,
             Err(reason) => return refuse(StatusCode::BAD_REQUEST, "no_base", &reason),
         };
         let fingerprint = fingerprint_of(page, base, &write_sorted(body));
         match page {
-            OperatorPage::Patch => self.patch(base, fingerprint, body).await,
-            _ => self.configure(base, fingerprint, self.protocol.whole(body)).await,
+            OperatorCall::Patch => self.patch(base, fingerprint, body).await,
+            _ => self.configure(base, fingerprint, self.protocol.parse_configuration(body)).await,
         }
     }
 
@@ -83,9 +83,9 @@
         &self,
         base: Revision,
         fingerprint: BlockHash,
-        read: Result<ReadConfiguration, Vec<ValidationError>>,
+        read: Result<ParsedConfiguration, Vec<ValidationError>>,
     ) -> WebOutcome {
-        let ReadConfiguration { revision, document, source } = match read {
+        let ParsedConfiguration { revision, document, source } = match read {
             Ok(read) => read,
             Err(complaints) => return tell_faults(&complaints),
         };
@@ -111,7 +111,7 @@
         for _ in 0..MOST_READINGS {
             let Some((in_force, source)) = self.configuration().await else { return not_known() };
             if in_force == base {
-                return self.configure(base, fingerprint, self.protocol.patched(&source, body)).await;
+                return self.configure(base, fingerprint, self.protocol.apply_patch(&source, body)).await;
             }
             let outcome = self.settle(Command::QueryChange { base, fingerprint }).await;
             let is_base_now =
@@ -124,7 +124,7 @@
     }
 
     async fn name_weights(&self, body: &JsonValue) -> WebOutcome {
-        let (model, weights) = match self.protocol.weights(body) {
+        let (model, weights) = match self.protocol.parse_weights(body) {
             Ok(named) => named,
             Err(complaints) => return tell_faults(&complaints),
         };
@@ -165,8 +165,8 @@
 }
 
 /// Equal for the very same change, whichever way it came and however its text was laid out.
-fn fingerprint_of(page: OperatorPage, base: Revision, canonical: &str) -> BlockHash {
-    let kind: &[u8] = if page == OperatorPage::Patch { b"patch" } else { b"replace" };
+fn fingerprint_of(page: OperatorCall, base: Revision, canonical: &str) -> BlockHash {
+    let kind: &[u8] = if page == OperatorCall::Patch { b"patch" } else { b"replace" };
     BlockHash::of_parts(&[kind, &base.0.to_le_bytes(), canonical.as_bytes()])
 }
 
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -3,11 +3,11 @@
 use crate::prelude::*;
 
 /// Whether this keeper founds a fleet, and how.
-pub enum Founding {
+pub enum Bootstrap {
     /// It joins the fleet that its seeds or its folder know of.
-    Joins,
+    Join,
     /// It founds one with this document. Where a fleet is known already it joins that, or refuses to start.
-    Founds { document: String, tolerance: u64, or_joins: bool },
+    Found { document: String, tolerance: u64, join_if_exists: bool },
 }
 
 /// Which engines there are, and who says so.
@@ -20,20 +20,20 @@
 }
 
 /// How engines are brought to new weights.
-pub enum OrderSource {
+pub enum EngineOrderSource {
     /// By their own state and orders.
-    Own,
+    BuiltIn,
     Protocol(Arc<dyn EngineOrders>),
 }
 
 /// What operators speak.
 pub enum OperatorSource {
-    Own,
+    BuiltIn,
     Protocol(Arc<dyn OperatorProtocol>),
 }
 
 /// All that a keeper is told at its start.
-pub struct KeeperPlan {
+pub struct KeeperConfig {
     /// Where keepers and agents arrive.
     pub listener: std::net::TcpListener,
     /// Where operators arrive.
@@ -46,13 +46,13 @@
     /// For tests: a file that says how the disk misbehaves.
     pub disk_faults: Option<PathBuf>,
     pub seeds: Vec<String>,
-    pub founding: Founding,
+    pub bootstrap: Bootstrap,
     pub core_size: usize,
     /// Any number of machines may join, up to the core's size.
     pub automatic_size: bool,
     pub timing: Timing,
     pub engines: EngineSource,
-    pub orders: OrderSource,
+    pub orders: EngineOrderSource,
     pub operators: OperatorSource,
     pub threads: usize,
 }
@@ -76,30 +76,30 @@
 /// Runs a keeper until it is told to stop or its data folder is found damaged. `tended` is called at once, and
 /// sees to signals; `begun` once everything is in place, which takes as long as the disk refuses writes.
 pub fn run_keeper(
-    plan: KeeperPlan,
+    config: KeeperConfig,
     tended: impl FnOnce(KeeperHandle) -> Result<(), Report>,
     begun: impl FnOnce(NodeId),
 ) -> Result<(), Report> {
-    let shown_folder = plan.data_folder.display().to_string();
+    let shown_folder = config.data_folder.display().to_string();
     let (queue, commands) = bounded_queue::<ExecutorCommand>(4096);
     tended(KeeperHandle { queue: queue.clone() })?;
     let mut patience = Patience::new(commands);
-    let mut filing = Filing::of(data_folder(&plan));
-    let prepared = prepare(&plan, &mut filing, &mut patience)?;
+    let mut filing = Filing::of(data_folder(&config));
+    let prepared = prepare(&config, &mut filing, &mut patience)?;
     let Some(Prepared { me, kept, remembered }) = prepared else {
         event!(info, "stopped");
         return Ok(());
     };
     let identity = me.id;
     let fleet = Arc::new(AtomicU64::new(kept.view.as_ref().map_or(0, |view| view.fleet.0)));
-    let mut seeds = plan.seeds.clone();
+    let mut seeds = config.seeds.clone();
     seeds.extend(remembered);
     let wishes = CoordinatorSettings {
-        requires_fresh_listing: matches!(plan.engines, EngineSource::Listing(_)),
-        core_size: plan.core_size,
-        automatic_size: plan.automatic_size,
+        requires_fresh_listing: matches!(config.engines, EngineSource::Listing(_)),
+        core_size: config.core_size,
+        automatic_size: config.automatic_size,
         seeds,
-        timing: plan.timing,
+        timing: config.timing,
     };
     let life = Incarnation::random().0;
     let coordinator = Coordinator::restore(me.clone(), kept, wishes, life, boot_now());
@@ -109,7 +109,7 @@
         move || Hello::new(FleetId(fleet.load(Ordering::SeqCst)), identity, Purpose::Keeper)
     };
     let link_queue = queue.clone();
-    accept_links(plan.listener, own_hello.clone(), move |link_event| {
+    accept_links(config.listener, own_hello.clone(), move |link_event| {
         link_queue.send(ExecutorCommand::Link(link_event)).is_ok()
     });
     let shelf = Shelf::default();
@@ -117,8 +117,8 @@
         Executor::new(coordinator, filing, Post::new(own_hello), Arc::clone(&shelf), fleet, life, patience);
     let client = ExecutorClient { queue: queue.clone() };
     let health = Arc::new(CensusLiveness::default());
-    let runtime = small_runtime(plan.threads).map_err(|fault| miette!("{fault}"))?;
-    match plan.engines {
+    let runtime = small_runtime(config.threads).map_err(|fault| miette!("{fault}"))?;
+    match config.engines {
         EngineSource::None => {}
         EngineSource::Listing(platform) => {
             runtime.spawn(keep_census(platform, Arc::clone(&shelf), client.clone(), Arc::clone(&health)));
@@ -128,14 +128,14 @@
             runtime.spawn(keep_directory(directory, calls_per_second, shelf, client.clone(), health));
         }
     }
-    match plan.orders {
-        OrderSource::Own => runtime.spawn(conduct(Arc::clone(&shelf), client.clone(), identity)),
-        OrderSource::Protocol(orders) => {
-            runtime.spawn(bring(orders, Arc::clone(&shelf), client.clone(), identity, plan.timing))
+    match config.orders {
+        EngineOrderSource::BuiltIn => runtime.spawn(conduct(Arc::clone(&shelf), client.clone(), identity)),
+        EngineOrderSource::Protocol(orders) => {
+            runtime.spawn(bring(orders, Arc::clone(&shelf), client.clone(), identity, config.timing))
         }
     };
-    let site: Arc<dyn Site> = match plan.operators {
-        OperatorSource::Own => Arc::new(OperatorInterface {
+    let site: Arc<dyn Site> = match config.operators {
+        OperatorSource::BuiltIn => Arc::new(OperatorInterface {
             executor: client,
             shelf: Arc::clone(&shelf),
             me: me.clone(),
@@ -143,7 +143,7 @@
         }),
         OperatorSource::Protocol(protocol) => Arc::new(ProtocolInterface { executor: client, protocol }),
     };
-    runtime.spawn(serve(plan.operator_listener, site));
+    runtime.spawn(serve(config.operator_listener, site));
     begun(identity);
     event!(info, "started", id = identity, address = me.address, door = me.door);
     let outcome = executor.work();
@@ -153,15 +153,15 @@
 }
 
 #[cfg(not(feature = "faults"))]
-fn data_folder(plan: &KeeperPlan) -> Folder {
-    Folder::at(&plan.data_folder)
+fn data_folder(config: &KeeperConfig) -> Folder {
+    Folder::at(&config.data_folder)
 }
 
 #[cfg(feature = "faults")]
-fn data_folder(plan: &KeeperPlan) -> Folder {
-    match &plan.disk_faults {
-        Some(control) => Folder::on_frail(&plan.data_folder, control),
-        None => Folder::at(&plan.data_folder),
+fn data_folder(config: &KeeperConfig) -> Folder {
+    match &config.disk_faults {
+        Some(control) => Folder::on_frail(&config.data_folder, control),
+        None => Folder::at(&config.data_folder),
     }
 }
 
@@ -173,54 +173,58 @@
 }
 
 /// Opens the folder, tries it out, founds a fleet if that is wanted; nothing if told to stop meanwhile.
-fn prepare(plan: &KeeperPlan, filing: &mut Filing, patience: &mut Patience) -> Result<Option<Prepared>, Report> {
-    let told = |fault: DiskFault| miette!("data: {}: {fault}", plan.data_folder.display());
+fn prepare(config: &KeeperConfig, filing: &mut Filing, patience: &mut Patience) -> Result<Option<Prepared>, Report> {
+    let told = |fault: DiskFault| miette!("data: {}: {fault}", config.data_folder.display());
     let opening = || {
         let identity = filing.identity()?;
         filing.try_out()?;
         Ok((identity, filing.remembered_addresses()?, filing.load()?))
     };
-    let Some((identity, remembered, kept)) = patience.insist(opening, |_| turn_away(plan)).map_err(told)? else {
+    let Some((identity, remembered, kept)) = patience.insist(opening, |_| turn_away(config)).map_err(told)? else {
         return Ok(None);
     };
     let me = Member {
         id: identity,
-        address: plan.address.clone(),
-        door: plan.operator_address.clone(),
-        zone: plan.zone.clone(),
+        address: config.address.clone(),
+        door: config.operator_address.clone(),
+        zone: config.zone.clone(),
     };
-    let founded = founded(plan, &me, &kept).map_err(|reason| miette!("found: {reason}"))?;
+    let founded = founded(config, &me, &kept).map_err(|reason| miette!("found: {reason}"))?;
     let Some((founded, mark, state)) = founded else { return Ok(Some(Prepared { me, kept, remembered })) };
     let storing = || {
         filing.store(&founded, mark, &state)?;
         filing.load()
     };
-    let kept = patience.insist(storing, |_| turn_away(plan)).map_err(told)?;
+    let kept = patience.insist(storing, |_| turn_away(config)).map_err(told)?;
     Ok(kept.map(|kept| Prepared { me, kept, remembered }))
 }
 
 /// Whoever arrived while this keeper cannot begin goes to another.
-fn turn_away(plan: &KeeperPlan) {
-    while plan.operator_listener.accept().is_ok() {}
-    if plan.listener.set_nonblocking(true).is_ok() {
-        while plan.listener.accept().is_ok() {}
-        let _ = plan.listener.set_nonblocking(false);
+fn turn_away(config: &KeeperConfig) {
+    while config.operator_listener.accept().is_ok() {}
+    if config.listener.set_nonblocking(true).is_ok() {
+        while config.listener.accept().is_ok() {}
+        let _ = config.listener.set_nonblocking(false);
     }
 }
 
 /// What a fleet founded in an empty folder begins with, unless a seed answers that there is one.
 fn founded(
-    plan: &KeeperPlan,
+    config: &KeeperConfig,
     me: &Member,
     kept: &PersistedState,
 ) -> Result<Option<(Vec<Stored>, LogPosition, FleetState)>, String> {
-    let Founding::Founds { document, tolerance, or_joins } = &plan.founding else { return Ok(None) };
+    let Bootstrap::Found { document, tolerance, join_if_exists } = &config.bootstrap else { return Ok(None) };
     if kept.view.is_some() {
-        return if *or_joins { Ok(None) } else { Err("the data folder already belongs to a fleet".into()) };
+        return if *join_if_exists { Ok(None) } else { Err("the data folder already belongs to a fleet".into()) };
     }
-    for seed in plan.seeds.iter().filter(|seed| **seed != me.address) {
+    for seed in config.seeds.iter().filter(|seed| **seed != me.address) {
         if let Some(fleet) = existing_fleet(seed, me.id) {
-            return if *or_joins { Ok(None) } else { Err(format!("seed {seed} already belongs to fleet {fleet}")) };
+            return if *join_if_exists {
+                Ok(None)
+            } else {
+                Err(format!("seed {seed} already belongs to fleet {fleet}"))
+            };
         }
     }
     let mut founding_state = FleetState::default();
