--- a/crates/keeper/src/adapters_page.rs
+++ b/crates/keeper/src/adapters_page.rs
@@ -4,23 +4,23 @@
 use crate::prelude::*;
 
 /// Every adapter of the document with its copies, and the rates of its requests by region.
-pub(crate) fn show_adapters(state: &FleetState, heard: &[HeardDemand]) -> Value {
+pub(crate) fn show_adapters(state: &FleetState, demand: &[HeardDemand]) -> Value {
     let adapters: Vec<Value> = state
         .desired
         .adapters
         .iter()
-        .map(|(name, wish)| {
-            let owners: Vec<&str> = wish.owners.iter().map(TenantName::as_str).collect();
-            json!({"name": name.as_str(), "model": wish.model.as_str(), "owners": owners,
-                   "revision": wish.revision.0, "in_force": state.adapters.active_revisions.get(name).map(|known| known.0),
-                   "copies": show_copies(state, name), "requests_a_minute": show_demand(state, name, heard)})
+        .map(|(name, adapter)| {
+            let owners: Vec<&str> = adapter.owners.iter().map(TenantName::as_str).collect();
+            json!({"name": name.as_str(), "model": adapter.model.as_str(), "owners": owners,
+                   "revision": adapter.revision.0, "in_force": state.adapters.active_revisions.get(name).map(|revision| revision.0),
+                   "copies": copies_json(state, name), "requests_a_minute": demand_json(state, name, demand)})
         })
         .collect();
     json!({ "adapters": adapters })
 }
 
-fn show_copies(state: &FleetState, name: &AdapterName) -> Vec<Value> {
-    let mut shown = Vec::new();
+fn copies_json(state: &FleetState, name: &AdapterName) -> Vec<Value> {
+    let mut copies_shown = Vec::new();
     for (engine, copies) in &state.adapters.copies {
         let zone = state.listing.engines.get(engine).map(|listed| listed.zone.clone()).unwrap_or_default();
         for copy in copies.iter().filter(|copy| copy.adapter.name == *name) {
@@ -29,16 +29,16 @@
                 CopyStage::Warm { .. } => "warm",
                 CopyStage::Leaving => "leaving",
             };
-            shown.push(json!({"engine": engine.as_str(), "revision": copy.adapter.revision.0, "stage": stage,
+            copies_shown.push(json!({"engine": engine.as_str(), "revision": copy.adapter.revision.0, "stage": stage,
                               "zone": zone.as_str(), "region": state.desired.region_of(&zone).as_str()}));
         }
     }
-    shown
+    copies_shown
 }
 
-fn show_demand(state: &FleetState, name: &AdapterName, heard: &[HeardDemand]) -> Value {
+fn demand_json(state: &FleetState, name: &AdapterName, demand: &[HeardDemand]) -> Value {
     let mut rates: BTreeMap<String, f64> = BTreeMap::new();
-    for HeardDemand { report, .. } in heard {
+    for HeardDemand { report, .. } in demand {
         if let Some(rate) = report.rates.get(name) {
             let region = state.desired.region_of(&report.zone);
             *rates.entry(region.0).or_default() += *rate as f64 / RATE_UNIT;
--- a/crates/keeper/src/executor.rs
+++ b/crates/keeper/src/executor.rs
@@ -5,11 +5,11 @@
 
 use crate::prelude::*;
 
-const BATCH: usize = 256;
+const MAX_BATCH_COMMANDS: usize = 256;
 
 pub enum ExecutorCommand {
     Link(LinkEvent<Inbound>),
-    Ask { question: CoreQuery, limit: Span, reply: oneshot::Sender<QueryOutcome> },
+    Query { query: CoreQuery, timeout: Span, reply: oneshot::Sender<QueryOutcome> },
     Seeds(Vec<String>),
     ListingRead { read: Option<(String, ListingNumber)>, asked: Instant },
     HandOver(DutyKind),
@@ -17,11 +17,11 @@
 }
 
 /// What other duties need of the state: not the operators' words, of which there may be much.
-fn glance(state: &FleetState) -> FleetState {
+fn summarize_state(state: &FleetState) -> FleetState {
     FleetState {
         edition: state.edition,
         desired_edition: state.desired_edition,
-        desired: glance_at_document(&state.desired),
+        desired: summarize_document(&state.desired),
         adapters: state.adapters.clone(),
         listing: state.listing.clone(),
         listing_edition: state.listing_edition,
@@ -33,7 +33,7 @@
     }
 }
 
-fn glance_at_document(desired: &DesiredState) -> DesiredState {
+fn summarize_document(desired: &DesiredState) -> DesiredState {
     DesiredState {
         models: desired.models.clone(),
         adapters: desired.adapters.clone(),
@@ -49,117 +49,120 @@
     /// It waits until the agreed view does without it, but no longer than this.
     Leaving { until: Instant },
     /// It ends then.
-    Parting { until: Instant },
+    Draining { until: Instant },
 }
 
 impl Stopping {
     fn until(self) -> Instant {
         match self {
-            Stopping::Leaving { until } | Stopping::Parting { until } => until,
+            Stopping::Leaving { until } | Stopping::Draining { until } => until,
         }
     }
 }
 
-struct LinkPlace {
+struct LinkEntry {
     link: Link,
     hello: Hello,
 }
 
 pub struct Executor {
     pub coordinator: Coordinator,
-    pub filing: Filing,
+    pub state_store: StateStore,
     pub post: Post,
-    pub shelf: Shelf,
+    pub publisher: SharedPublisher,
     pub fleet: Arc<AtomicU64>,
-    patience: Patience,
-    links: HashMap<LinkId, LinkPlace>,
-    nodes: HashMap<NodeId, LinkId>,
+    retry_queue: RetryQueue,
+    links: HashMap<LinkId, LinkEntry>,
+    node_links: HashMap<NodeId, LinkId>,
     replies: HashMap<u64, oneshot::Sender<QueryOutcome>>,
     next_ticket: u64,
-    last_pulse: Instant,
-    remembered: Vec<String>,
-    shown_edition: Option<Edition>,
-    shown_state: Arc<FleetState>,
+    last_tick: Instant,
+    remembered_addresses: Vec<String>,
+    published_edition: Option<Edition>,
+    published_state: Arc<FleetState>,
     last_sync_micros: u64,
     /// Planned when the machine heard what was not sent; carried out with the next batch.
-    replanned: Vec<Effect>,
+    deferred_effects: Vec<Effect>,
 }
 
 impl Executor {
     pub fn new(
         coordinator: Coordinator,
-        filing: Filing,
+        state_store: StateStore,
         post: Post,
-        shelf: Shelf,
+        publisher: SharedPublisher,
         fleet: Arc<AtomicU64>,
-        life: u64,
-        patience: Patience,
+        incarnation: u64,
+        retry_queue: RetryQueue,
     ) -> Executor {
         Executor {
             coordinator,
-            filing,
+            state_store,
             post,
-            shelf,
+            publisher,
             fleet,
-            patience,
+            retry_queue,
             links: HashMap::new(),
-            nodes: HashMap::new(),
+            node_links: HashMap::new(),
             replies: HashMap::new(),
-            next_ticket: life,
-            last_pulse: Instant(0),
-            remembered: Vec::new(),
-            shown_edition: None,
-            shown_state: Arc::default(),
+            next_ticket: incarnation,
+            last_tick: Instant(0),
+            remembered_addresses: Vec::new(),
+            published_edition: None,
+            published_state: Arc::default(),
             last_sync_micros: 0,
-            replanned: Vec::new(),
+            deferred_effects: Vec::new(),
         }
     }
 
     /// Works until told to stop, or until the data folder is found damaged.
-    pub fn work(&mut self) -> Result<(), DiskFault> {
+    pub fn run(&mut self) -> Result<(), DiskFault> {
         let mut stopping: Option<Stopping> = None;
         loop {
-            let Some(batch) = self.patience.next(self.pause(stopping), BATCH) else { return Ok(()) };
-            let mut plan = std::mem::take(&mut self.replanned);
+            let Some(batch) = self.retry_queue.next_batch(self.time_until_due(stopping), MAX_BATCH_COMMANDS) else {
+                return Ok(());
+            };
+            let mut effects = std::mem::take(&mut self.deferred_effects);
             for command in batch {
                 match command {
-                    ExecutorCommand::Link(link_event) => self.take_link_event(link_event, &mut plan),
-                    ExecutorCommand::Ask { question, limit, reply } => {
+                    ExecutorCommand::Link(link_event) => self.handle_link_event(link_event, &mut effects),
+                    ExecutorCommand::Query { query, timeout, reply } => {
                         self.next_ticket = self.next_ticket.wrapping_add(1);
                         let ticket = self.next_ticket;
                         self.replies.insert(ticket, reply);
                         let now = boot_now();
-                        plan.extend(
-                            self.coordinator.step(Input::Query { ticket, question, limit: now + limit }, now),
+                        effects.extend(
+                            self.coordinator
+                                .step(Input::Query { ticket, question: query, limit: now + timeout }, now),
                         );
                     }
                     ExecutorCommand::Seeds(seeds) => {
-                        plan.extend(self.coordinator.step(Input::Seeds(seeds), boot_now()))
+                        effects.extend(self.coordinator.step(Input::Seeds(seeds), boot_now()))
                     }
                     ExecutorCommand::ListingRead { read, asked } => {
-                        plan.extend(self.coordinator.step(Input::ListingRead { read, asked }, boot_now()));
+                        effects.extend(self.coordinator.step(Input::ListingRead { read, asked }, boot_now()));
                     }
                     ExecutorCommand::HandOver(kind) => {
-                        plan.extend(self.coordinator.step(Input::HandOver(kind), boot_now()));
+                        effects.extend(self.coordinator.step(Input::HandOver(kind), boot_now()));
                     }
                     ExecutorCommand::Stop => {
                         let now = boot_now();
                         stopping.get_or_insert(Stopping::Leaving { until: now + LEAVE_TIMEOUT });
-                        plan.extend(self.coordinator.step(Input::Retire, now));
+                        effects.extend(self.coordinator.step(Input::Retire, now));
                     }
                 }
             }
             let now = boot_now();
-            if now.since(self.last_pulse) >= self.coordinator.tick_interval(now) {
-                self.last_pulse = now;
-                plan.extend(self.coordinator.step(Input::Tick, now));
+            if now.since(self.last_tick) >= self.coordinator.tick_interval(now) {
+                self.last_tick = now;
+                effects.extend(self.coordinator.step(Input::Tick, now));
             }
-            let goes_on = self.carry_out(plan)? && self.show()?;
-            if !goes_on {
+            let continues = self.execute(effects)? && self.publish()?;
+            if !continues {
                 return Ok(());
             }
-            stopping = stopping.map(|stage| self.go_on_stopping(stage));
-            if let Some(Stopping::Parting { until }) = stopping
+            stopping = stopping.map(|stage| self.advance_stopping(stage));
+            if let Some(Stopping::Draining { until }) = stopping
                 && boot_now() >= until
             {
                 return Ok(());
@@ -168,7 +171,7 @@
     }
 
     /// A stopping keeper parts once it has left the view, or once it has waited long enough for that.
-    fn go_on_stopping(&mut self, stage: Stopping) -> Stopping {
+    fn advance_stopping(&mut self, stage: Stopping) -> Stopping {
         let Stopping::Leaving { until } = stage else { return stage };
         let now = boot_now();
         let has_left = self.coordinator.has_left();
@@ -181,50 +184,50 @@
         }
         // Whoever still waits is told now that nothing is known, while it can be told.
         self.replies.clear();
-        Stopping::Parting { until: now + DRAIN_PERIOD }
+        Stopping::Draining { until: now + DRAIN_PERIOD }
     }
 
     /// How long nothing is due.
-    fn pause(&self, stopping: Option<Stopping>) -> Duration {
+    fn time_until_due(&self, stopping: Option<Stopping>) -> Duration {
         let now = boot_now();
-        if !self.replanned.is_empty() {
+        if !self.deferred_effects.is_empty() {
             return Duration::ZERO;
         }
-        let due = self.last_pulse + self.coordinator.tick_interval(now);
+        let due = self.last_tick + self.coordinator.tick_interval(now);
         let due = stopping.map_or(due, |stage| due.min(stage.until()));
         due.since(now).as_duration()
     }
 
-    fn take_link_event(&mut self, link_event: LinkEvent<Inbound>, plan: &mut Vec<Effect>) {
+    fn handle_link_event(&mut self, link_event: LinkEvent<Inbound>, effects: &mut Vec<Effect>) {
         match link_event {
-            LinkEvent::Up(link, hello) => self.take_link(link, hello, plan),
+            LinkEvent::Up(link, hello) => self.add_link(link, hello, effects),
             LinkEvent::Said(id, message) => {
-                let Some(place) = self.links.get(&id) else { return };
-                let from = place.hello.speaker;
-                let input = match (place.hello.purpose, message) {
+                let Some(entry) = self.links.get(&id) else { return };
+                let from = entry.hello.speaker;
+                let input = match (entry.hello.purpose, message) {
                     (Purpose::Keeper, Inbound::Core(envelope)) if envelope.from.id == from => Input::Peer(envelope),
                     (Purpose::Agent, Inbound::Node(message)) => Input::Node { node: from, message },
                     _ => {
                         event!(warn, "link_refused", from = from, reason = "message of another purpose or sender");
-                        place.link.close();
+                        entry.link.close();
                         return;
                     }
                 };
-                plan.extend(self.coordinator.step(input, boot_now()));
+                effects.extend(self.coordinator.step(input, boot_now()));
             }
             LinkEvent::Down(id, _) => {
-                let Some(place) = self.links.remove(&id) else { return };
-                let node = place.hello.speaker;
-                if self.nodes.get(&node) == Some(&id) {
-                    self.nodes.remove(&node);
-                    drop_tells(plan, node);
-                    plan.extend(self.coordinator.step(Input::NodeDisconnected { node }, boot_now()));
+                let Some(entry) = self.links.remove(&id) else { return };
+                let node = entry.hello.speaker;
+                if self.node_links.get(&node) == Some(&id) {
+                    self.node_links.remove(&node);
+                    drop_messages_to(effects, node);
+                    effects.extend(self.coordinator.step(Input::NodeDisconnected { node }, boot_now()));
                 }
             }
         }
     }
 
-    fn take_link(&mut self, link: Link, hello: Hello, plan: &mut Vec<Effect>) {
+    fn add_link(&mut self, link: Link, hello: Hello, effects: &mut Vec<Effect>) {
         let own_fleet = self.coordinator.view().fleet;
         let other_fleet = own_fleet != FleetId(0) && hello.fleet != FleetId(0) && hello.fleet != own_fleet;
         if other_fleet {
@@ -241,57 +244,57 @@
         }
         if hello.purpose == Purpose::Agent {
             let node = hello.speaker;
-            if let Some(earlier_id) = self.nodes.insert(node, link.id) {
+            if let Some(earlier_id) = self.node_links.insert(node, link.id) {
                 if let Some(earlier) = self.links.get(&earlier_id) {
                     earlier.link.close();
                 }
-                drop_tells(plan, node);
-                plan.extend(self.coordinator.step(Input::NodeDisconnected { node }, boot_now()));
+                drop_messages_to(effects, node);
+                effects.extend(self.coordinator.step(Input::NodeDisconnected { node }, boot_now()));
             }
         }
-        self.links.insert(link.id, LinkPlace { link, hello });
+        self.links.insert(link.id, LinkEntry { link, hello });
     }
 
     /// Stores what is to be stored, and only then sends the rest; false if told to stop before that.
-    fn carry_out(&mut self, plan: Vec<Effect>) -> Result<bool, DiskFault> {
-        let mut stored_batch = Vec::new();
-        let mut sent_effects = Vec::new();
-        for effect in plan {
+    fn execute(&mut self, effects: Vec<Effect>) -> Result<bool, DiskFault> {
+        let mut batch = Vec::new();
+        let mut remaining_effects = Vec::new();
+        for effect in effects {
             match effect {
-                Effect::Store(stored) => stored_batch.push(stored),
-                other => sent_effects.push(other),
+                Effect::Store(stored) => batch.push(stored),
+                other => remaining_effects.push(other),
             }
         }
-        if !stored_batch.is_empty() {
+        if !batch.is_empty() {
             let sync_began = boot_now();
-            let goes_on = self.patience.insist(
-                || self.filing.store(&stored_batch, self.coordinator.last(), self.coordinator.state()),
-                |waited| refused(&self.shelf, &mut self.replies, waited),
+            let continues = self.retry_queue.run_with_retry(
+                || self.state_store.store(&batch, self.coordinator.last(), self.coordinator.state()),
+                |waited| handle_disk_refusal(&self.publisher, &mut self.replies, waited),
             )?;
-            if goes_on.is_none() {
+            if continues.is_none() {
                 return Ok(false);
             }
             self.last_sync_micros = boot_now().since(sync_began).0 / 1000;
         }
         let mut dispatch = Dispatch::default();
-        for effect in sent_effects {
+        for effect in remaining_effects {
             if let Some(effect) = dispatch.admit(effect, boot_now()) {
-                self.send_out(effect);
+                self.perform(effect);
             }
         }
         for input in dispatch.into_inputs() {
-            self.replanned.extend(self.coordinator.step(input, boot_now()));
+            self.deferred_effects.extend(self.coordinator.step(input, boot_now()));
         }
         Ok(true)
     }
 
-    fn send_out(&mut self, effect: Effect) {
+    fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Store(_) => {}
             Effect::Send { address, envelope, .. } => self.post.send(&address, &Inbound::Core(envelope)),
             Effect::SendToNode { node, message, .. } => {
-                let Some(place) = self.nodes.get(&node).and_then(|id| self.links.get(id)) else { return };
-                place.link.say(&message);
+                let Some(entry) = self.node_links.get(&node).and_then(|id| self.links.get(id)) else { return };
+                entry.link.say(&message);
             }
             Effect::Outcome { ticket, outcome } => {
                 if let Some(reply) = self.replies.remove(&ticket) {
@@ -303,54 +306,58 @@
     }
 
     /// Publishes what the operators' interface and the duties may see; false if told to stop before that.
-    fn show(&mut self) -> Result<bool, DiskFault> {
+    fn publish(&mut self) -> Result<bool, DiskFault> {
         let now = boot_now();
         let view = self.coordinator.view().clone();
         self.fleet.store(view.fleet.0, Ordering::SeqCst);
-        if self.shown_edition != Some(self.coordinator.last().edition) {
-            self.shown_edition = Some(self.coordinator.last().edition);
-            self.shown_state = Arc::new(glance(self.coordinator.state()));
+        if self.published_edition != Some(self.coordinator.last().edition) {
+            self.published_edition = Some(self.coordinator.last().edition);
+            self.published_state = Arc::new(summarize_state(self.coordinator.state()));
         }
         let addresses: Vec<String> = view.members.iter().map(|member| member.address.clone()).collect();
-        if !addresses.is_empty() && addresses != self.remembered {
-            let goes_on = self.patience.insist(
-                || self.filing.remember_addresses(&addresses),
-                |waited| refused(&self.shelf, &mut self.replies, waited),
+        if !addresses.is_empty() && addresses != self.remembered_addresses {
+            let continues = self.retry_queue.run_with_retry(
+                || self.state_store.remember_addresses(&addresses),
+                |waited| handle_disk_refusal(&self.publisher, &mut self.replies, waited),
             )?;
-            if goes_on.is_none() {
+            if continues.is_none() {
                 return Ok(false);
             }
-            self.remembered = addresses;
+            self.remembered_addresses = addresses;
         }
-        let seen = Seen {
+        let snapshot = KeeperSnapshot {
             tail_active: self.coordinator.tail_is_active(now),
             alive: self.coordinator.live_keepers(now),
             census: self.coordinator.actionable_duty(DutyKind::Census, now),
             conductor: self.coordinator.actionable_duty(DutyKind::Conductor, now),
-            named_conductor: self.coordinator.leased_duty(DutyKind::Conductor, now),
+            leased_conductor: self.coordinator.leased_duty(DutyKind::Conductor, now),
             view,
-            disturbed: self.coordinator.last_liveness_change(now),
-            state: Arc::clone(&self.shown_state),
+            last_liveness_change: self.coordinator.last_liveness_change(now),
+            state: Arc::clone(&self.published_state),
             last_sync_micros: self.last_sync_micros,
             disk_refuses: false,
         };
-        let seen = Arc::new(seen);
-        let earlier = self.shelf.put(Arc::clone(&seen));
-        if seen.is_news_after(&earlier, now) {
-            self.shelf.changed.notify_waiters();
+        let snapshot = Arc::new(snapshot);
+        let earlier = self.publisher.replace(Arc::clone(&snapshot));
+        if snapshot.requires_notification_after(&earlier, now) {
+            self.publisher.changed.notify_waiters();
         }
         Ok(true)
     }
 }
 
 /// What was planned for a node's earlier link must not go out on the next one: the node begins anew there.
-fn drop_tells(plan: &mut Vec<Effect>, to: NodeId) {
-    plan.retain(|effect| !matches!(effect, Effect::SendToNode { node, .. } if *node == to));
+fn drop_messages_to(effects: &mut Vec<Effect>, to: NodeId) {
+    effects.retain(|effect| !matches!(effect, Effect::SendToNode { node, .. } if *node == to));
 }
 
 /// Whoever waits for an answer that has not come by then is told that nothing is known.
-fn refused(shelf: &Shelf, replies: &mut HashMap<u64, oneshot::Sender<QueryOutcome>>, waited: Span) {
-    shelf.put_refusal();
+fn handle_disk_refusal(
+    publisher: &SharedPublisher,
+    replies: &mut HashMap<u64, oneshot::Sender<QueryOutcome>>,
+    waited: Span,
+) {
+    publisher.publish_disk_refusal();
     if waited >= STALE_AFTER {
         replies.clear();
     }
@@ -363,15 +370,15 @@
 }
 
 impl ExecutorClient {
-    pub async fn ask(&self, question: CoreQuery, limit: Span) -> QueryOutcome {
-        let (reply, answer) = oneshot::channel();
-        if self.queue.try_send(ExecutorCommand::Ask { question, limit, reply }).is_err() {
+    pub async fn query(&self, query: CoreQuery, timeout: Span) -> QueryOutcome {
+        let (reply, outcome) = oneshot::channel();
+        if self.queue.try_send(ExecutorCommand::Query { query, timeout, reply }).is_err() {
             return QueryOutcome::Unknown;
         }
-        answer.await.unwrap_or(QueryOutcome::Unknown)
+        outcome.await.unwrap_or(QueryOutcome::Unknown)
     }
 
-    pub async fn submit(&self, request: RequestId, command: Command, limit: Span) -> QueryOutcome {
-        self.ask(CoreQuery::Submit(Submission { request, command }), limit).await
+    pub async fn submit(&self, request: RequestId, command: Command, timeout: Span) -> QueryOutcome {
+        self.query(CoreQuery::Submit(Submission { request, command }), timeout).await
     }
 }
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -5,15 +5,15 @@
 pub mod prelude;
 
 mod adapters_page;
-mod bringing;
-mod census;
-mod conducting;
-mod directory;
+mod conductor_duty;
+mod directory_poller;
 mod executor;
-mod filing;
+mod listing_poller;
 mod operator_interface;
-mod patience;
 mod ports;
 mod protocol_interface;
+mod publisher;
+mod retry_queue;
 mod run;
-mod shelf;
+mod state_store;
+mod weights_orders;
--- a/crates/keeper/src/census.rs
+++ b/crates/keeper/src/listing_poller.rs
@@ -5,26 +5,31 @@
 
 use crate::prelude::*;
 
-const POLL_EVERY: Duration = Duration::from_millis(250);
-const POLL_LIMIT: Span = Span::millis(600);
-const STANDBY_AFTER: Span = Span::millis(500);
-const MOST_ENGINES: usize = 1000;
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_TIMEOUT: Span = Span::millis(600);
+const STANDBY_DELAY: Span = Span::millis(500);
+const MAX_ENGINES: usize = 1000;
 
 #[derive(Default)]
-pub struct CensusLiveness {
+pub struct ListingHealth {
     /// Boot-time milliseconds of the last good reading; zero for none yet.
     pub last_read: AtomicU64,
 }
 
-pub async fn keep_census(platform: String, shelf: Shelf, executor: ExecutorClient, health: Arc<CensusLiveness>) {
-    let mut pulse = tokio::time::interval(POLL_EVERY);
-    pulse.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
+pub async fn poll_listing(
+    platform: String,
+    publisher: SharedPublisher,
+    executor: ExecutorClient,
+    health: Arc<ListingHealth>,
+) {
+    let mut interval = tokio::time::interval(POLL_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     let mut known_tag = String::new();
     let mut newest: Option<Listing> = None;
-    let mut differs_since: Option<Instant> = None;
+    let mut pending_since: Option<Instant> = None;
     let mut was_reachable = true;
     loop {
-        pulse.tick().await;
+        interval.tick().await;
         let asked = boot_now();
         match read_listing(&platform, &known_tag).await {
             Ok(read) => {
@@ -45,22 +50,22 @@
                 let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read: None, asked });
             }
         }
-        let seen = look(&shelf);
-        let Some(listing) = newest.as_ref().filter(|listing| is_newer(listing, &seen.state.listing)) else {
-            differs_since = None;
+        let snapshot = latest_snapshot(&publisher);
+        let Some(listing) = newest.as_ref().filter(|listing| is_newer(listing, &snapshot.state.listing)) else {
+            pending_since = None;
             continue;
         };
         let now = boot_now();
-        let since = *differs_since.get_or_insert(now);
-        let holds_duty = seen.census.is_some_and(|(_, until)| now < until);
-        if seen.view.number == ViewNumber(0) || (!holds_duty && now.since(since) < STANDBY_AFTER) {
+        let since = *pending_since.get_or_insert(now);
+        let holds_duty = snapshot.census.is_some_and(|(_, until)| now < until);
+        if snapshot.view.number == ViewNumber(0) || (!holds_duty && now.since(since) < STANDBY_DELAY) {
             continue;
         }
         event!(info, "listing_submitted", number = listing.number, engines = listing.engines.len());
-        let naming = [listing.boot.as_bytes(), &listing.number.0.to_le_bytes()];
-        let request = RequestId(BlockHash::of_parts(&[b"listing", naming[0], naming[1]]).0);
-        let submitting = executor.submit(request, Command::List(listing.clone()), Span::millis(3000));
-        let _ = tokio::time::timeout(Duration::from_millis(700), submitting).await;
+        let parts = [listing.boot.as_bytes(), &listing.number.0.to_le_bytes()];
+        let request = RequestId(BlockHash::of_parts(&[b"listing", parts[0], parts[1]]).0);
+        let submission = executor.submit(request, Command::List(listing.clone()), Span::millis(3000));
+        let _ = tokio::time::timeout(Duration::from_millis(700), submission).await;
     }
 }
 
@@ -70,7 +75,7 @@
 
 async fn read_listing(platform: &str, known_tag: &str) -> Result<Option<(String, Listing)>, String> {
     let question = web::prelude::Question::get("/v1/engines").header("if-none-match", known_tag);
-    let (status, headers, body) = ask_whole(platform, question, POLL_LIMIT, 4 << 20).await?;
+    let (status, headers, body) = ask_whole(platform, question, POLL_TIMEOUT, 4 << 20).await?;
     if status == StatusCode::NOT_MODIFIED {
         return Ok(None);
     }
@@ -80,8 +85,8 @@
     let tag = headers.get("etag").and_then(|tag| tag.to_str().ok()).unwrap_or("").to_owned();
     let platform_listing: PlatformListing =
         serde_json::from_slice(&body).map_err(|fault| format!("listing unreadable: {fault}"))?;
-    if platform_listing.engines.len() > MOST_ENGINES {
-        return Err(format!("listing of {} engines, at most {MOST_ENGINES}", platform_listing.engines.len()));
+    if platform_listing.engines.len() > MAX_ENGINES {
+        return Err(format!("listing of {} engines, at most {MAX_ENGINES}", platform_listing.engines.len()));
     }
     Ok(Some((tag, translate(platform_listing))))
 }
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -29,10 +29,10 @@
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, keep)
+    run_trade(&TRADE, run)
 }
 
-fn keep(settings: Settings) -> Result<(), Report> {
+fn run(settings: Settings) -> Result<(), Report> {
     let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
     outlive_file_limits()?;
     let data_folder = settings.text("data")?.to_owned();
@@ -44,8 +44,8 @@
         listening.map(|address| address.to_string()).map_err(|fault| miette!("{fault}"))
     };
     let bound_address = local(listener.local_addr())?;
-    let address = advertised(&settings, "advertise", local(listener.local_addr())?)?;
-    let operator_address = advertised(&settings, "advertise_door", local(operator_listener.local_addr())?)?;
+    let address = advertised_address(&settings, "advertise", local(listener.local_addr())?)?;
+    let operator_address = advertised_address(&settings, "advertise_door", local(operator_listener.local_addr())?)?;
     let platform = settings.maybe("platform").map(str::to_owned);
     let config = KeeperConfig {
         listener,
@@ -65,12 +65,12 @@
         operators: OperatorSource::BuiltIn,
         threads: settings.whole("threads")? as usize,
     };
-    let tended = move |handle: KeeperHandle| {
+    let handle_signals = move |handle: KeeperHandle| {
         let reloaded = handle.clone();
         let reload = move |settings: &Settings| reloaded.set_seeds(settings.addresses("seeds"));
         tend_signals(&TRADE, settings, logs, move || handle.stop(), reload)
     };
-    run_keeper(config, tended, move |identity| {
+    run_keeper(config, handle_signals, move |identity| {
         say_ready(&[
             ("id", identity.to_string()),
             ("address", address),
@@ -81,7 +81,7 @@
 }
 
 /// The address a member is known by; one that is bound to all interfaces cannot be known by that.
-fn advertised(settings: &Settings, key: &str, bound: String) -> Result<String, Report> {
+fn advertised_address(settings: &Settings, key: &str, bound: String) -> Result<String, Report> {
     if let Some(address) = settings.maybe(key) {
         return Ok(address.to_owned());
     }
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -3,25 +3,25 @@
 
 use crate::prelude::*;
 
-const CHANGE_LIMIT: Span = Span::seconds(8);
-const READ_LIMIT: Span = Span::seconds(3);
-const MOST_BODY: usize = (1 << 20) + (64 << 10);
+const CHANGE_TIMEOUT: Span = Span::seconds(8);
+const READ_TIMEOUT: Span = Span::seconds(3);
+const MAX_BODY_BYTES: usize = (1 << 20) + (64 << 10);
 
 pub struct OperatorInterface {
     pub executor: ExecutorClient,
-    pub shelf: Shelf,
+    pub publisher: SharedPublisher,
     pub me: Member,
-    pub census: Arc<CensusLiveness>,
+    pub listing_health: Arc<ListingHealth>,
 }
 
 impl Site for OperatorInterface {
     fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
-        Box::pin(self.enter(asked))
+        Box::pin(self.route(asked))
     }
 }
 
 impl OperatorInterface {
-    async fn enter(self: Arc<Self>, asked: Asked) -> WebOutcome {
+    async fn route(self: Arc<Self>, asked: Asked) -> WebOutcome {
         let (method, segments) = asked.way();
         match (method.as_str(), segments.as_slice()) {
             ("GET", ["live"]) => return outcome_bytes(StatusCode::OK, "text/plain", "live\n"),
@@ -29,7 +29,7 @@
             ("GET", ["metrics"]) => return self.metrics(),
             _ => {}
         }
-        let Some(state) = self.read_state().await else { return no_core() };
+        let Some(state) = self.read_state().await else { return core_unavailable() };
         let known_key = asked.bearer().is_some_and(|key| state.is_operator(&sha256_hex(key)));
         if !known_key {
             return refuse(StatusCode::UNAUTHORIZED, "unknown_key", "an operator's key is needed");
@@ -37,7 +37,7 @@
         let parts: Vec<String> = segments.iter().map(|segment| (*segment).to_owned()).collect();
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         match (method.as_str(), parts.as_slice()) {
-            ("GET", ["v1", "desired-state"]) => show_desired(&state),
+            ("GET", ["v1", "desired-state"]) => desired_state_response(&state),
             ("PUT", ["v1", "desired-state"]) => self.change_document(asked, true).await,
             ("PATCH", ["v1", "desired-state"]) => self.change_document(asked, false).await,
             ("PUT", ["v1", "tenants", tenant, "keys", key_name]) => self.put_key(asked, tenant, key_name).await,
@@ -56,12 +56,12 @@
             ("GET", ["v1", "requests", request]) => match request.parse::<RequestId>() {
                 Ok(request) => {
                     let answer =
-                        self.executor.ask(CoreQuery::Settled { request, fingerprint: None }, READ_LIMIT).await;
-                    tell_outcome(request, answer)
+                        self.executor.query(CoreQuery::Settled { request, fingerprint: None }, READ_TIMEOUT).await;
+                    outcome_response(request, answer)
                 }
                 Err(_) => refuse(StatusCode::BAD_REQUEST, "bad_request", "a request id has 16 hex digits"),
             },
-            ("POST", ["v1", "intents"]) => self.take_intent(asked).await,
+            ("POST", ["v1", "intents"]) => self.create_plan(asked).await,
             ("GET", ["v1", "plans"]) => {
                 let plans: Vec<Value> = state.plans.iter().map(|(number, plan)| show_plan(*number, plan)).collect();
                 outcome_json(StatusCode::OK, &json!({"plans": plans}))
@@ -80,16 +80,16 @@
                 None => refuse(StatusCode::NOT_FOUND, "not_found", "no such policy"),
             },
             ("GET", ["v1", "fleet"]) => self.show_fleet(&state).await,
-            ("GET", ["v1", "adapters"]) => match self.executor.ask(CoreQuery::Demand, READ_LIMIT).await {
-                QueryOutcome::Demand(heard) => outcome_json(StatusCode::OK, &show_adapters(&state, &heard)),
-                _ => no_core(),
+            ("GET", ["v1", "adapters"]) => match self.executor.query(CoreQuery::Demand, READ_TIMEOUT).await {
+                QueryOutcome::Demand(demand) => outcome_json(StatusCode::OK, &show_adapters(&state, &demand)),
+                _ => core_unavailable(),
             },
             _ => no_such_page(),
         }
     }
 
     async fn read_state(&self) -> Option<Box<FleetState>> {
-        match self.executor.ask(CoreQuery::State, READ_LIMIT).await {
+        match self.executor.query(CoreQuery::State, READ_TIMEOUT).await {
             QueryOutcome::State(state) => Some(state),
             _ => None,
         }
@@ -98,9 +98,9 @@
     async fn change_document(&self, mut asked: Asked, is_whole: bool) -> WebOutcome {
         let base = match read_if_match(&asked) {
             Ok(base) => base,
-            Err(answered) => return *answered,
+            Err(response) => return *response,
         };
-        let body = match asked.read_body(MOST_BODY).await {
+        let body = match asked.read_body(MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(web::prelude::BodyFault::TooLarge) => {
                 return refuse(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "at most 1 MiB");
@@ -112,14 +112,14 @@
         };
         let document = match parse_bounded(&text, DOCUMENT_BOUNDS) {
             Ok(document) => document,
-            Err(complaint) => return tell_complaints(&[complaint]),
+            Err(error) => return validation_response(&[error]),
         };
         if !is_whole && !matches!(document, JsonValue::Object(_)) {
-            return tell_complaints(&[ValidationError::at("", "a merge patch is an object")]);
+            return validation_response(&[ValidationError::at("", "a merge patch is an object")]);
         }
         let command = if is_whole {
-            if let Err(complaints) = read_document(&document) {
-                return tell_complaints(&complaints);
+            if let Err(errors) = read_document(&document) {
+                return validation_response(&errors);
             }
             Command::Replace { base: Some(base), text: write_sorted(&document) }
         } else {
@@ -129,23 +129,23 @@
     }
 
     /// Takes an intent and answers with the plan of steps it became.
-    async fn take_intent(&self, mut asked: Asked) -> WebOutcome {
-        let intent = match read_document_of(&mut asked).await.and_then(|document| read_intent(&document)) {
+    async fn create_plan(&self, mut asked: Asked) -> WebOutcome {
+        let intent = match read_json_body(&mut asked).await.and_then(|document| read_intent(&document)) {
             Ok(intent) => intent,
-            Err(complaints) => return tell_complaints(&complaints),
+            Err(errors) => return validation_response(&errors),
         };
         let request = match read_request_id(&asked) {
             Ok(request) => request,
-            Err(answered) => return *answered,
+            Err(response) => return *response,
         };
-        let answer = self.executor.submit(request, Command::Intend(intent), CHANGE_LIMIT).await;
+        let answer = self.executor.submit(request, Command::Intend(intent), CHANGE_TIMEOUT).await;
         let QueryOutcome::Settled(CommandOutcome::Applied(number)) = answer else {
-            return tell_outcome(request, answer);
+            return outcome_response(request, answer);
         };
-        let Some(state) = self.read_state().await else { return no_core() };
+        let Some(state) = self.read_state().await else { return core_unavailable() };
         match state.plans.get(&number) {
             Some(plan) => outcome_json(StatusCode::CREATED, &show_plan(number, plan)),
-            None => no_core(),
+            None => core_unavailable(),
         }
     }
 
@@ -167,16 +167,16 @@
     async fn submit(&self, asked: &Asked, command: Command) -> WebOutcome {
         let request = match read_request_id(asked) {
             Ok(request) => request,
-            Err(answered) => return *answered,
+            Err(response) => return *response,
         };
-        let answer = self.executor.submit(request, command, CHANGE_LIMIT).await;
-        tell_outcome(request, answer)
+        let answer = self.executor.submit(request, command, CHANGE_TIMEOUT).await;
+        outcome_response(request, answer)
     }
 
     fn ready(&self) -> WebOutcome {
-        let seen = look(&self.shelf);
-        let tail_lives = seen.view.tail().is_some_and(|tail| seen.alive.contains(&tail));
-        if seen.view.accepts_writes() && tail_lives {
+        let snapshot = latest_snapshot(&self.publisher);
+        let tail_lives = snapshot.view.tail().is_some_and(|tail| snapshot.alive.contains(&tail));
+        if snapshot.view.accepts_writes() && tail_lives {
             outcome_bytes(StatusCode::OK, "text/plain", "ready\n")
         } else {
             outcome_bytes(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
@@ -184,40 +184,40 @@
     }
 
     fn listing_age(&self) -> Option<u64> {
-        let last_read = self.census.last_read.load(Ordering::Relaxed);
+        let last_read = self.listing_health.last_read.load(Ordering::Relaxed);
         (last_read > 0).then(|| (boot_now().0 / 1_000_000).saturating_sub(last_read))
     }
 
     fn metrics(&self) -> WebOutcome {
-        let seen = look(&self.shelf);
+        let snapshot = latest_snapshot(&self.publisher);
         let text = format!(
             "haremount_keeper_view {}\nharemount_keeper_edition {}\nharemount_keeper_tail_active {}\n\
              haremount_keeper_alive {}\nharemount_keeper_sync_micros {}\nharemount_keeper_listing_age_ms {}\n\
              haremount_keeper_disk_refuses {}\n",
-            seen.view.number,
-            seen.state.edition,
-            u64::from(seen.tail_active),
-            seen.alive.len(),
-            seen.last_sync_micros,
+            snapshot.view.number,
+            snapshot.state.edition,
+            u64::from(snapshot.tail_active),
+            snapshot.alive.len(),
+            snapshot.last_sync_micros,
             self.listing_age().map_or(-1, |age| age as i64),
-            u64::from(seen.disk_refuses),
+            u64::from(snapshot.disk_refuses),
         );
         outcome_bytes(StatusCode::OK, "text/plain; version=0.0.4", text)
     }
 
     async fn show_fleet(&self, state: &FleetState) -> WebOutcome {
-        let seen = look(&self.shelf);
-        let nodes = match self.executor.ask(CoreQuery::Nodes, READ_LIMIT).await {
+        let snapshot = latest_snapshot(&self.publisher);
+        let nodes = match self.executor.query(CoreQuery::Nodes, READ_TIMEOUT).await {
             QueryOutcome::Nodes(nodes) => nodes,
-            _ => return no_core(),
+            _ => return core_unavailable(),
         };
-        let members: Vec<Value> = seen
+        let members: Vec<Value> = snapshot
             .view
             .members
             .iter()
             .map(|member| {
                 json!({"id": member.id.to_string(), "address": member.address, "door": member.door,
-                       "zone": member.zone.as_str(), "alive": seen.alive.contains(&member.id)})
+                       "zone": member.zone.as_str(), "alive": snapshot.alive.contains(&member.id)})
             })
             .collect();
         let ids = |nodes: &[NodeId]| nodes.iter().map(NodeId::to_string).collect::<Vec<_>>();
@@ -226,18 +226,18 @@
             .engines
             .iter()
             .map(|(name, engine)| {
-                let standing = state.engine_statuses.get(name).cloned().unwrap_or_default();
+                let status = state.engine_statuses.get(name).cloned().unwrap_or_default();
                 json!({"name": name.as_str(), "address": engine.address, "zone": engine.zone.as_str(),
                        "model": engine.model.as_str(), "listed": format!("{:?}", engine.listed).to_lowercase(),
-                       "closed": standing.closed, "weights": standing.confirmed.map(|(weights, _)| weights.0)})
+                       "closed": status.closed, "weights": status.confirmed.map(|(weights, _)| weights.0)})
             })
             .collect();
         let duties: Value = state
             .duties
             .iter()
             .map(|(kind, duty)| {
-                let shown = json!({"holder": duty.holder.to_string(), "term": duty.term.0});
-                (format!("{kind:?}").to_lowercase(), shown)
+                let body = json!({"holder": duty.holder.to_string(), "term": duty.term.0});
+                (format!("{kind:?}").to_lowercase(), body)
             })
             .collect::<serde_json::Map<String, Value>>()
             .into();
@@ -249,8 +249,8 @@
             })
             .collect();
         let answer = json!({
-            "fleet": seen.view.fleet.to_string(), "answered_by": self.me.id.to_string(), "edition": state.edition.0,
-            "view": {"number": seen.view.number.0, "chain": ids(&seen.view.chain), "voters": ids(&seen.view.voters)},
+            "fleet": snapshot.view.fleet.to_string(), "answered_by": self.me.id.to_string(), "edition": state.edition.0,
+            "view": {"number": snapshot.view.number.0, "chain": ids(&snapshot.view.chain), "voters": ids(&snapshot.view.voters)},
             "members": members, "nodes": nodes, "engines": engines, "duties": duties,
             "listing": {"number": state.listing.number.0, "read_ms_ago": self.listing_age(),
                         "reachable": self.listing_age().is_some_and(|age| age < 1500)},
@@ -259,11 +259,11 @@
     }
 }
 
-async fn read_document_of(asked: &mut Asked) -> Result<JsonValue, Vec<ValidationError>> {
+async fn read_json_body(asked: &mut Asked) -> Result<JsonValue, Vec<ValidationError>> {
     let unreadable = |reason: &str| vec![ValidationError::at("", reason)];
     let body = asked.read_body(1 << 20).await.map_err(|fault| unreadable(&format!("{fault:?}")))?;
     let text = std::str::from_utf8(&body).map_err(|_| unreadable("not UTF-8"))?;
-    parse_bounded(text, DOCUMENT_BOUNDS).map_err(|complaint| vec![complaint])
+    parse_bounded(text, DOCUMENT_BOUNDS).map_err(|error| vec![error])
 }
 
 fn find_plan<'a>(state: &'a FleetState, number_text: &str) -> Option<(Edition, &'a Plan)> {
@@ -305,9 +305,9 @@
 
 /// Reads a policy as it would stand in the document, and shows its table; nothing is changed.
 async fn check_policy(state: &FleetState, mut asked: Asked) -> WebOutcome {
-    let document = match read_document_of(&mut asked).await {
+    let document = match read_json_body(&mut asked).await {
         Ok(document) => document,
-        Err(complaints) => return tell_complaints(&complaints),
+        Err(errors) => return validation_response(&errors),
     };
     let policies = JsonValue::Object([("checked".to_owned(), document)].into());
     let patch = JsonValue::Object([("policies".to_owned(), policies)].into());
@@ -318,16 +318,16 @@
             Some(policy) => outcome_json(StatusCode::OK, &show_table(state, policy)),
             None => refuse(StatusCode::BAD_REQUEST, "bad_request", "no policy"),
         },
-        Err(complaints) => tell_complaints(&complaints),
+        Err(errors) => validation_response(&errors),
     }
 }
 
-fn no_core() -> WebOutcome {
+fn core_unavailable() -> WebOutcome {
     refuse(StatusCode::SERVICE_UNAVAILABLE, "no_core", "the core does not answer now; a majority may be away")
         .with_header("retry-after", "2")
 }
 
-fn show_desired(state: &FleetState) -> WebOutcome {
+fn desired_state_response(state: &FleetState) -> WebOutcome {
     let text = if state.desired_text.is_empty() { "{}" } else { &state.desired_text };
     outcome_bytes(StatusCode::OK, "application/json", text.to_owned())
         .with_header("etag", &format!("\"{}\"", state.desired_edition))
@@ -351,29 +351,28 @@
         .map_err(|_| Box::new(refuse(StatusCode::BAD_REQUEST, "bad_request", "x-request-id has 16 hex digits")))
 }
 
-fn tell_complaints(complaints: &[ValidationError]) -> WebOutcome {
-    let listed: Vec<Value> =
-        complaints.iter().map(|complaint| json!({"path": complaint.path, "reason": complaint.reason})).collect();
+fn validation_response(errors: &[ValidationError]) -> WebOutcome {
+    let listed: Vec<Value> = errors.iter().map(|error| json!({"path": error.path, "reason": error.reason})).collect();
     let answer = json!({"error": {"type": "refused", "message": "the change was refused", "complaints": listed}});
     outcome_json(StatusCode::UNPROCESSABLE_ENTITY, &answer)
 }
 
-fn tell_outcome(request: RequestId, outcome: QueryOutcome) -> WebOutcome {
-    let answered = match outcome {
+fn outcome_response(request: RequestId, outcome: QueryOutcome) -> WebOutcome {
+    let response = match outcome {
         QueryOutcome::Settled(CommandOutcome::Applied(edition)) => {
             outcome_json(StatusCode::OK, &json!({"edition": edition.0, "request": request.to_string()}))
                 .with_header("etag", &format!("\"{edition}\""))
         }
         QueryOutcome::Settled(CommandOutcome::Stale { now }) => {
-            let shown = json!({"error": {"type": "stale", "message": "the desired state has moved"}, "now": now.0});
-            outcome_json(StatusCode::PRECONDITION_FAILED, &shown).with_header("etag", &format!("\"{now}\""))
+            let body = json!({"error": {"type": "stale", "message": "the desired state has moved"}, "now": now.0});
+            outcome_json(StatusCode::PRECONDITION_FAILED, &body).with_header("etag", &format!("\"{now}\""))
         }
-        QueryOutcome::Settled(CommandOutcome::Refused(complaints)) => tell_complaints(&complaints),
+        QueryOutcome::Settled(CommandOutcome::Refused(errors)) => validation_response(&errors),
         _ => {
             let reason = "not known to be in force; ask again under this request id";
-            let shown = json!({"error": {"type": "unknown", "message": reason}, "request": request.to_string()});
-            outcome_json(StatusCode::GATEWAY_TIMEOUT, &shown)
+            let body = json!({"error": {"type": "unknown", "message": reason}, "request": request.to_string()});
+            outcome_json(StatusCode::GATEWAY_TIMEOUT, &body)
         }
     };
-    answered.with_header("x-request-id", &request.to_string())
+    response.with_header("x-request-id", &request.to_string())
 }
--- a/crates/keeper/src/prelude.rs
+++ b/crates/keeper/src/prelude.rs
@@ -1,20 +1,20 @@
 //! The one import of this package's files, and of programs that run a keeper.
 
 pub(crate) use crate::adapters_page::*;
-pub(crate) use crate::bringing::*;
-pub(crate) use crate::census::*;
-pub(crate) use crate::conducting::*;
-pub(crate) use crate::directory::*;
+pub(crate) use crate::conductor_duty::*;
+pub(crate) use crate::directory_poller::*;
 pub use crate::executor::ExecutorCommand;
 pub(crate) use crate::executor::*;
-pub use crate::filing::*;
+pub(crate) use crate::listing_poller::*;
 pub(crate) use crate::operator_interface::*;
-pub use crate::patience::*;
 pub use crate::ports::*;
 pub(crate) use crate::protocol_interface::*;
+pub use crate::publisher::KeeperSnapshot;
+pub(crate) use crate::publisher::*;
+pub use crate::retry_queue::*;
 pub use crate::run::*;
-pub use crate::shelf::Seen;
-pub(crate) use crate::shelf::*;
+pub use crate::state_store::*;
+pub(crate) use crate::weights_orders::*;
 pub(crate) use adapters::prelude::{AdapterReport, RATE_UNIT, WarmingAction, WarmingPlanner};
 pub use conductor::prelude::OrderAnswer;
 pub(crate) use conductor::prelude::{Conductor, ConductorAction, EngineObservation, RolloutStep, WeightsRollout};
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -5,12 +5,12 @@
 use crate::prelude::*;
 
 /// Longer than callers wait; the next call about the same change finds it further on.
-const CHANGE_LIMIT: Span = Span::millis(4000);
-const READ_LIMIT: Span = Span::millis(900);
+const CHANGE_TIMEOUT: Span = Span::millis(4000);
+const READ_TIMEOUT: Span = Span::millis(900);
 const BODY_BOUNDS: TextBounds = TextBounds { bytes: 8 << 20, depth: 32 };
 const RETRY_AFTER: &str = "0.3";
 /// How often the configuration is read anew for a change whose base comes into force meanwhile.
-const MOST_READINGS: usize = 3;
+const MAX_PATCH_ATTEMPTS: usize = 3;
 
 pub struct ProtocolInterface {
     pub executor: ExecutorClient,
@@ -19,12 +19,12 @@
 
 impl Site for ProtocolInterface {
     fn outcome(self: Arc<Self>, asked: Asked) -> OutcomeFuture {
-        Box::pin(self.enter(asked))
+        Box::pin(self.route(asked))
     }
 }
 
 impl ProtocolInterface {
-    async fn enter(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
+    async fn route(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
         let (_, segments) = asked.way();
         let Some(page) = self.protocol.call(&asked.method, &segments) else { return no_such_page() };
         if page == OperatorCall::Read {
@@ -40,10 +40,10 @@
         let read = std::str::from_utf8(&body).map_err(|_| ValidationError::at("", "not UTF-8"));
         let body = match read.and_then(|text| parse_bounded(text, BODY_BOUNDS)) {
             Ok(body) => body,
-            Err(complaint) => return tell_faults(&[complaint]),
+            Err(error) => return validation_response(&[error]),
         };
         match page {
-            OperatorCall::RaiseWeights => self.name_weights(&body).await,
+            OperatorCall::RaiseWeights => self.raise_weights(&body).await,
             OperatorCall::Replace | OperatorCall::Patch => self.change(page, &asked.headers, &body).await,
             OperatorCall::Read => no_such_page(),
         }
@@ -56,12 +56,12 @@
             }
             Some((revision, source)) => outcome_bytes(StatusCode::OK, "application/json", source)
                 .with_header("etag", &format!("\"{revision}\"")),
-            None => not_known(),
+            None => outcome_unknown(),
         }
     }
 
     async fn configuration(&self) -> Option<(Revision, String)> {
-        match self.executor.ask(CoreQuery::Configuration, READ_LIMIT).await {
+        match self.executor.query(CoreQuery::Configuration, READ_TIMEOUT).await {
             QueryOutcome::Configuration { revision, source } => Some((revision, source)),
             _ => None,
         }
@@ -87,12 +87,12 @@
     ) -> WebOutcome {
         let ParsedConfiguration { revision, document, source } = match read {
             Ok(read) => read,
-            Err(complaints) => return tell_faults(&complaints),
+            Err(errors) => return validation_response(&errors),
         };
         let change = ConfigurationChange { base, revision, fingerprint, document, source };
-        let began = boot_now();
+        let started = boot_now();
         let outcome = self.settle(Command::Configure(Box::new(change))).await;
-        let millis = boot_now().since(began).as_millis();
+        let millis = boot_now().since(started).as_millis();
         event!(
             info,
             "configuration",
@@ -101,42 +101,42 @@
             outcome = outcome_name(&outcome),
             millis = millis
         );
-        tell(outcome)
+        outcome_response(outcome)
     }
 
     /// Named items make a whole configuration of the one they build on, while that is in force. Else the chain
     /// says whether this very change was taken before; it is stale otherwise, unless its base has come into force
     /// meanwhile.
     async fn patch(&self, base: Revision, fingerprint: BlockHash, body: &JsonValue) -> WebOutcome {
-        for _ in 0..MOST_READINGS {
-            let Some((in_force, source)) = self.configuration().await else { return not_known() };
-            if in_force == base {
+        for _ in 0..MAX_PATCH_ATTEMPTS {
+            let Some((current_revision, source)) = self.configuration().await else { return outcome_unknown() };
+            if current_revision == base {
                 return self.configure(base, fingerprint, self.protocol.apply_patch(&source, body)).await;
             }
             let outcome = self.settle(Command::QueryChange { base, fingerprint }).await;
-            let is_base_now =
+            let base_now_current =
                 matches!(outcome, QueryOutcome::Settled(CommandOutcome::Stale { now }) if now.0 == base.0);
-            if !is_base_now {
-                return tell(outcome);
+            if !base_now_current {
+                return outcome_response(outcome);
             }
         }
-        not_known()
+        outcome_unknown()
     }
 
-    async fn name_weights(&self, body: &JsonValue) -> WebOutcome {
+    async fn raise_weights(&self, body: &JsonValue) -> WebOutcome {
         let (model, weights) = match self.protocol.parse_weights(body) {
             Ok(named) => named,
-            Err(complaints) => return tell_faults(&complaints),
+            Err(errors) => return validation_response(&errors),
         };
         match self.settle(Command::RaiseWeights { model, weights }).await {
             // Newer ones were named since.
             QueryOutcome::Settled(CommandOutcome::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
-            outcome => tell(outcome),
+            outcome => outcome_response(outcome),
         }
     }
 
     async fn settle(&self, command: Command) -> QueryOutcome {
-        self.executor.submit(RequestId::random(), command, CHANGE_LIMIT).await
+        self.executor.submit(RequestId::random(), command, CHANGE_TIMEOUT).await
     }
 }
 
@@ -150,7 +150,7 @@
     }
 }
 
-fn tell(outcome: QueryOutcome) -> WebOutcome {
+fn outcome_response(outcome: QueryOutcome) -> WebOutcome {
     match outcome {
         QueryOutcome::Settled(CommandOutcome::Applied(edition)) => {
             outcome_json(StatusCode::OK, &json!({"edition": edition.0}))
@@ -159,8 +159,8 @@
             let reason = format!("another revision is in force: {now}");
             refuse(StatusCode::PRECONDITION_FAILED, "stale", &reason)
         }
-        QueryOutcome::Settled(CommandOutcome::Refused(complaints)) => tell_faults(&complaints),
-        _ => not_known(),
+        QueryOutcome::Settled(CommandOutcome::Refused(errors)) => validation_response(&errors),
+        _ => outcome_unknown(),
     }
 }
 
@@ -170,14 +170,13 @@
     BlockHash::of_parts(&[kind, &base.0.to_le_bytes(), canonical.as_bytes()])
 }
 
-fn not_known() -> WebOutcome {
+fn outcome_unknown() -> WebOutcome {
     refuse(StatusCode::SERVICE_UNAVAILABLE, "unknown", "not known to be in force; send it again")
         .with_header("retry-after", RETRY_AFTER)
 }
 
-fn tell_faults(complaints: &[ValidationError]) -> WebOutcome {
-    let listed: Vec<Value> =
-        complaints.iter().map(|complaint| json!({"path": complaint.path, "reason": complaint.reason})).collect();
+fn validation_response(errors: &[ValidationError]) -> WebOutcome {
+    let listed: Vec<Value> = errors.iter().map(|error| json!({"path": error.path, "reason": error.reason})).collect();
     let answer = json!({"error": {"type": "refused", "message": "the change was refused", "complaints": listed}});
     outcome_json(StatusCode::BAD_REQUEST, &answer)
 }
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -74,35 +74,35 @@
 }
 
 /// Runs a keeper until it is told to stop or its data folder is found damaged. `tended` is called at once, and
-/// sees to signals; `begun` once everything is in place, which takes as long as the disk refuses writes.
+/// sees to signals; `on_ready` once everything is in place, which takes as long as the disk refuses writes.
 pub fn run_keeper(
     config: KeeperConfig,
-    tended: impl FnOnce(KeeperHandle) -> Result<(), Report>,
-    begun: impl FnOnce(NodeId),
+    handle_signals: impl FnOnce(KeeperHandle) -> Result<(), Report>,
+    on_ready: impl FnOnce(NodeId),
 ) -> Result<(), Report> {
-    let shown_folder = config.data_folder.display().to_string();
+    let folder_name = config.data_folder.display().to_string();
     let (queue, commands) = bounded_queue::<ExecutorCommand>(4096);
-    tended(KeeperHandle { queue: queue.clone() })?;
-    let mut patience = Patience::new(commands);
-    let mut filing = Filing::of(data_folder(&config));
-    let prepared = prepare(&config, &mut filing, &mut patience)?;
-    let Some(Prepared { me, kept, remembered }) = prepared else {
+    handle_signals(KeeperHandle { queue: queue.clone() })?;
+    let mut retry_queue = RetryQueue::new(commands);
+    let mut state_store = StateStore::new(data_folder(&config));
+    let prepared = prepare(&config, &mut state_store, &mut retry_queue)?;
+    let Some(Prepared { me, persisted, remembered_addresses }) = prepared else {
         event!(info, "stopped");
         return Ok(());
     };
     let identity = me.id;
-    let fleet = Arc::new(AtomicU64::new(kept.view.as_ref().map_or(0, |view| view.fleet.0)));
+    let fleet = Arc::new(AtomicU64::new(persisted.view.as_ref().map_or(0, |view| view.fleet.0)));
     let mut seeds = config.seeds.clone();
-    seeds.extend(remembered);
-    let wishes = CoordinatorSettings {
+    seeds.extend(remembered_addresses);
+    let settings = CoordinatorSettings {
         requires_fresh_listing: matches!(config.engines, EngineSource::Listing(_)),
         core_size: config.core_size,
         automatic_size: config.automatic_size,
         seeds,
         timing: config.timing,
     };
-    let life = Incarnation::random().0;
-    let coordinator = Coordinator::restore(me.clone(), kept, wishes, life, boot_now());
+    let incarnation = Incarnation::random().0;
+    let coordinator = Coordinator::restore(me.clone(), persisted, settings, incarnation, boot_now());
 
     let own_hello = {
         let fleet = Arc::clone(&fleet);
@@ -112,44 +112,55 @@
     accept_links(config.listener, own_hello.clone(), move |link_event| {
         link_queue.send(ExecutorCommand::Link(link_event)).is_ok()
     });
-    let shelf = Shelf::default();
-    let mut executor =
-        Executor::new(coordinator, filing, Post::new(own_hello), Arc::clone(&shelf), fleet, life, patience);
+    let publisher = SharedPublisher::default();
+    let mut executor = Executor::new(
+        coordinator,
+        state_store,
+        Post::new(own_hello),
+        Arc::clone(&publisher),
+        fleet,
+        incarnation,
+        retry_queue,
+    );
     let client = ExecutorClient { queue: queue.clone() };
-    let health = Arc::new(CensusLiveness::default());
+    let health = Arc::new(ListingHealth::default());
     let runtime = small_runtime(config.threads).map_err(|fault| miette!("{fault}"))?;
     match config.engines {
         EngineSource::None => {}
         EngineSource::Listing(platform) => {
-            runtime.spawn(keep_census(platform, Arc::clone(&shelf), client.clone(), Arc::clone(&health)));
+            runtime.spawn(poll_listing(platform, Arc::clone(&publisher), client.clone(), Arc::clone(&health)));
         }
         EngineSource::Directory(directory, calls_per_second) => {
-            let (shelf, health) = (Arc::clone(&shelf), Arc::clone(&health));
-            runtime.spawn(keep_directory(directory, calls_per_second, shelf, client.clone(), health));
+            let (publisher, health) = (Arc::clone(&publisher), Arc::clone(&health));
+            runtime.spawn(poll_directory(directory, calls_per_second, publisher, client.clone(), health));
         }
     }
     match config.orders {
-        EngineOrderSource::BuiltIn => runtime.spawn(conduct(Arc::clone(&shelf), client.clone(), identity)),
-        EngineOrderSource::Protocol(orders) => {
-            runtime.spawn(bring(orders, Arc::clone(&shelf), client.clone(), identity, config.timing))
-        }
+        EngineOrderSource::BuiltIn => runtime.spawn(run_conductor(Arc::clone(&publisher), client.clone(), identity)),
+        EngineOrderSource::Protocol(orders) => runtime.spawn(run_weights_rollout(
+            orders,
+            Arc::clone(&publisher),
+            client.clone(),
+            identity,
+            config.timing,
+        )),
     };
     let site: Arc<dyn Site> = match config.operators {
         OperatorSource::BuiltIn => Arc::new(OperatorInterface {
             executor: client,
-            shelf: Arc::clone(&shelf),
+            publisher: Arc::clone(&publisher),
             me: me.clone(),
-            census: health,
+            listing_health: health,
         }),
         OperatorSource::Protocol(protocol) => Arc::new(ProtocolInterface { executor: client, protocol }),
     };
     runtime.spawn(serve(config.operator_listener, site));
-    begun(identity);
+    on_ready(identity);
     event!(info, "started", id = identity, address = me.address, door = me.door);
-    let outcome = executor.work();
+    let outcome = executor.run();
     event!(info, "stopped");
     runtime.shutdown_timeout(Duration::from_millis(500));
-    outcome.map_err(|fault| miette!("data: {shown_folder}: {fault}"))
+    outcome.map_err(|fault| miette!("data: {folder_name}: {fault}"))
 }
 
 #[cfg(not(feature = "faults"))]
@@ -168,19 +179,25 @@
 /// What a keeper needs of its folder to begin.
 struct Prepared {
     me: Member,
-    kept: PersistedState,
-    remembered: Vec<String>,
+    persisted: PersistedState,
+    remembered_addresses: Vec<String>,
 }
 
 /// Opens the folder, tries it out, founds a fleet if that is wanted; nothing if told to stop meanwhile.
-fn prepare(config: &KeeperConfig, filing: &mut Filing, patience: &mut Patience) -> Result<Option<Prepared>, Report> {
-    let told = |fault: DiskFault| miette!("data: {}: {fault}", config.data_folder.display());
+fn prepare(
+    config: &KeeperConfig,
+    state_store: &mut StateStore,
+    retry_queue: &mut RetryQueue,
+) -> Result<Option<Prepared>, Report> {
+    let describe = |fault: DiskFault| miette!("data: {}: {fault}", config.data_folder.display());
     let opening = || {
-        let identity = filing.identity()?;
-        filing.try_out()?;
-        Ok((identity, filing.remembered_addresses()?, filing.load()?))
+        let identity = state_store.identity()?;
+        state_store.check_writable()?;
+        Ok((identity, state_store.remembered_addresses()?, state_store.load()?))
     };
-    let Some((identity, remembered, kept)) = patience.insist(opening, |_| turn_away(config)).map_err(told)? else {
+    let Some((identity, remembered_addresses, persisted)) =
+        retry_queue.run_with_retry(opening, |_| reject_connections(config)).map_err(describe)?
+    else {
         return Ok(None);
     };
     let me = Member {
@@ -189,18 +206,20 @@
         door: config.operator_address.clone(),
         zone: config.zone.clone(),
     };
-    let founded = founded(config, &me, &kept).map_err(|reason| miette!("found: {reason}"))?;
-    let Some((founded, mark, state)) = founded else { return Ok(Some(Prepared { me, kept, remembered })) };
+    let initial = bootstrap_state(config, &me, &persisted).map_err(|reason| miette!("found: {reason}"))?;
+    let Some((stored, mark, state)) = initial else {
+        return Ok(Some(Prepared { me, persisted, remembered_addresses }));
+    };
     let storing = || {
-        filing.store(&founded, mark, &state)?;
-        filing.load()
+        state_store.store(&stored, mark, &state)?;
+        state_store.load()
     };
-    let kept = patience.insist(storing, |_| turn_away(config)).map_err(told)?;
-    Ok(kept.map(|kept| Prepared { me, kept, remembered }))
+    let persisted = retry_queue.run_with_retry(storing, |_| reject_connections(config)).map_err(describe)?;
+    Ok(persisted.map(|persisted| Prepared { me, persisted, remembered_addresses }))
 }
 
 /// Whoever arrived while this keeper cannot begin goes to another.
-fn turn_away(config: &KeeperConfig) {
+fn reject_connections(config: &KeeperConfig) {
     while config.operator_listener.accept().is_ok() {}
     if config.listener.set_nonblocking(true).is_ok() {
         while config.listener.accept().is_ok() {}
@@ -209,13 +228,13 @@
 }
 
 /// What a fleet founded in an empty folder begins with, unless a seed answers that there is one.
-fn founded(
+fn bootstrap_state(
     config: &KeeperConfig,
     me: &Member,
-    kept: &PersistedState,
+    persisted: &PersistedState,
 ) -> Result<Option<(Vec<Stored>, LogPosition, FleetState)>, String> {
     let Bootstrap::Found { document, tolerance, join_if_exists } = &config.bootstrap else { return Ok(None) };
-    if kept.view.is_some() {
+    if persisted.view.is_some() {
         return if *join_if_exists { Ok(None) } else { Err("the data folder already belongs to a fleet".into()) };
     }
     for seed in config.seeds.iter().filter(|seed| **seed != me.address) {
@@ -227,13 +246,13 @@
             };
         }
     }
-    let mut founding_state = FleetState::default();
+    let mut state = FleetState::default();
     let command = Command::Replace { base: None, text: document.clone() };
-    let outcome = founding_state.apply(&Submission { request: RequestId::random(), command });
+    let outcome = state.apply(&Submission { request: RequestId::random(), command });
     let CommandOutcome::Applied(_) = outcome else { return Err("the founding document was refused".into()) };
-    let mark = LogPosition { edition: founding_state.edition, view: ViewNumber(1) };
-    let stored = Coordinator::bootstrap_with_tolerance(me, FleetId::random(), founding_state.clone(), *tolerance);
-    Ok(Some((stored, mark, founding_state)))
+    let mark = LogPosition { edition: state.edition, view: ViewNumber(1) };
+    let stored = Coordinator::bootstrap_with_tolerance(me, FleetId::random(), state.clone(), *tolerance);
+    Ok(Some((stored, mark, state)))
 }
 
 fn existing_fleet(seed: &str, me: NodeId) -> Option<FleetId> {
--- a/crates/keeper/src/filing.rs
+++ b/crates/keeper/src/state_store.rs
@@ -2,29 +2,29 @@
 
 use crate::prelude::*;
 
-const SNAPSHOT_EVERY: u64 = 512;
+const SNAPSHOT_INTERVAL_RECORDS: u64 = 512;
 /// Records of so many bytes are dropped for a snapshot, whatever their number: the disk is small.
-const MOST_BYTES: u64 = 8 << 20;
+const MAX_RECORD_BYTES: u64 = 8 << 20;
 /// What a folder must take at the start, lest its first record be the one that fails.
-const TRIAL_BYTES: usize = 64 << 10;
+const WRITE_CHECK_BYTES: usize = 64 << 10;
 
-pub struct Filing {
+pub struct StateStore {
     folder: Folder,
     snapshot_edition: Edition,
     /// Of the records since the latest snapshot.
     record_bytes: u64,
 }
 
-impl Filing {
-    pub fn of(folder: Folder) -> Filing {
-        Filing { folder, snapshot_edition: Edition(0), record_bytes: 0 }
+impl StateStore {
+    pub fn new(folder: Folder) -> StateStore {
+        StateStore { folder, snapshot_edition: Edition(0), record_bytes: 0 }
     }
 
     /// Opens a data folder; also tells its identity.
-    pub fn open(data_folder: &Path) -> Result<(Filing, NodeId), DiskFault> {
-        let mut filing = Filing::of(Folder::open(data_folder)?);
-        let identity = filing.identity()?;
-        Ok((filing, identity))
+    pub fn open(data_folder: &Path) -> Result<(StateStore, NodeId), DiskFault> {
+        let mut state_store = StateStore::new(Folder::open(data_folder)?);
+        let identity = state_store.identity()?;
+        Ok((state_store, identity))
     }
 
     pub fn identity(&mut self) -> Result<NodeId, DiskFault> {
@@ -49,8 +49,8 @@
     }
 
     /// Writes something of size and takes it back: a keeper that cannot write has no part in the core.
-    pub fn try_out(&mut self) -> Result<(), DiskFault> {
-        self.folder.store(&[Row::plain("trial", &vec![0u8; TRIAL_BYTES])?])?;
+    pub fn check_writable(&mut self) -> Result<(), DiskFault> {
+        self.folder.store(&[Row::plain("trial", &vec![0u8; WRITE_CHECK_BYTES])?])?;
         self.folder.store(&[Row::plain("trial", &())?])
     }
 
@@ -89,7 +89,8 @@
                 Stored::SyncedView(view_number) => rows.push(Row::plain("aligned", view_number)?),
             }
         }
-        let is_due = mark.edition.0 >= snapshot_edition.0 + SNAPSHOT_EVERY || record_bytes >= MOST_BYTES;
+        let is_due =
+            mark.edition.0 >= snapshot_edition.0 + SNAPSHOT_INTERVAL_RECORDS || record_bytes >= MAX_RECORD_BYTES;
         if is_due {
             // The snapshot stands for them.
             rows.retain(|row| !matches!(row, Row::Numbered { .. }));
--- a/crates/keeper/tests/filing.rs
+++ b/crates/keeper/tests/filing.rs
@@ -11,7 +11,7 @@
 const MOST_LEDGER_BYTES: u64 = 32 << 20;
 
 fn new_path() -> PathBuf {
-    std::env::temp_dir().join(format!("filing-{}", NodeId::random()))
+    std::env::temp_dir().join(format!("state_store-{}", NodeId::random()))
 }
 
 fn folder_bytes(path: &Path) -> u64 {
@@ -22,30 +22,30 @@
 fn a_folder_gives_back_what_was_stored_and_names_a_gap() {
     let path = new_path();
     let identity = {
-        let (mut filing, identity) = Filing::open(&path).unwrap();
+        let (mut state_store, identity) = StateStore::open(&path).unwrap();
         let mut log = Log::default();
         for number in 1..=700 {
             let command = Command::Merge { base: None, patch: "{}".into() };
             let record = log.append_submission(ViewNumber(1), Submission { request: RequestId(number), command });
-            filing.store(&[Stored::Record(record)], log.last(), log.state()).unwrap();
+            state_store.store(&[Stored::Record(record)], log.last(), log.state()).unwrap();
         }
-        filing.store(&[Stored::SyncedView(ViewNumber(4))], log.last(), log.state()).unwrap();
+        state_store.store(&[Stored::SyncedView(ViewNumber(4))], log.last(), log.state()).unwrap();
         identity
     };
-    let (mut filing, same_identity) = Filing::open(&path).unwrap();
+    let (mut state_store, same_identity) = StateStore::open(&path).unwrap();
     assert_eq!(same_identity, identity);
-    let kept = filing.load().unwrap();
+    let kept = state_store.load().unwrap();
     assert_eq!((kept.mark.edition, kept.synced_view), (Edition(512), ViewNumber(4)));
     assert_eq!(kept.records.last().map(|record| record.mark.edition), Some(Edition(700)));
     let restored_log = Log::restore(kept.mark, kept.state, kept.records);
     assert_eq!(restored_log.state().edition, Edition(700));
-    drop(filing);
+    drop(state_store);
     Folder::open(&path).unwrap().store(&[Row::numbered(702, &restored_log.last()).unwrap()]).unwrap();
-    let (mut filing, _) = Filing::open(&path).unwrap();
-    let fault = filing.load().err().unwrap();
+    let (mut state_store, _) = StateStore::open(&path).unwrap();
+    let fault = state_store.load().err().unwrap();
     assert!(fault.to_string().contains("record 702 stands where 701 should"), "{fault}");
     assert!(!fault.may_pass);
-    drop(filing);
+    drop(state_store);
     std::fs::remove_dir_all(&path).unwrap();
 }
 
@@ -68,23 +68,23 @@
 /// The most that the folder took up over so many large changes, all of them taken.
 fn most_bytes(changes: u64, restart_every: u64) -> u64 {
     let path = new_path();
-    let (mut filing, _) = Filing::open(&path).unwrap();
+    let (mut state_store, _) = StateStore::open(&path).unwrap();
     let mut log = Log::default();
     let mut most = 0;
     for number in 1..=changes {
         let submission = Submission { request: RequestId(number), command: large_change(number) };
         let record = log.append_submission(ViewNumber(1), submission);
-        filing.store(&[Stored::Record(record)], log.last(), log.state()).unwrap();
+        state_store.store(&[Stored::Record(record)], log.last(), log.state()).unwrap();
         most = most.max(folder_bytes(&path));
         if number % restart_every == 0 {
-            drop(filing);
-            filing = Filing::open(&path).unwrap().0;
-            let kept = filing.load().unwrap();
+            drop(state_store);
+            state_store = StateStore::open(&path).unwrap().0;
+            let kept = state_store.load().unwrap();
             log = Log::restore(kept.mark, kept.state, kept.records);
         }
     }
     assert_eq!(log.state().configuration.revision, Revision(changes));
-    drop(filing);
+    drop(state_store);
     std::fs::remove_dir_all(&path).unwrap();
     most
 }
@@ -104,7 +104,7 @@
 #[test]
 fn many_large_changes_at_once_leave_the_ledger_small() {
     let path = new_path();
-    let (mut filing, _) = Filing::open(&path).unwrap();
+    let (mut state_store, _) = StateStore::open(&path).unwrap();
     let mut log = Log::default();
     for round in 0..5u64 {
         let numbers = round * 75 + 1..=(round + 1) * 75;
@@ -113,12 +113,12 @@
             Stored::Record(log.append_submission(ViewNumber(1), submission))
         });
         let batch: Vec<Stored> = records.collect();
-        filing.store(&batch, log.last(), log.state()).unwrap();
+        state_store.store(&batch, log.last(), log.state()).unwrap();
         assert!(folder_bytes(&path) < MOST_LEDGER_BYTES, "{}", folder_bytes(&path));
     }
-    let kept = filing.load().unwrap();
+    let kept = state_store.load().unwrap();
     assert_eq!((kept.mark, kept.records.len()), (log.last(), 0));
     assert_eq!(kept.state, *log.state());
-    drop(filing);
+    drop(state_store);
     std::fs::remove_dir_all(&path).unwrap();
 }
--- a/crates/keeper/tests/news.rs
+++ b/crates/keeper/tests/news.rs
@@ -9,26 +9,26 @@
     Instant(0) + Span::millis(millis)
 }
 
-fn holding(until: u64) -> Seen {
-    Seen { census: Some((TERM, at(until))), ..Seen::default() }
+fn holding(until: u64) -> KeeperSnapshot {
+    KeeperSnapshot { census: Some((TERM, at(until))), ..KeeperSnapshot::default() }
 }
 
 #[test]
 fn a_duty_renewed_in_time_is_no_news() {
-    assert!(!holding(1200).is_news_after(&holding(1000), at(400)));
+    assert!(!holding(1200).requires_notification_after(&holding(1000), at(400)));
 }
 
 #[test]
 fn a_duty_renewed_after_it_had_lapsed_is_news() {
     let (before, renewed) = (holding(1000), holding(2500));
     assert!(!before.holds_census(at(1600)), "whoever looked meanwhile waits");
-    assert!(renewed.is_news_after(&before, at(1600)));
+    assert!(renewed.requires_notification_after(&before, at(1600)));
 }
 
 #[test]
 fn a_duty_taken_over_or_lost_is_news() {
-    assert!(holding(1000).is_news_after(&Seen::default(), at(1)));
-    assert!(Seen::default().is_news_after(&holding(1000), at(1)));
-    let next = Seen { census: Some((TERM.next(), at(1000))), ..Seen::default() };
-    assert!(next.is_news_after(&holding(1000), at(1)));
+    assert!(holding(1000).requires_notification_after(&KeeperSnapshot::default(), at(1)));
+    assert!(KeeperSnapshot::default().requires_notification_after(&holding(1000), at(1)));
+    let next = KeeperSnapshot { census: Some((TERM.next(), at(1000))), ..KeeperSnapshot::default() };
+    assert!(next.requires_notification_after(&holding(1000), at(1)));
 }
--- a/crates/keeper/tests/rebuilt.rs
+++ b/crates/keeper/tests/rebuilt.rs
@@ -128,16 +128,16 @@
 /// What a folder gives back that was given a snapshot after some of the records, and then the rest.
 fn rebuilt(records: &[Record], snapshot_after: usize) -> FleetState {
     let path = std::env::temp_dir().join(format!("rebuilt-{}", NodeId::random()));
-    let (mut filing, _) = Filing::open(&path).expect("a new folder opens");
+    let (mut state_store, _) = StateStore::open(&path).expect("a new folder opens");
     let before = Log::restore(LogPosition::default(), FleetState::default(), records[..snapshot_after].to_vec());
     let snapshot = Stored::Snapshot { mark: before.last(), state: Box::new(before.state().clone()) };
-    filing.store(&[snapshot], before.last(), before.state()).expect("the folder takes a snapshot");
+    state_store.store(&[snapshot], before.last(), before.state()).expect("the folder takes a snapshot");
     let rest: Vec<Stored> = records[snapshot_after..].iter().cloned().map(Stored::Record).collect();
-    filing.store(&rest, before.last(), before.state()).expect("the folder takes records");
-    drop(filing);
-    let (mut filing, _) = Filing::open(&path).expect("the folder opens again");
-    let kept = filing.load().expect("the folder is whole");
-    drop(filing);
+    state_store.store(&rest, before.last(), before.state()).expect("the folder takes records");
+    drop(state_store);
+    let (mut state_store, _) = StateStore::open(&path).expect("the folder opens again");
+    let kept = state_store.load().expect("the folder is whole");
+    drop(state_store);
     std::fs::remove_dir_all(&path).expect("the folder can be removed");
     Log::restore(kept.mark, kept.state, kept.records).state().clone()
 }
