--- a/crates/keeper/src/adapters_page.rs
+++ b/crates/keeper/src/adapters_page.rs
@@ -1,9 +1,8 @@
-//! What operators are shown of adapters: which revision requests run on, where copies stand, and where
-//! requests arrive.
+//! The operators' page on adapters: active revisions, copies at engines, and request rates by region.
 
 use crate::prelude::*;
 
-/// Every adapter of the document with its copies, and the rates of its requests by region.
+/// Every adapter of the document with its copies and its request rates by region.
 pub(crate) fn show_adapters(state: &FleetState, demand: &[HeardDemand]) -> Value {
     let adapters: Vec<Value> = state
         .desired
@@ -20,7 +19,7 @@
 }
 
 fn copies_json(state: &FleetState, name: &AdapterName) -> Vec<Value> {
-    let mut copies_shown = Vec::new();
+    let mut values = Vec::new();
     for (engine, copies) in &state.adapters.copies {
         let zone = state.listing.engines.get(engine).map(|listed| listed.zone.clone()).unwrap_or_default();
         for copy in copies.iter().filter(|copy| copy.adapter.name == *name) {
@@ -29,11 +28,11 @@
                 CopyStage::Warm { .. } => "warm",
                 CopyStage::Leaving => "leaving",
             };
-            copies_shown.push(json!({"engine": engine.as_str(), "revision": copy.adapter.revision.0, "stage": stage,
+            values.push(json!({"engine": engine.as_str(), "revision": copy.adapter.revision.0, "stage": stage,
                               "zone": zone.as_str(), "region": state.desired.region_of(&zone).as_str()}));
         }
     }
-    copies_shown
+    values
 }
 
 fn demand_json(state: &FleetState, name: &AdapterName, demand: &[HeardDemand]) -> Value {
--- a/crates/keeper/src/conductor_duty.rs
+++ b/crates/keeper/src/conductor_duty.rs
@@ -1,15 +1,15 @@
-//! Carries out the conductor's mind while this keeper holds the duty. The duty is asked for again at
-//! the first byte of every order, so a holder that was frozen and woken gives none.
+//! Executes the conductor's actions while this keeper holds the duty. The duty is checked again at the first byte of
+//! every order, so that a holder that was paused past its lease sends none.
 
 use crate::prelude::*;
 
 const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 const OBSERVE_TIMEOUT: Span = Span::millis(700);
 const ORDER_TIMEOUT: Span = Span::seconds(15);
-/// How often the conductor asks where requests on adapters arrive.
+/// How often the conductor queries the demand for adapters.
 const DEMAND_INTERVAL: Span = Span::seconds(1);
 
-/// What engines said of themselves, and when.
+/// The latest reports of engines.
 #[derive(Default)]
 struct EngineObservations {
     conductor: BTreeMap<EngineName, EngineObservation>,
@@ -49,7 +49,7 @@
         let snapshot = latest_snapshot(&publisher);
         in_flight.retain(|_, order| !order.is_finished());
         let warming = planner.next_actions(&snapshot.state, &observations.adapters, boot_now());
-        // While the holder before may still have orders on their way, this one looks and gives none.
+        // The previous holder may still have orders in flight: until then only observe.
         if snapshot.conductor.is_none_or(|(acting_term, _)| acting_term != term) {
             continue;
         }
@@ -100,8 +100,7 @@
     }
 }
 
-/// Does what the planner of adapters wants: the state is asked for one copy at a time, and an engine is
-/// given one order at a time.
+/// Executes an action of the warming planner, with one submission per copy and one order per engine in flight.
 fn carry_out_warming(
     action: WarmingAction,
     publisher: &SharedPublisher,
@@ -134,7 +133,7 @@
     }
 }
 
-/// Submits what the conductor wants for one engine or plan, unless an earlier wish is under way.
+/// Submits a command for an engine or plan, unless an earlier one under the same key is in flight.
 fn submit_once(
     executor: &ExecutorClient,
     in_flight: &mut HashMap<EngineName, tokio::task::JoinHandle<()>>,
--- a/crates/keeper/src/directory_poller.rs
+++ b/crates/keeper/src/directory_poller.rs
@@ -1,29 +1,29 @@
-//! The census where the platform's list of engines has no number of its own and each reading has its price:
-//! the holder of the duty alone reads, more often for a while after a change. What it read is numbered by
-//! the state it differs from. A holder that cannot read hands the duty on.
+//! The census duty for a platform whose engine directory is unnumbered and whose calls are rate limited: only the
+//! duty's holder reads it, more often for a while after a change. A listing that differs from the fleet state gets
+//! the number after the state's listing. A holder that cannot read the directory hands the duty over.
 
 use crate::prelude::*;
 
 const READ_INTERVAL: Span = Span::millis(700);
-/// After a change others are likely.
+/// Further changes are likely soon after one.
 const READ_INTERVAL_AFTER_CHANGE: Span = Span::millis(350);
 const CHANGE_PERIOD: Span = Span::seconds(3);
 const PAGE_TIMEOUT: Span = Span::millis(600);
-/// What was read longer ago than this is not submitted.
+/// Older readings are not submitted.
 const MAX_READING_AGE: Span = Span::millis(1000);
 const SUBMIT_TIMEOUT: Span = Span::millis(3000);
 const SUBMIT_WAIT: Duration = Duration::from_millis(300);
 const FAILURE_RETRY_DELAY: Span = Span::millis(300);
-/// Readings that failed for so long hand the duty on.
+/// How long reads must fail before the duty is handed over.
 const HAND_OVER_AFTER: Span = Span::millis(1500);
-/// Whoever took the duty over and cannot read either keeps it for longer.
+/// Keeps the duty from moving back and forth when no keeper can read the directory.
 const MIN_HAND_OVER_INTERVAL: Span = Span::seconds(5);
 const DUTY_WAIT_TIMEOUT: Span = Span::seconds(2);
 const MAX_PAGES: usize = 1000;
 const MAX_PAGE_BYTES: usize = 4 << 20;
-/// Of the calls that all machines together may make, the part for reading the list.
+/// The share of the fleet's call budget that reading the directory may use.
 const CALL_BUDGET_SHARE: f64 = 0.5;
-/// The list has one numbering, the state's own.
+/// The boot identity of every listing read here: the fleet state alone numbers them.
 const BOOT: &str = "directory";
 
 pub async fn poll_directory(
@@ -77,7 +77,7 @@
     latest_snapshot(publisher).holds_census(boot_now())
 }
 
-/// Submits what was read if it differs from the state; tells whether it did.
+/// Submits the engines read if they differ from the fleet state; returns whether they differ.
 async fn submit_changed(
     engines: BTreeMap<EngineName, ListedEngine>,
     read_at: Instant,
@@ -99,7 +99,7 @@
     true
 }
 
-/// Reads every page; also tells how many there were.
+/// Reads every page; also returns the number of pages.
 async fn read_pages(directory: &dyn EngineDirectory) -> Result<(BTreeMap<EngineName, ListedEngine>, usize), String> {
     let address = directory.address();
     let mut engines = BTreeMap::new();
--- a/crates/keeper/src/executor.rs
+++ b/crates/keeper/src/executor.rs
@@ -1,7 +1,7 @@
-//! The executor: the one owner of the coordinator and of the data folder. It works through a queue of commands
-//! batch by batch; what a batch stores is synced in one go, and only then do its messages leave. What
-//! is true only until an instant is dropped if that instant has passed by then. A disk that refuses makes the
-//! executor stand still until it takes writes again: for the others this keeper is lost until then.
+//! The executor: the single owner of the coordinator and of the data folder. It processes a queue of commands in
+//! batches. What a batch stores is synced once, and only then are its messages sent; a message that is valid only
+//! until an instant is dropped if that instant has passed by then. While the disk refuses writes, the executor
+//! waits, and the other keepers suspect this one.
 
 use crate::prelude::*;
 
@@ -16,7 +16,7 @@
     Stop,
 }
 
-/// What other duties need of the state: not the operators' words, of which there may be much.
+/// The part of the state that other tasks need. It leaves out the operators' documents, which may be large.
 fn summarize_state(state: &FleetState) -> FleetState {
     FleetState {
         edition: state.edition,
@@ -43,12 +43,12 @@
     }
 }
 
-/// How far a keeper that was told to stop has come.
+/// The stages of stopping.
 #[derive(Clone, Copy, Debug)]
 enum Stopping {
-    /// It waits until the agreed view does without it, but no longer than this.
+    /// Waits until the view no longer includes this keeper, at most until this instant.
     Leaving { until: Instant },
-    /// It ends then.
+    /// Sends out what is left and ends at this instant.
     Draining { until: Instant },
 }
 
@@ -81,7 +81,7 @@
     published_edition: Option<Edition>,
     published_state: Arc<FleetState>,
     last_sync_micros: u64,
-    /// Planned when the machine heard what was not sent; carried out with the next batch.
+    /// Effects of the coordinator's response to messages that were not sent; executed with the next batch.
     deferred_effects: Vec<Effect>,
 }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Works until told to stop, or until the data folder is found damaged.
+    /// Runs until a stop command has been carried out or the data folder is found damaged.
     pub fn run(&mut self) -> Result<(), DiskFault> {
         let mut stopping: Option<Stopping> = None;
         loop {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// A stopping keeper parts once it has left the view, or once it has waited long enough for that.
+    /// Goes on to draining once this keeper has left the view or has waited long enough for that.
     fn advance_stopping(&mut self, stage: Stopping) -> Stopping {
         let Stopping::Leaving { until } = stage else { return stage };
         let now = boot_now();
@@ -182,12 +182,12 @@
             true => event!(info, "left", view = self.coordinator.view().number),
             false => event!(warn, "not_left", reason = self.coordinator.leave_blocker(now)),
         }
-        // Whoever still waits is told now that nothing is known, while it can be told.
+        // Pending queries are answered as unknown now, while their answers can still be sent.
         self.replies.clear();
         Stopping::Draining { until: now + DRAIN_PERIOD }
     }
 
-    /// How long nothing is due.
+    /// The time until the next tick or stop deadline.
     fn time_until_due(&self, stopping: Option<Stopping>) -> Duration {
         let now = boot_now();
         if !self.deferred_effects.is_empty() {
@@ -255,7 +255,7 @@
         self.links.insert(link.id, LinkEntry { link, hello });
     }
 
-    /// Stores what is to be stored, and only then sends the rest; false if told to stop before that.
+    /// Stores what the effects store and only then executes the others; false on a stop command while storing.
     fn execute(&mut self, effects: Vec<Effect>) -> Result<bool, DiskFault> {
         let mut batch = Vec::new();
         let mut remaining_effects = Vec::new();
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Publishes what the operators' interface and the duties may see; false if told to stop before that.
+    /// Publishes a snapshot for the operators' interface and the duties; false on a stop command while storing.
     fn publish(&mut self) -> Result<bool, DiskFault> {
         let now = boot_now();
         let view = self.coordinator.view().clone();
@@ -346,12 +346,12 @@
     }
 }
 
-/// What was planned for a node's earlier link must not go out on the next one: the node begins anew there.
+/// Drops messages planned for a node's earlier link: on its next link the node starts over.
 fn drop_messages_to(effects: &mut Vec<Effect>, to: NodeId) {
     effects.retain(|effect| !matches!(effect, Effect::SendToNode { node, .. } if *node == to));
 }
 
-/// Whoever waits for an answer that has not come by then is told that nothing is known.
+/// Publishes the refusal; once it has lasted for `STALE_AFTER`, answers all pending queries as unknown.
 fn handle_disk_refusal(
     publisher: &SharedPublisher,
     replies: &mut HashMap<u64, oneshot::Sender<QueryOutcome>>,
@@ -363,7 +363,7 @@
     }
 }
 
-/// The way other duties ask the executor.
+/// Sends commands to the executor from other tasks.
 #[derive(Clone)]
 pub struct ExecutorClient {
     pub queue: Sender<ExecutorCommand>,
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -1,6 +1,7 @@
-//! A core machine's process: member of the chain, voter, and an interface for operators. Duties: the executor
-//! (coordinator and data folder), links in, post out, census, and the interface on a small runtime of its own. What
-//! operators, engines and the list of engines speak goes through ports.
+//! The process of a core machine: a chain member, a voter and an interface for operators. It runs the executor
+//! (coordinator and data folder), inbound and outbound links, the engine listing poller, the engine conductor and
+//! the operators' HTTP interface, which has a small runtime of its own. The protocols of operators, of engines and
+//! of the engine directory are plugged in through the traits in `ports`.
 
 pub mod prelude;
 
--- a/crates/keeper/src/listing_poller.rs
+++ b/crates/keeper/src/listing_poller.rs
@@ -1,7 +1,7 @@
-//! The census: reads the platform's listing and submits each newer one. The holder of the duty submits
-//! at once; every other keeper reads too, and submits what the fleet has not taken within half a
-//! second, so that a holder lost at a bad moment does not keep an engine in use. A listing goes by
-//! its number, so a second submission of the same one changes nothing.
+//! The census duty: polls the platform's engine listing and submits each newer one. The duty's holder submits at
+//! once. Every other keeper polls too and submits a listing that the fleet has not applied within half a second, so
+//! that the loss of the holder does not keep a withdrawn engine in use. Submissions of a listing are idempotent,
+//! because it is identified by its number.
 
 use crate::prelude::*;
 
@@ -12,7 +12,7 @@
 
 #[derive(Default)]
 pub struct ListingHealth {
-    /// Boot-time milliseconds of the last good reading; zero for none yet.
+    /// Boot-time milliseconds of the last successful read; zero if there was none.
     pub last_read: AtomicU64,
 }
 
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,5 +1,5 @@
-//! The keeper with the product's own interface: settings, the platform's numbered listing, orders and the
-//! operators' interface.
+//! The keeper program with the built-in protocols: its settings, the platform's numbered engine listing, orders to
+//! engines and the operators' interface.
 
 use keeper::prelude::*;
 use process::prelude::*;
@@ -80,18 +80,19 @@
     })
 }
 
-/// The address a member is known by; one that is bound to all interfaces cannot be known by that.
+/// The address that a member publishes: the setting, or else the bound address, unless that is the wildcard address,
+/// which other machines cannot connect to.
 fn advertised_address(settings: &Settings, key: &str, bound: String) -> Result<String, Report> {
     if let Some(address) = settings.maybe(key) {
         return Ok(address.to_owned());
     }
     if bound.starts_with("0.0.0.0:") || bound.starts_with("[::]:") {
-        return Err(miette!("{key} is missing: {bound} is no address that others can use"));
+        return Err(miette!("{key} is missing: other machines cannot connect to {bound}"));
     }
     Ok(bound)
 }
 
-/// A founder's document names the first operator's key.
+/// Reads whether to found a fleet; the founding document holds the hash of the first operator's key.
 fn bootstrap(settings: &Settings) -> Result<Bootstrap, String> {
     if !settings.flag("found") {
         return Ok(Bootstrap::Join);
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -1,5 +1,5 @@
-//! The operators' interface. Every change goes through the chain and is answered once it is in force on all
-//! leased nodes; an answer that does not come in time is `unknown`, with the request id to ask again.
+//! The operators' built-in HTTP interface. Every change goes through the chain and is answered once it is in force
+//! on all leased nodes; one without an answer in time is reported as `unknown`, with its request id for a retry.
 
 use crate::prelude::*;
 
@@ -128,7 +128,7 @@
         self.submit(&asked, command).await
     }
 
-    /// Takes an intent and answers with the plan of steps it became.
+    /// Submits an intent and answers with the plan of steps made from it.
     async fn create_plan(&self, mut asked: Asked) -> WebOutcome {
         let intent = match read_json_body(&mut asked).await.and_then(|document| read_intent(&document)) {
             Ok(intent) => intent,
@@ -175,8 +175,8 @@
 
     fn ready(&self) -> WebOutcome {
         let snapshot = latest_snapshot(&self.publisher);
-        let tail_lives = snapshot.view.tail().is_some_and(|tail| snapshot.alive.contains(&tail));
-        if snapshot.view.accepts_writes() && tail_lives {
+        let tail_is_alive = snapshot.view.tail().is_some_and(|tail| snapshot.alive.contains(&tail));
+        if snapshot.view.accepts_writes() && tail_is_alive {
             outcome_bytes(StatusCode::OK, "text/plain", "ready\n")
         } else {
             outcome_bytes(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
@@ -276,7 +276,7 @@
         .steps
         .iter()
         .enumerate()
-        .map(|(place, step)| json!({"step": place + 1, "what": step.description(), "done": place < plan.done}))
+        .map(|(index, step)| json!({"step": index + 1, "what": step.description(), "done": index < plan.done}))
         .collect();
     let (status, reason) = match &plan.status {
         PlanStatus::Stated => ("stated", None),
@@ -289,7 +289,7 @@
            "expires": "five minutes after it was stated, unless confirmed"})
 }
 
-/// The fixed table a policy compiles to, row by row.
+/// The rows of the table that a policy compiles to.
 fn show_table(state: &FleetState, policy: &Policy) -> Value {
     let tenants: Vec<TenantName> = state.desired.tenants.keys().cloned().collect();
     let table = policy.compile(&tenants, &state.desired.kinds);
@@ -303,7 +303,7 @@
     json!({"weight": policy.weight, "rules": policy.rules.len(), "table": rows})
 }
 
-/// Reads a policy as it would stand in the document, and shows its table; nothing is changed.
+/// Validates a policy as part of the present document and shows its table, without a change.
 async fn check_policy(state: &FleetState, mut asked: Asked) -> WebOutcome {
     let document = match read_json_body(&mut asked).await {
         Ok(document) => document,
@@ -344,7 +344,7 @@
     })
 }
 
-/// The id under which an operator submits, and may submit the same again.
+/// The request id under which an operator submits a change and may submit it again.
 fn read_request_id(asked: &Asked) -> Result<RequestId, Box<WebOutcome>> {
     let Some(text) = asked.header("x-request-id") else { return Ok(RequestId::random()) };
     text.parse()
--- a/crates/keeper/src/ports.rs
+++ b/crates/keeper/src/ports.rs
@@ -1,45 +1,45 @@
-//! What a keeper needs of the world outside, as ports: an operators' protocol, a directory of engines, and
-//! orders to engines. Each only translates; asking, waiting, trying again and deciding are the keeper's.
+//! The keeper's interfaces to outside protocols: the operators' protocol, the engine directory and orders to
+//! engines. An implementation only translates; the keeper sends requests, applies timeouts, retries and decides.
 
 use crate::prelude::*;
 
-/// A page of the directory of engines.
+/// A page of the engine directory.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DirectoryPage {
     pub engines: Vec<(EngineName, ListedEngine)>,
-    /// Names the page that follows, if there is one.
+    /// The token of the next page, if there is one.
     pub next: Option<String>,
 }
 
-/// Which engines there are, page by page.
+/// A paginated list of the engines that exist.
 pub trait EngineDirectory: Send + Sync + 'static {
     fn address(&self) -> String;
-    /// Asks for the first page, or for the one that a page named.
+    /// The request for the first page, or for the page with the given token.
     fn page_request(&self, page: Option<&str>) -> web::prelude::Question;
     fn parse_page(&self, body: &[u8]) -> Result<DirectoryPage, String>;
 }
 
-/// An order to bring an engine to new weights.
+/// An order to an engine to load new weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadOrder {
     pub model: ModelName,
     pub weights: WeightsEdition,
     pub holder: NodeId,
-    /// Rises with every holder; never held by two.
+    /// The term of the conductor duty; it increases with each holder and no two holders share one.
     pub term: Term,
 }
 
-/// What an engine says of itself.
+/// An engine's report on itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
     pub weights: BTreeMap<ModelName, WeightsEdition>,
-    /// An order is under way.
+    /// A load order is in progress.
     pub is_loading: bool,
-    /// Requests that have come and not begun.
+    /// Requests that have arrived and not started.
     pub waiting: u64,
 }
 
-/// Orders to engines and their reports.
+/// The protocol for orders to engines and for engines' reports.
 pub trait EngineOrders: Send + Sync + 'static {
     fn load_request(&self, order: &LoadOrder) -> web::prelude::Question;
     fn classify_answer(&self, status: StatusCode) -> OrderAnswer;
@@ -47,34 +47,34 @@
     fn parse_report(&self, body: &[u8]) -> Result<EngineReport, String>;
 }
 
-/// A configuration as operators sent it, checked and translated.
+/// A configuration from an operator, validated and translated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ParsedConfiguration {
     pub revision: Revision,
-    /// The product's document.
+    /// The desired-state document.
     pub document: String,
-    /// The configuration in the operators' own words.
+    /// The configuration in the operators' format.
     pub source: String,
 }
 
-/// What an operator's call is about.
+/// The kinds of call that operators make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// A whole configuration.
+    /// Replaces the whole configuration.
     Replace,
-    /// Named items of it.
+    /// Replaces the named items of the configuration.
     Patch,
     Read,
     RaiseWeights,
 }
 
-/// How operators speak.
+/// The protocol that operators use.
 pub trait OperatorProtocol: Send + Sync + 'static {
     fn call(&self, method: &Method, segments: &[&str]) -> Option<OperatorCall>;
-    /// The header that names the revision a change builds on, and its reading.
+    /// Reads the revision that a change is based on from its header.
     fn base_revision(&self, headers: &HeaderMap) -> Result<Revision, String>;
     fn parse_configuration(&self, body: &JsonValue) -> Result<ParsedConfiguration, Vec<ValidationError>>;
-    /// The configuration that a change of named items makes of the one before.
+    /// Applies a change of named items to the configuration in `source`.
     fn apply_patch(&self, source: &str, body: &JsonValue) -> Result<ParsedConfiguration, Vec<ValidationError>>;
     fn parse_weights(&self, body: &JsonValue) -> Result<(ModelName, WeightsEdition), Vec<ValidationError>>;
 }
--- a/crates/keeper/src/prelude.rs
+++ b/crates/keeper/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of programs that run a keeper.
+//! The items that each file of this crate imports, and the public ones for programs that run a keeper.
 
 pub(crate) use crate::adapters_page::*;
 pub(crate) use crate::conductor_duty::*;
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -1,15 +1,15 @@
-//! The interface for operators who speak a protocol of their own: whole and partial configurations under their
-//! revisions, weights by name, and reading back. A change is answered once it is in force; one whose outcome
-//! is not known is to be sent again, and is known by its fingerprint.
+//! The HTTP interface for operators with a protocol of their own: whole and partial configurations with revisions,
+//! weights by model name, and reads of the configuration. A change is answered once it is in force; one whose
+//! outcome is unknown is to be sent again and is recognized by its fingerprint.
 
 use crate::prelude::*;
 
-/// Longer than callers wait; the next call about the same change finds it further on.
+/// Longer than callers wait, so that a repeated call finds the change further along.
 const CHANGE_TIMEOUT: Span = Span::millis(4000);
 const READ_TIMEOUT: Span = Span::millis(900);
 const BODY_BOUNDS: TextBounds = TextBounds { bytes: 8 << 20, depth: 32 };
 const RETRY_AFTER: &str = "0.3";
-/// How often the configuration is read anew for a change whose base comes into force meanwhile.
+/// How often a patch is tried if its base revision comes into force only after the configuration was read.
 const MAX_PATCH_ATTEMPTS: usize = 3;
 
 pub struct ProtocolInterface {
@@ -26,8 +26,8 @@
 impl ProtocolInterface {
     async fn route(self: Arc<Self>, mut asked: Asked) -> WebOutcome {
         let (_, segments) = asked.way();
-        let Some(page) = self.protocol.call(&asked.method, &segments) else { return no_such_page() };
-        if page == OperatorCall::Read {
+        let Some(call) = self.protocol.call(&asked.method, &segments) else { return no_such_page() };
+        if call == OperatorCall::Read {
             return self.read_back().await;
         }
         let body = match asked.read_body(BODY_BOUNDS.bytes).await {
@@ -42,9 +42,9 @@
             Ok(body) => body,
             Err(error) => return validation_response(&[error]),
         };
-        match page {
+        match call {
             OperatorCall::RaiseWeights => self.raise_weights(&body).await,
-            OperatorCall::Replace | OperatorCall::Patch => self.change(page, &asked.headers, &body).await,
+            OperatorCall::Replace | OperatorCall::Patch => self.change(call, &asked.headers, &body).await,
             OperatorCall::Read => no_such_page(),
         }
     }
@@ -67,13 +67,13 @@
         }
     }
 
-    async fn change(&self, page: OperatorCall, headers: &HeaderMap, body: &JsonValue) -> WebOutcome {
+    async fn change(&self, call: OperatorCall, headers: &HeaderMap, body: &JsonValue) -> WebOutcome {
         let base = match self.protocol.base_revision(headers) {
             Ok(base) => base,
             Err(reason) => return refuse(StatusCode::BAD_REQUEST, "no_base", &reason),
         };
-        let fingerprint = fingerprint_of(page, base, &write_sorted(body));
-        match page {
+        let fingerprint = fingerprint_of(call, base, &write_sorted(body));
+        match call {
             OperatorCall::Patch => self.patch(base, fingerprint, body).await,
             _ => self.configure(base, fingerprint, self.protocol.parse_configuration(body)).await,
         }
@@ -104,9 +104,8 @@
         outcome_response(outcome)
     }
 
-    /// Named items make a whole configuration of the one they build on, while that is in force. Else the chain
-    /// says whether this very change was taken before; it is stale otherwise, unless its base has come into force
-    /// meanwhile.
+    /// Applies a change of named items to its base, if that is in force. Otherwise the chain tells whether this
+    /// change was applied before; if not it is stale, unless its base has come into force meanwhile.
     async fn patch(&self, base: Revision, fingerprint: BlockHash, body: &JsonValue) -> WebOutcome {
         for _ in 0..MAX_PATCH_ATTEMPTS {
             let Some((current_revision, source)) = self.configuration().await else { return outcome_unknown() };
@@ -129,7 +128,7 @@
             Err(errors) => return validation_response(&errors),
         };
         match self.settle(Command::RaiseWeights { model, weights }).await {
-            // Newer ones were named since.
+            // Newer weights were set in the meantime.
             QueryOutcome::Settled(CommandOutcome::Refused(_)) => outcome_json(StatusCode::OK, &json!({})),
             outcome => outcome_response(outcome),
         }
@@ -140,7 +139,7 @@
     }
 }
 
-/// What became of a change, as logs name it.
+/// The name of a change's outcome in the log.
 fn outcome_name(outcome: &QueryOutcome) -> &'static str {
     match outcome {
         QueryOutcome::Settled(CommandOutcome::Applied(_)) => "acknowledged",
@@ -164,9 +163,9 @@
     }
 }
 
-/// Equal for the very same change, whichever way it came and however its text was laid out.
-fn fingerprint_of(page: OperatorCall, base: Revision, canonical: &str) -> BlockHash {
-    let kind: &[u8] = if page == OperatorCall::Patch { b"patch" } else { b"replace" };
+/// Identifies a change by its kind, base and canonical text, so that repeated calls have equal fingerprints.
+fn fingerprint_of(call: OperatorCall, base: Revision, canonical: &str) -> BlockHash {
+    let kind: &[u8] = if call == OperatorCall::Patch { b"patch" } else { b"replace" };
     BlockHash::of_parts(&[kind, &base.0.to_le_bytes(), canonical.as_bytes()])
 }
 
--- a/crates/keeper/src/publisher.rs
+++ b/crates/keeper/src/publisher.rs
@@ -1,34 +1,34 @@
-//! What the executor shows to the other duties of its process, and how these wait for something new.
+//! Publishes snapshots of the executor's state to the other tasks of the process and notifies them of changes.
 
 use crate::prelude::*;
 
-/// What the executor lets the other duties of this process see.
+/// A snapshot of the executor's state.
 #[derive(Clone, Default)]
 pub struct KeeperSnapshot {
     pub view: View,
     pub state: Arc<FleetState>,
     pub tail_active: bool,
     pub alive: Vec<NodeId>,
-    /// Terms of the duties held, and until when.
+    /// The term of the census duty if this keeper holds it, and when its lease expires.
     pub census: Option<(Term, Instant)>,
     pub conductor: Option<(Term, Instant)>,
-    /// The conductor's term, also while the one before may still have orders on their way.
+    /// The leased conductor duty, also while the previous holder may still have orders in flight.
     pub leased_conductor: Option<(Term, Instant)>,
-    /// When a core machine was last seen to come or go.
+    /// When a core machine was last seen to appear or disappear.
     pub last_liveness_change: Instant,
     pub last_sync_micros: u64,
-    /// The disk takes nothing for now, and the executor waits.
+    /// The disk refuses writes, and the executor waits until it accepts them again.
     pub disk_refuses: bool,
 }
 
 impl KeeperSnapshot {
-    /// Whether the duty of reading the platform's listing may be done now.
+    /// Whether this keeper holds the census duty (reading the platform's listing) now.
     pub fn holds_census(&self, now: Instant) -> bool {
         active_term(self.census, now).is_some()
     }
 
-    /// Whether those who wait for a change must be woken: the state or a duty is another than they saw. A duty
-    /// whose lease had run out by now is another once it is renewed, though its term is the same.
+    /// Whether waiting tasks must be notified: the state or a duty differs from the earlier snapshot. A duty whose
+    /// lease had expired counts as changed when it is renewed, even under the same term.
     pub fn requires_notification_after(&self, earlier: &KeeperSnapshot, now: Instant) -> bool {
         self.state.edition != earlier.state.edition
             || active_term(self.census, now) != active_term(earlier.census, now)
@@ -37,12 +37,12 @@
     }
 }
 
-/// The term of a duty, while its lease lasts.
+/// The term of a duty whose lease has not expired.
 fn active_term(held: Option<(Term, Instant)>, now: Instant) -> Option<Term> {
     held.filter(|(_, until)| now < *until).map(|(term, _)| term)
 }
 
-/// What the executor shows, and the bell it rings when state or duties have changed.
+/// Holds the latest snapshot and notifies tasks that wait for changes of the state or the duties.
 #[derive(Default)]
 pub struct SnapshotPublisher {
     current: RwLock<Arc<KeeperSnapshot>>,
@@ -57,7 +57,7 @@
         std::mem::replace(&mut *current, snapshot)
     }
 
-    /// While the disk refuses, this keeper holds no duty, and hears nobody.
+    /// Publishes a snapshot without duties and live keepers, because the keeper cannot act while its disk refuses.
     pub(crate) fn publish_disk_refusal(&self) {
         let earlier = Arc::clone(&self.current.read().expect("no holder of this lock panics"));
         if !earlier.disk_refuses {
@@ -74,8 +74,8 @@
     Arc::clone(&publisher.current.read().expect("no holder of this lock panics"))
 }
 
-/// Waits until the executor shows what is awaited, or the limit passes. What is shown between the look and the
-/// waiting is not missed.
+/// Waits until a published snapshot satisfies the condition, or until the timeout. The notification is registered
+/// before the check, so that no change between the two is missed.
 pub async fn wait_until(publisher: &SharedPublisher, timeout: Span, condition: impl Fn(&KeeperSnapshot) -> bool) {
     let deadline = boot_now() + timeout;
     loop {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Waits until the executor shows something new, or the limit passes.
+/// Waits until the executor notifies of a change, or until the timeout.
 pub async fn wait_for_change(publisher: &SharedPublisher, timeout: Span) {
     let _ = tokio::time::timeout(timeout.as_duration(), publisher.changed.notified()).await;
 }
--- a/crates/keeper/src/retry_queue.rs
+++ b/crates/keeper/src/retry_queue.rs
@@ -1,20 +1,20 @@
-//! What a keeper does while its disk refuses, full or failing: it waits and tries again, for as long as it
-//! takes. Meanwhile it takes in what others say, lest they stand still, keeps it for a while, and then drops
-//! what they say again anyway. It ends when told to, or when the folder turns out to be damaged.
+//! The executor's command queue, with retries of disk operations while the disk is full or failing. Retries go on
+//! without limit. Meanwhile commands are received, so that their senders do not block, and buffered; after a while
+//! those that senders repeat anyway are dropped. Retrying ends on a stop command or if the folder is damaged.
 
 use crate::prelude::*;
 
 const MIN_RETRY_DELAY: Span = Span::millis(100);
 const MAX_RETRY_DELAY: Span = Span::millis(500);
-/// What was said longer ago has been said again, or no longer matters: by then this keeper is taken for lost.
+/// Older commands are repeated by their senders or no longer matter, because the others suspect this keeper by then.
 pub const STALE_AFTER: Span = SUSPECT_TIMEOUT;
 const MAX_BUFFERED_COMMANDS: usize = 4096;
 
 pub struct RetryQueue {
     queue: Receiver<ExecutorCommand>,
-    /// Taken in while waiting, in order.
+    /// Commands received while waiting, in order.
     buffered: Vec<ExecutorCommand>,
-    /// Links of agents that arrived while waiting and were closed, until their end is told.
+    /// Links of agents that were closed while waiting and whose `Down` event has not arrived yet.
     closed_agents: BTreeSet<LinkId>,
 }
 
@@ -23,7 +23,7 @@
         RetryQueue { queue, buffered: Vec::new(), closed_agents: BTreeSet::new() }
     }
 
-    /// The next commands, after waiting at most so long for one; nothing if all senders left.
+    /// The next commands, waiting at most `timeout` for the first one; `None` if all senders are gone.
     pub fn next_batch(&mut self, timeout: Duration, max: usize) -> Option<Vec<ExecutorCommand>> {
         match self.buffered.is_empty() {
             true => receive_batch(&self.queue, timeout, max),
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Does what needs the disk, again and again while the disk refuses. At each refusal `refused` is told for
-    /// how long by now. Nothing if told to stop meanwhile.
+    /// Runs a disk operation and repeats it while the disk refuses. `on_refusal` gets the time since the first
+    /// refusal. Returns `None` if a stop command arrives meanwhile.
     pub fn run_with_retry<T>(
         &mut self,
         mut attempt: impl FnMut() -> Result<T, DiskFault>,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes in commands for a while; false once one tells to stop.
+    /// Buffers commands during the delay; false if one of them is a stop command.
     fn receive_during(&mut self, delay: Span, since: Instant) -> bool {
         let until = boot_now() + delay;
         loop {
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Keeps which links are up, and seeds. Whoever asked something is told that nothing is known, and agents
-    /// that arrive find another keeper sooner.
+    /// Drops all buffered commands but seeds and the state of links. Dropped queries are answered as unknown. New
+    /// links of agents are closed, so that the agents try another keeper sooner.
     fn drop_stale(&mut self) {
         let ended: BTreeSet<LinkId> = self.buffered.iter().filter_map(ended_link).collect();
         let mut opened: BTreeSet<LinkId> = BTreeSet::new();
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -1,54 +1,54 @@
-//! A keeper's life: folder, coordinator, links, operators' interface and duties, from a plan of what it is to be.
+//! Starts a keeper from its configuration: data folder, coordinator, links, operators' interface and duty tasks.
 
 use crate::prelude::*;
 
 /// Whether this keeper founds a fleet, and how.
 pub enum Bootstrap {
-    /// It joins the fleet that its seeds or its folder know of.
+    /// It joins the fleet known to its seeds or its data folder.
     Join,
-    /// It founds one with this document. Where a fleet is known already it joins that, or refuses to start.
+    /// It founds a fleet with this document. If a fleet exists already, it joins that or refuses to start.
     Found { document: String, tolerance: u64, join_if_exists: bool },
 }
 
-/// Which engines there are, and who says so.
+/// Where the list of engines comes from.
 pub enum EngineSource {
     None,
-    /// A listing with numbers of its own, read by every keeper.
+    /// The address of a numbered listing, read by every keeper.
     Listing(String),
-    /// A directory that the duty's holder reads, within so many calls a second.
+    /// A directory that only the holder of the census duty reads, and the calls a second that the fleet may make.
     Directory(Arc<dyn EngineDirectory>, f64),
 }
 
-/// How engines are brought to new weights.
+/// The protocol by which engines are ordered to load new weights.
 pub enum EngineOrderSource {
-    /// By their own state and orders.
+    /// The built-in engine state and orders.
     BuiltIn,
     Protocol(Arc<dyn EngineOrders>),
 }
 
-/// What operators speak.
+/// The protocol of the operators' interface.
 pub enum OperatorSource {
     BuiltIn,
     Protocol(Arc<dyn OperatorProtocol>),
 }
 
-/// All that a keeper is told at its start.
+/// The configuration of a keeper.
 pub struct KeeperConfig {
-    /// Where keepers and agents arrive.
+    /// Accepts links from keepers and agents.
     pub listener: std::net::TcpListener,
-    /// Where operators arrive.
+    /// Accepts operators' HTTP connections.
     pub operator_listener: std::net::TcpListener,
-    /// The addresses others use for the two.
+    /// The addresses at which others reach the two listeners.
     pub address: String,
     pub operator_address: String,
     pub zone: Zone,
     pub data_folder: PathBuf,
-    /// For tests: a file that says how the disk misbehaves.
+    /// For tests: a file that controls injected disk faults.
     pub disk_faults: Option<PathBuf>,
     pub seeds: Vec<String>,
     pub bootstrap: Bootstrap,
     pub core_size: usize,
-    /// Any number of machines may join, up to the core's size.
+    /// The core may have any number of machines, up to `core_size`.
     pub automatic_size: bool,
     pub timing: Timing,
     pub engines: EngineSource,
@@ -57,7 +57,7 @@
     pub threads: usize,
 }
 
-/// What signals do to a running keeper.
+/// Controls a running keeper.
 #[derive(Clone)]
 pub struct KeeperHandle {
     queue: Sender<ExecutorCommand>,
@@ -73,8 +73,8 @@
     }
 }
 
-/// Runs a keeper until it is told to stop or its data folder is found damaged. `tended` is called at once, and
-/// sees to signals; `on_ready` once everything is in place, which takes as long as the disk refuses writes.
+/// Runs a keeper until it is stopped or its data folder is found damaged. `handle_signals` is called at once,
+/// `on_ready` when the keeper has started, which waits for as long as the disk refuses writes.
 pub fn run_keeper(
     config: KeeperConfig,
     handle_signals: impl FnOnce(KeeperHandle) -> Result<(), Report>,
@@ -84,7 +84,7 @@
     let (queue, commands) = bounded_queue::<ExecutorCommand>(4096);
     handle_signals(KeeperHandle { queue: queue.clone() })?;
     let mut retry_queue = RetryQueue::new(commands);
-    let mut state_store = StateStore::new(data_folder(&config));
+    let mut state_store = StateStore::new(open_data_folder(&config));
     let prepared = prepare(&config, &mut state_store, &mut retry_queue)?;
     let Some(Prepared { me, persisted, remembered_addresses }) = prepared else {
         event!(info, "stopped");
@@ -164,26 +164,26 @@
 }
 
 #[cfg(not(feature = "faults"))]
-fn data_folder(config: &KeeperConfig) -> Folder {
+fn open_data_folder(config: &KeeperConfig) -> Folder {
     Folder::at(&config.data_folder)
 }
 
 #[cfg(feature = "faults")]
-fn data_folder(config: &KeeperConfig) -> Folder {
+fn open_data_folder(config: &KeeperConfig) -> Folder {
     match &config.disk_faults {
         Some(control) => Folder::on_frail(&config.data_folder, control),
         None => Folder::at(&config.data_folder),
     }
 }
 
-/// What a keeper needs of its folder to begin.
+/// What a keeper reads from its data folder at startup.
 struct Prepared {
     me: Member,
     persisted: PersistedState,
     remembered_addresses: Vec<String>,
 }
 
-/// Opens the folder, tries it out, founds a fleet if that is wanted; nothing if told to stop meanwhile.
+/// Opens the folder, checks that it is writable and founds a fleet if configured; `None` on a stop command.
 fn prepare(
     config: &KeeperConfig,
     state_store: &mut StateStore,
@@ -218,7 +218,7 @@
     Ok(persisted.map(|persisted| Prepared { me, persisted, remembered_addresses }))
 }
 
-/// Whoever arrived while this keeper cannot begin goes to another.
+/// Closes connections that arrive before this keeper can start, so that their peers try another keeper.
 fn reject_connections(config: &KeeperConfig) {
     while config.operator_listener.accept().is_ok() {}
     if config.listener.set_nonblocking(true).is_ok() {
@@ -227,7 +227,8 @@
     }
 }
 
-/// What a fleet founded in an empty folder begins with, unless a seed answers that there is one.
+/// The initial records and state of a new fleet, if this keeper founds one. A fleet known to the data folder or to
+/// a seed is joined instead, or is an error.
 fn bootstrap_state(
     config: &KeeperConfig,
     me: &Member,
--- a/crates/keeper/src/state_store.rs
+++ b/crates/keeper/src/state_store.rs
@@ -1,17 +1,17 @@
-//! How what the coordinator stores becomes rows of the data folder, and the way back.
+//! Maps the coordinator's stored items to rows of the data folder and reads them back.
 
 use crate::prelude::*;
 
 const SNAPSHOT_INTERVAL_RECORDS: u64 = 512;
-/// Records of so many bytes are dropped for a snapshot, whatever their number: the disk is small.
+/// Record bytes since the latest snapshot that trigger a new one, whatever their number, because the disk is small.
 const MAX_RECORD_BYTES: u64 = 8 << 20;
-/// What a folder must take at the start, lest its first record be the one that fails.
+/// Size of the trial write at startup, which finds an unwritable disk before the first record does.
 const WRITE_CHECK_BYTES: usize = 64 << 10;
 
 pub struct StateStore {
     folder: Folder,
     snapshot_edition: Edition,
-    /// Of the records since the latest snapshot.
+    /// Total size of the records since the latest snapshot.
     record_bytes: u64,
 }
 
@@ -20,7 +20,7 @@
         StateStore { folder, snapshot_edition: Edition(0), record_bytes: 0 }
     }
 
-    /// Opens a data folder; also tells its identity.
+    /// Opens a data folder and reads its identity.
     pub fn open(data_folder: &Path) -> Result<(StateStore, NodeId), DiskFault> {
         let mut state_store = StateStore::new(Folder::open(data_folder)?);
         let identity = state_store.identity()?;
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Writes something of size and takes it back: a keeper that cannot write has no part in the core.
+    /// Writes a trial row and replaces it by an empty one: a keeper that cannot write must not join the core.
     pub fn check_writable(&mut self) -> Result<(), DiskFault> {
         self.folder.store(&[Row::plain("trial", &vec![0u8; WRITE_CHECK_BYTES])?])?;
         self.folder.store(&[Row::plain("trial", &())?])
@@ -62,8 +62,8 @@
         self.folder.remember_addresses(addresses)
     }
 
-    /// Stores a batch, synced; `mark` and `state` are where the log stands after it. A batch that failed may
-    /// be stored again.
+    /// Stores a batch and syncs it; `mark` and `state` are the log's last position and state after it. A batch that
+    /// failed can be stored again.
     pub fn store(&mut self, batch: &[Stored], mark: LogPosition, state: &FleetState) -> Result<(), DiskFault> {
         self.folder.mend()?;
         let mut rows = Vec::new();
@@ -92,7 +92,7 @@
         let is_due =
             mark.edition.0 >= snapshot_edition.0 + SNAPSHOT_INTERVAL_RECORDS || record_bytes >= MAX_RECORD_BYTES;
         if is_due {
-            // The snapshot stands for them.
+            // The snapshot contains the batch's records.
             rows.retain(|row| !matches!(row, Row::Numbered { .. }));
             rows.push(Row::plain("snapshot", &(mark, state))?);
             rows.push(Row::DropThrough(mark.edition.0));
--- a/crates/keeper/src/weights_orders.rs
+++ b/crates/keeper/src/weights_orders.rs
@@ -1,6 +1,5 @@
-//! Carries out what brings engines to new weights, while this keeper holds the duty. The duty is looked at
-//! again in the very call that writes the first byte of an order, so a holder that was frozen and woken
-//! gives none.
+//! Executes the steps of weights rollouts while this keeper holds the conductor duty. The duty is checked again in
+//! the call that writes the first byte of an order, so that a holder that was paused past its lease sends none.
 
 use crate::prelude::*;
 
@@ -8,14 +7,14 @@
 const ORDER_TIMEOUT: Span = Span::millis(1500);
 const MAX_REPORT_BYTES: usize = 1 << 20;
 const STATUS_TIMEOUT: Span = Span::seconds(5);
-/// Something may be done about an engine at most so often.
+/// The least time between two rounds of steps.
 const MIN_STEP_DELAY: Span = Span::millis(30);
 const MAX_STEP_DELAY: Span = Span::seconds(2);
 
-/// Routers give up old weights by their own clocks, which start when they hear of the new ones.
+/// Routers stop using old weights by their own clocks, which start when they receive the new edition.
 const GIVE_UP_MARGIN: Span = Span::millis(100);
 
-/// What came of a step.
+/// The result of a rollout step.
 enum StepOutcome {
     Order(EngineName, OrderAnswer),
     Report(EngineName, Option<(WeightsEdition, bool)>),
@@ -123,7 +122,7 @@
     }
 }
 
-/// A standing is in force on every router once this is answered.
+/// Submits an engine status; the answer comes once it is in force on every router.
 async fn submit_status(executor: ExecutorClient, engine: EngineName, command: Command) -> StepOutcome {
     executor.submit(RequestId::random(), command, STATUS_TIMEOUT).await;
     StepOutcome::StatusSettled(engine)
@@ -156,7 +155,7 @@
     StepOutcome::Order(engine, answer)
 }
 
-/// Gives an order if requests wait at the engine that would begin on the old weights.
+/// Sends an order unless the engine reports that no requests wait, which would otherwise start on the old weights.
 async fn send_order_if_waiting(
     orders: Arc<dyn EngineOrders>,
     publisher: SharedPublisher,
--- a/crates/keeper/tests/filing.rs
+++ b/crates/keeper/tests/filing.rs
@@ -1,4 +1,4 @@
-//! What a keeper stores, as its data folder holds it: given back whole, with a gap named, and bounded.
+//! The state store returns what was stored, reports a gap in the records, and keeps the data folder small.
 
 use coordinator::prelude::*;
 use desired::prelude::{ConfigurationChange, Revision};
@@ -7,11 +7,11 @@
 use std::path::{Path, PathBuf};
 use units::prelude::*;
 
-/// Large changes leave the ledger below this, a quarter of a core machine's disk.
-const MOST_LEDGER_BYTES: u64 = 32 << 20;
+/// The ledger's size limit under large changes: a quarter of a core machine's disk.
+const MAX_LEDGER_BYTES: u64 = 32 << 20;
 
 fn new_path() -> PathBuf {
-    std::env::temp_dir().join(format!("state_store-{}", NodeId::random()))
+    std::env::temp_dir().join(format!("state-store-{}", NodeId::random()))
 }
 
 fn folder_bytes(path: &Path) -> u64 {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_folder_gives_back_what_was_stored_and_names_a_gap() {
+fn a_reopened_store_returns_its_state_and_reports_a_gap() {
     let path = new_path();
     let identity = {
         let (mut state_store, identity) = StateStore::open(&path).unwrap();
@@ -34,10 +34,10 @@
     };
     let (mut state_store, same_identity) = StateStore::open(&path).unwrap();
     assert_eq!(same_identity, identity);
-    let kept = state_store.load().unwrap();
-    assert_eq!((kept.mark.edition, kept.synced_view), (Edition(512), ViewNumber(4)));
-    assert_eq!(kept.records.last().map(|record| record.mark.edition), Some(Edition(700)));
-    let restored_log = Log::restore(kept.mark, kept.state, kept.records);
+    let persisted = state_store.load().unwrap();
+    assert_eq!((persisted.mark.edition, persisted.synced_view), (Edition(512), ViewNumber(4)));
+    assert_eq!(persisted.records.last().map(|record| record.mark.edition), Some(Edition(700)));
+    let restored_log = Log::restore(persisted.mark, persisted.state, persisted.records);
     assert_eq!(restored_log.state().edition, Edition(700));
     drop(state_store);
     Folder::open(&path).unwrap().store(&[Row::numbered(702, &restored_log.last()).unwrap()]).unwrap();
@@ -49,7 +49,7 @@
     std::fs::remove_dir_all(&path).unwrap();
 }
 
-/// A change whose document is of a hundred kilobytes, and its source as large.
+/// A change with a document of about 100 kB and a source of the same size.
 fn large_change(number: u64) -> Command {
     let tenant = |place: u64| {
         format!(r#""tenant{place:05}":{{"share":4,"keys":{{"main":"{:064x}"}}}}"#, number * 1_000_000 + place)
@@ -65,40 +65,40 @@
     }))
 }
 
-/// The most that the folder took up over so many large changes, all of them taken.
-fn most_bytes(changes: u64, restart_every: u64) -> u64 {
+/// The largest size of the folder over a number of large changes, all of which are applied.
+fn max_folder_bytes(changes: u64, restart_every: u64) -> u64 {
     let path = new_path();
     let (mut state_store, _) = StateStore::open(&path).unwrap();
     let mut log = Log::default();
-    let mut most = 0;
+    let mut max_bytes = 0;
     for number in 1..=changes {
         let submission = Submission { request: RequestId(number), command: large_change(number) };
         let record = log.append_submission(ViewNumber(1), submission);
         state_store.store(&[Stored::Record(record)], log.last(), log.state()).unwrap();
-        most = most.max(folder_bytes(&path));
+        max_bytes = max_bytes.max(folder_bytes(&path));
         if number % restart_every == 0 {
             drop(state_store);
             state_store = StateStore::open(&path).unwrap().0;
-            let kept = state_store.load().unwrap();
-            log = Log::restore(kept.mark, kept.state, kept.records);
+            let persisted = state_store.load().unwrap();
+            log = Log::restore(persisted.mark, persisted.state, persisted.records);
         }
     }
     assert_eq!(log.state().configuration.revision, Revision(changes));
     drop(state_store);
     std::fs::remove_dir_all(&path).unwrap();
-    most
+    max_bytes
 }
 
 #[test]
 fn six_hundred_large_changes_leave_the_ledger_small() {
-    let most = most_bytes(600, u64::MAX);
-    assert!(most < MOST_LEDGER_BYTES, "{most}");
+    let max_bytes = max_folder_bytes(600, u64::MAX);
+    assert!(max_bytes < MAX_LEDGER_BYTES, "{max_bytes}");
 }
 
 #[test]
 fn restarts_between_large_changes_leave_the_ledger_small() {
-    let most = most_bytes(600, 25);
-    assert!(most < MOST_LEDGER_BYTES, "{most}");
+    let max_bytes = max_folder_bytes(600, 25);
+    assert!(max_bytes < MAX_LEDGER_BYTES, "{max_bytes}");
 }
 
 #[test]
@@ -114,11 +114,11 @@
         });
         let batch: Vec<Stored> = records.collect();
         state_store.store(&batch, log.last(), log.state()).unwrap();
-        assert!(folder_bytes(&path) < MOST_LEDGER_BYTES, "{}", folder_bytes(&path));
+        assert!(folder_bytes(&path) < MAX_LEDGER_BYTES, "{}", folder_bytes(&path));
     }
-    let kept = state_store.load().unwrap();
-    assert_eq!((kept.mark, kept.records.len()), (log.last(), 0));
-    assert_eq!(kept.state, *log.state());
+    let persisted = state_store.load().unwrap();
+    assert_eq!((persisted.mark, persisted.records.len()), (log.last(), 0));
+    assert_eq!(persisted.state, *log.state());
     drop(state_store);
     std::fs::remove_dir_all(&path).unwrap();
 }
--- a/crates/keeper/tests/patience.rs
+++ b/crates/keeper/tests/patience.rs
@@ -1,4 +1,5 @@
-//! What waits for an executor whose disk refuses: kept for a while, then dropped, so that nobody stands still.
+//! Commands for an executor whose disk refuses writes are buffered for a while and then dropped, so that no sender
+//! blocks.
 
 use coordinator::prelude::{CoreQuery, QueryOutcome};
 use keeper::prelude::*;
@@ -15,13 +16,13 @@
     DiskFault { reason: "no room".into(), may_pass: true }
 }
 
-/// An attempt that is refused for so long.
+/// An operation that the disk refuses for this long.
 fn refused_for(span: Duration) -> impl FnMut() -> Result<(), DiskFault> {
     let began = Instant::now();
     move || if began.elapsed() < span { Err(refusal()) } else { Ok(()) }
 }
 
-fn ask() -> (ExecutorCommand, oneshot::Receiver<QueryOutcome>) {
+fn query() -> (ExecutorCommand, oneshot::Receiver<QueryOutcome>) {
     let (reply, answer) = oneshot::channel();
     (ExecutorCommand::Query { query: CoreQuery::State, timeout: Span::seconds(3), reply }, answer)
 }
@@ -31,53 +32,53 @@
 }
 
 #[test]
-fn a_short_refusal_loses_nothing_that_was_said() {
+fn a_short_refusal_loses_no_command() {
     let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut retry_queue = RetryQueue::new(commands);
-    let (first, _first_answer) = ask();
+    let (first, _first_answer) = query();
     queue.send(first).unwrap();
     queue.send(ExecutorCommand::Seeds(vec!["seed".into()])).unwrap();
     let mut told = Vec::new();
     let done =
         retry_queue.run_with_retry(refused_for(Duration::from_millis(50)), |waited| told.push(waited)).unwrap();
     assert_eq!((done, told.len()), (Some(()), 1));
-    let kept = next_commands(&mut retry_queue);
-    assert!(matches!(kept.as_slice(), [ExecutorCommand::Query { .. }, ExecutorCommand::Seeds(_)]), "{}", kept.len());
+    let left = next_commands(&mut retry_queue);
+    assert!(matches!(left.as_slice(), [ExecutorCommand::Query { .. }, ExecutorCommand::Seeds(_)]), "{}", left.len());
     assert_eq!(next_commands(&mut retry_queue).len(), 0);
 }
 
 #[test]
-fn a_long_refusal_blocks_nobody_and_keeps_little() {
+fn a_long_refusal_blocks_no_sender_and_keeps_few_commands() {
     let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut retry_queue = RetryQueue::new(commands);
-    let is_all_said = Arc::new(AtomicBool::new(false));
-    let all_said = Arc::clone(&is_all_said);
-    let saying = std::thread::spawn(move || {
+    let all_sent = Arc::new(AtomicBool::new(false));
+    let sent_flag = Arc::clone(&all_sent);
+    let sender = std::thread::spawn(move || {
         queue.send(ExecutorCommand::Seeds(vec!["seed".into()])).unwrap();
         let mut answers = Vec::new();
         for _ in 0..200_000 {
-            let (command, answer) = ask();
+            let (command, answer) = query();
             queue.send(command).unwrap();
             answers.push(answer);
         }
-        all_said.store(true, Ordering::SeqCst);
+        sent_flag.store(true, Ordering::SeqCst);
         (queue, answers)
     });
-    // However slow the machine is, the refusal outlasts all that is said: nobody takes anything after it.
+    // The refusal lasts until all commands are sent, however slow the machine is: nothing receives them afterwards.
     let mut refused = refused_for(Duration::from_secs(5));
-    let refused_until_said = || if is_all_said.load(Ordering::SeqCst) { refused() } else { Err(refusal()) };
-    let done = retry_queue.run_with_retry(refused_until_said, |_| ()).unwrap();
+    let refused_until_sent = || if all_sent.load(Ordering::SeqCst) { refused() } else { Err(refusal()) };
+    let done = retry_queue.run_with_retry(refused_until_sent, |_| ()).unwrap();
     assert_eq!(done, Some(()));
-    let (_queue, answers) = saying.join().unwrap();
-    let kept = next_commands(&mut retry_queue);
-    assert!(matches!(kept.as_slice(), [ExecutorCommand::Seeds(_)]), "{} commands are kept", kept.len());
+    let (_queue, answers) = sender.join().unwrap();
+    let left = next_commands(&mut retry_queue);
+    assert!(matches!(left.as_slice(), [ExecutorCommand::Seeds(_)]), "{} commands are left", left.len());
     for answer in answers {
-        assert!(answer.blocking_recv().is_err(), "whoever asked is told that nothing is known");
+        assert!(answer.blocking_recv().is_err(), "a dropped query is answered as unknown");
     }
 }
 
 #[test]
-fn it_ends_when_told_to_and_where_the_folder_is_damaged() {
+fn retrying_ends_on_a_stop_command_and_on_a_damaged_folder() {
     let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut retry_queue = RetryQueue::new(commands);
     let damage = || Err::<(), _>(DiskFault { reason: "damaged".into(), may_pass: false });
@@ -88,7 +89,7 @@
     assert!(began.elapsed() < Duration::from_secs(1));
 }
 
-/// Dials as an agent or a keeper does; tells whether the stream has ended.
+/// Dials as an agent or a keeper does; the flag is set when the stream ends.
 fn dial(address: &str, purpose: Purpose) -> Arc<AtomicBool> {
     let ended = Arc::new(AtomicBool::new(false));
     let (address, told) = (address.to_owned(), Arc::clone(&ended));
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn links_of_keepers_are_kept_and_agents_sent_to_another() {
+fn links_of_keepers_are_kept_and_those_of_agents_closed() {
     let (queue, commands) = bounded_queue::<ExecutorCommand>(64);
     let mut retry_queue = RetryQueue::new(commands);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -115,10 +116,10 @@
     let (agent_ended, keeper_ended) = (dial(&address, Purpose::Agent), dial(&address, Purpose::Keeper));
     retry_queue.run_with_retry(refused_for(Duration::from_secs(3)), |_| ()).unwrap();
     assert!(agent_ended.load(Ordering::SeqCst) && !keeper_ended.load(Ordering::SeqCst));
-    let kept = next_commands(&mut retry_queue);
+    let left = next_commands(&mut retry_queue);
     assert!(
-        matches!(kept.as_slice(), [ExecutorCommand::Link(LinkEvent::Up(_, hello))] if hello.purpose == Purpose::Keeper),
+        matches!(left.as_slice(), [ExecutorCommand::Link(LinkEvent::Up(_, hello))] if hello.purpose == Purpose::Keeper),
         "{} commands are kept",
-        kept.len()
+        left.len()
     );
 }
--- a/crates/keeper/tests/rebuilt.rs
+++ b/crates/keeper/tests/rebuilt.rs
@@ -1,5 +1,5 @@
-//! A state that is rebuilt from a snapshot and the records after it is the one that was never restarted, after
-//! every kind of command and wherever the snapshot was taken.
+//! A state rebuilt from a snapshot and the later records equals the original, after every kind of command and
+//! wherever the snapshot was taken.
 
 use coordinator::prelude::*;
 use desired::prelude::{ConfigurationChange, CopyStage, Intent, Listed, ListedEngine, Revision};
@@ -9,31 +9,31 @@
 
 const VIEW: ViewNumber = ViewNumber(1);
 const SEEDS: u64 = 40;
-const COMMANDS_A_SEED: u64 = 60;
+const COMMANDS_PER_SEED: u64 = 60;
 
 /// The document that the other commands need: a model, an adapter, tenants and a policy.
 const DOCUMENT: &str = r#"{"models":{"m":{"weights":1}},"tenants":{"a":{},"b":{}},"policies":{"p":{"weight":4}}}"#;
 
-/// One for each kind of command; a new kind has to be added here, and then below.
+/// The name of each kind of command; a new kind must be added here and in `command`.
 fn kind(command: &Command) -> &'static str {
     match command {
         Command::Replace { .. } => "replace",
         Command::Configure(_) => "configure",
-        Command::QueryChange { .. } => "recall",
-        Command::RaiseWeights { .. } => "name weights",
+        Command::QueryChange { .. } => "query change",
+        Command::RaiseWeights { .. } => "raise weights",
         Command::Merge { .. } => "merge",
         Command::List(_) => "list",
         Command::Appoint { .. } => "appoint",
-        Command::SetEngineStatus { .. } => "stand",
+        Command::SetEngineStatus { .. } => "set engine status",
         Command::PlaceCopy { .. } => "place copy",
-        Command::ActivateRevision { .. } => "use revision",
+        Command::ActivateRevision { .. } => "activate revision",
         Command::Intend(_) => "intend",
         Command::Confirm { .. } => "confirm",
         Command::DoStep { .. } => "do step",
         Command::EndPlan { .. } => "end plan",
         Command::Claim { .. } => "claim",
         Command::Release { .. } => "release",
-        Command::RotateClaims { .. } => "turn claims",
+        Command::RotateClaims { .. } => "rotate claims",
     }
 }
 
@@ -49,7 +49,8 @@
     Listing { boot: "b".into(), number: ListingNumber(number), engines: (0..4).map(engine).collect() }
 }
 
-/// The `place`th kind of command, with what it names drawn from `drawn`; terms, bases and plans are often right.
+/// A command of the kind numbered `place` with arguments derived from `drawn`; its term, base and plan are often
+/// valid.
 fn command(place: u64, drawn: u64, state: &FleetState) -> Command {
     let engine = EngineName(format!("e{}", drawn % 4));
     let term = state.duties.get(&DutyKind::Conductor).map_or(Term(0), |duty| duty.term);
@@ -80,8 +81,8 @@
         7 => {
             let further_confirmed = BTreeMap::from([("n".into(), WeightsEdition(drawn % 3))]);
             let confirmed = Some((WeightsEdition(drawn % 5), "boot".to_owned()));
-            let standing = EngineStatus { confirmed, closed: drawn.is_multiple_of(2), further_confirmed };
-            Command::SetEngineStatus { term, engine, status: standing }
+            let status = EngineStatus { confirmed, closed: drawn.is_multiple_of(2), further_confirmed };
+            Command::SetEngineStatus { term, engine, status }
         }
         8 => {
             let stage = [None, Some(CopyStage::Loading), Some(CopyStage::Leaving)][(drawn % 3) as usize].clone();
@@ -102,7 +103,7 @@
     }
 }
 
-/// Numbers that follow from a seed.
+/// A pseudorandom generator: the same seed gives the same numbers.
 struct Draw(u64);
 
 impl Draw {
@@ -112,11 +113,11 @@
     }
 }
 
-/// The commands of a seed as records, with a few sent again, and the state after them.
+/// The log of a seed's commands, some of them submitted twice.
 fn history(seed: u64) -> Log {
     let mut draw = Draw(seed);
     let mut log = Log::default();
-    for number in 0..COMMANDS_A_SEED {
+    for number in 0..COMMANDS_PER_SEED {
         let place = if number < KINDS { number } else { draw.number() % KINDS };
         let command = command(place, draw.number(), log.state());
         let request = RequestId(1 + number - u64::from(draw.number().is_multiple_of(11)).min(number));
@@ -125,7 +126,7 @@
     log
 }
 
-/// What a folder gives back that was given a snapshot after some of the records, and then the rest.
+/// The state restored from a folder that stored a snapshot after some of the records, and then the rest.
 fn rebuilt(records: &[Record], snapshot_after: usize) -> FleetState {
     let path = std::env::temp_dir().join(format!("rebuilt-{}", NodeId::random()));
     let (mut state_store, _) = StateStore::open(&path).expect("a new folder opens");
@@ -136,24 +137,24 @@
     state_store.store(&rest, before.last(), before.state()).expect("the folder takes records");
     drop(state_store);
     let (mut state_store, _) = StateStore::open(&path).expect("the folder opens again");
-    let kept = state_store.load().expect("the folder is whole");
+    let persisted = state_store.load().expect("the folder is whole");
     drop(state_store);
     std::fs::remove_dir_all(&path).expect("the folder can be removed");
-    Log::restore(kept.mark, kept.state, kept.records).state().clone()
+    Log::restore(persisted.mark, persisted.state, persisted.records).state().clone()
 }
 
 #[test]
-fn a_state_rebuilt_from_snapshot_and_records_is_the_one_never_restarted() {
-    let mut kinds_met = BTreeSet::new();
-    let mut taken = BTreeSet::new();
+fn a_state_rebuilt_from_snapshot_and_records_equals_the_original() {
+    let mut kinds_seen = BTreeSet::new();
+    let mut applied = BTreeSet::new();
     for seed in 0..SEEDS {
         let log = history(seed);
         let records = log.records_after(Edition(0)).expect("all are kept");
-        kinds_met.extend(records.iter().map(|record| kind(&record.submission.command)));
+        kinds_seen.extend(records.iter().map(|record| kind(&record.submission.command)));
         let mut replayed = FleetState::default();
         for record in &records {
             if matches!(replayed.apply(&record.submission), CommandOutcome::Applied(_)) {
-                taken.insert(kind(&record.submission.command));
+                applied.insert(kind(&record.submission.command));
             }
         }
         assert_eq!(&replayed, log.state(), "seed {seed}: the same commands give another state");
@@ -162,6 +163,6 @@
             assert_eq!(&state, log.state(), "seed {seed}, a snapshot after {snapshot_after} records");
         }
     }
-    assert_eq!(kinds_met.len() as u64, KINDS, "{kinds_met:?}");
-    assert!(taken.len() as u64 >= KINDS - 2, "hardly any effect: only {taken:?} were taken");
+    assert_eq!(kinds_seen.len() as u64, KINDS, "{kinds_seen:?}");
+    assert!(applied.len() as u64 >= KINDS - 2, "too few kinds of command had an effect: {applied:?}");
 }
