--- a/crates/console/src/main.rs
+++ b/crates/console/src/main.rs
@@ -1,36 +1,37 @@
-//! The operators' command line. It asks one of the doors it was given and says what came of it; a
-//! submission carries a request id, so that asking a second door can never do a thing twice.
+//! The operators' command line. It sends a request to the first keeper that answers and prints the answer. A
+//! submission carries a request id, so that sending it to a second keeper never applies it twice.
 
-mod comparing;
+mod arguments;
+mod comparison;
 mod prelude;
-mod words;
 
 use crate::prelude::*;
 
 const EXIT_UNKNOWN: u8 = 3;
 
 fn main() -> ExitCode {
-    let words = match read_words() {
-        Ok(Read::Words(words)) => words,
-        Ok(Read::Printed) => return ExitCode::SUCCESS,
-        Err(report) => return complain(&report, EXIT_USAGE),
+    let arguments = match parse_arguments() {
+        Ok(ParsedArguments::Arguments(arguments)) => arguments,
+        Ok(ParsedArguments::Printed) => return ExitCode::SUCCESS,
+        Err(report) => return print_error(&report, EXIT_USAGE),
     };
-    let deed = match words.deed() {
-        Ok(deed) => deed,
-        Err(report) => return complain(&report, EXIT_USAGE),
+    let action = match arguments.action() {
+        Ok(action) => action,
+        Err(report) => return print_error(&report, EXIT_USAGE),
     };
-    match work(&words, deed) {
+    match execute(&arguments, action) {
         Ok(code) => ExitCode::from(code),
-        Err(report) => complain(&report, EXIT_FAULT),
+        Err(report) => print_error(&report, EXIT_FAULT),
     }
 }
 
-fn complain(report: &Report, code: u8) -> ExitCode {
+fn print_error(report: &Report, code: u8) -> ExitCode {
     eprintln!("console: {report}");
     ExitCode::from(code)
 }
 
-pub struct Asker {
+/// Sends requests to keepers' operator interfaces (doors).
+pub struct Client {
     pub runtime: tokio::runtime::Runtime,
     doors: Vec<String>,
     key: String,
@@ -39,13 +40,13 @@
 
 type Reply = (StatusCode, HeaderMap, Vec<u8>);
 
-impl Asker {
-    /// Asks the doors in turn until one answers.
-    fn ask(&self, question: &Question) -> Result<Reply, Report> {
+impl Client {
+    /// Sends a request to the doors in turn until one answers.
+    fn send(&self, question: &Question) -> Result<Reply, Report> {
         let mut reasons = Vec::new();
         for door in &self.doors {
-            let asked = question.clone().header("authorization", format!("Bearer {}", self.key));
-            match self.runtime.block_on(ask_whole(door, asked, self.limit, 16 << 20)) {
+            let authorized = question.clone().header("authorization", format!("Bearer {}", self.key));
+            match self.runtime.block_on(ask_whole(door, authorized, self.limit, 16 << 20)) {
                 Ok((status, headers, body)) => return Ok((status, headers, body.to_vec())),
                 Err(reason) => reasons.push(format!("{door}: {reason}")),
             }
@@ -53,88 +54,88 @@
         Err(miette!("no door answered: {}", reasons.join("; ")))
     }
 
-    fn present_edition(&self) -> Result<u64, Report> {
-        let (status, headers, body) = self.ask(&Question::get("/v1/desired-state"))?;
+    fn current_edition(&self) -> Result<u64, Report> {
+        let (status, headers, body) = self.send(&Question::get("/v1/desired-state"))?;
         let tag = headers.get("etag").and_then(|tag| tag.to_str().ok()).unwrap_or("");
         tag.trim_matches('"')
             .parse()
-            .map_err(|_| miette!("the present edition is not told: {status} {}", String::from_utf8_lossy(&body)))
+            .map_err(|_| miette!("no edition in the answer: {status} {}", String::from_utf8_lossy(&body)))
     }
 }
 
-fn work(words: &Words, deed: Deed) -> Result<u8, Report> {
-    let key = match &words.key_file {
+fn execute(arguments: &Arguments, action: Action) -> Result<u8, Report> {
+    let key = match &arguments.key_file {
         Some(path) => std::fs::read_to_string(path).map_err(|fault| miette!("--key-file: {path}: {fault}"))?,
         None => std::env::var("HAREMOUNT_KEY").map_err(|_| miette!("no key: give --key-file or HAREMOUNT_KEY"))?,
     };
-    let asker = Asker {
+    let client = Client {
         runtime: small_runtime(1).map_err(|fault| miette!("{fault}"))?,
-        doors: words.doors.clone(),
+        doors: arguments.doors.clone(),
         key: key.trim().to_owned(),
-        limit: Span::seconds(words.limit_s),
+        limit: Span::seconds(arguments.limit_s),
     };
-    let request = match &words.request {
-        Some(text) => text.parse::<RequestId>().map_err(|_| miette!("--request: {text} is no request id"))?,
+    let request = match &arguments.request {
+        Some(text) => text.parse::<RequestId>().map_err(|_| miette!("--request: {text} is not a request id"))?,
         None => RequestId::random(),
     };
-    let question = match deed {
-        Deed::Compare { routers, policy, tenant } => {
-            let mut book = gather(&asker, &routers)?;
-            narrow(&mut book, policy.as_deref(), tenant.as_deref())?;
-            show_comparison(&book, words.as_json);
+    let question = match action {
+        Action::Compare { routers, policy, tenant } => {
+            let mut metrics = fetch_metrics(&client, &routers)?;
+            filter_metrics(&mut metrics, policy.as_deref(), tenant.as_deref())?;
+            print_comparison(&metrics, arguments.as_json);
             return Ok(0);
         }
-        Deed::Post { path, body } => {
+        Action::Post { path, body } => {
             Question::with_json(Method::POST, &path, &body).header("x-request-id", request.to_string())
         }
-        Deed::PostFile { path, file } => {
+        Action::PostFile { path, file } => {
             let text = std::fs::read_to_string(&file).map_err(|fault| miette!("{file}: {fault}"))?;
             Question { method: Method::POST, body: text.into(), ..Question::get(&path) }
         }
-        Deed::Show { path } => Question::get(&path),
-        Deed::Change { method, file } => {
+        Action::Get { path } => Question::get(&path),
+        Action::ChangeDocument { method, file } => {
             let text = std::fs::read_to_string(&file).map_err(|fault| miette!("{file}: {fault}"))?;
-            let base = match words.base {
+            let base = match arguments.base {
                 Some(base) => base,
-                None => asker.present_edition()?,
+                None => client.current_edition()?,
             };
             Question { method, body: text.into(), ..Question::get("/v1/desired-state") }
                 .header("content-type", "application/json")
                 .header("if-match", format!("\"{base}\""))
                 .header("x-request-id", request.to_string())
         }
-        Deed::AddKey { path, key_file } => {
+        Action::AddKey { path, key_file } => {
             let new_key = std::fs::read_to_string(&key_file).map_err(|fault| miette!("{key_file}: {fault}"))?;
             Question::with_json(Method::PUT, &path, &json!({"key": new_key.trim()}))
                 .header("x-request-id", request.to_string())
         }
-        Deed::DropKey { path } => {
+        Action::WithdrawKey { path } => {
             Question { method: Method::DELETE, ..Question::get(&path) }.header("x-request-id", request.to_string())
         }
     };
-    let (status, headers, body) = asker.ask(&question)?;
-    show(words, status, &headers, &body)
+    let (status, headers, body) = client.send(&question)?;
+    print_response(arguments, status, &headers, &body)
 }
 
-fn show(words: &Words, status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Result<u8, Report> {
+fn print_response(arguments: &Arguments, status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Result<u8, Report> {
     let text = String::from_utf8_lossy(body);
     let value: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-    if words.as_json {
+    if arguments.as_json {
         println!("{text}");
     } else if let Some(kind) = value["error"]["type"].as_str() {
         println!("{kind}: {}", value["error"]["message"].as_str().unwrap_or(""));
-        for complaint in value["error"]["complaints"].as_array().into_iter().flatten() {
-            let part = |key: &str| complaint[key].as_str().unwrap_or("").to_owned();
+        for error in value["error"]["complaints"].as_array().into_iter().flatten() {
+            let part = |key: &str| error[key].as_str().unwrap_or("").to_owned();
             println!("  {}: {}", part("path"), part("reason"));
         }
         if let Some(now) = value["now"].as_u64() {
-            println!("  it now stands at edition {now}");
+            println!("  the current edition is {now}");
         }
         if let Some(request) = value["request"].as_str() {
             println!("  request {request}");
         }
     } else if value["view"].is_object() {
-        show_fleet(&value);
+        print_fleet(&value);
     } else {
         if let Some(edition) = headers.get("etag").and_then(|tag| tag.to_str().ok()) {
             println!("edition {}", edition.trim_matches('"'));
@@ -148,7 +149,7 @@
     })
 }
 
-fn show_fleet(fleet: &Value) {
+fn print_fleet(fleet: &Value) {
     let text = |value: &Value| match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
@@ -183,6 +184,7 @@
         );
     }
     let listing = &fleet["listing"];
-    let reach = if listing["reachable"] == true { "reachable" } else { "NOT reachable: the last list holds" };
-    println!("listing {} platform {reach}", listing["number"]);
+    let reachability =
+        if listing["reachable"] == true { "reachable" } else { "NOT reachable: the last listing stays in force" };
+    println!("listing {} platform {reachability}", listing["number"]);
 }
--- a/crates/console/src/prelude.rs
+++ b/crates/console/src/prelude.rs
@@ -1,8 +1,8 @@
-//! The one import of this package's files.
+//! The items that each file of this crate imports.
 
-pub(crate) use crate::Asker;
-pub(crate) use crate::comparing::*;
-pub(crate) use crate::words::*;
+pub(crate) use crate::Client;
+pub(crate) use crate::arguments::*;
+pub(crate) use crate::comparison::*;
 pub(crate) use figures::prelude::{PolicyMetrics, Quantile, TrafficMetrics};
 pub(crate) use process::prelude::*;
 pub(crate) use serde_json::{Value, json};
