--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,6 +1,6 @@
-//! The agent beside a router: holds the stream to the core, renews the node's lease, and feeds the
-//! router over loopback. One duty owns the subscription and works through a queue; each stream has its own
-//! threads. It keeps nothing on disk: a restarted agent starts from nothing and asks.
+//! The agent that runs beside a router: it holds the stream to the core, renews the node's lease and feeds the
+//! router over loopback. One thread owns the subscription and processes a command queue; each stream has its own
+//! threads. Nothing is kept on disk: a restarted agent fetches the state from the core.
 
 pub mod prelude;
 
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent with the product's own settings.
+//! The agent program with its settings.
 
 use agent::prelude::*;
 use process::prelude::*;
@@ -16,10 +16,10 @@
 };
 
 fn main() -> std::process::ExitCode {
-    run_trade(&TRADE, serve_node)
+    run_trade(&TRADE, run)
 }
 
-fn serve_node(settings: Settings) -> Result<(), Report> {
+fn run(settings: Settings) -> Result<(), Report> {
     let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
     let seeds = settings.addresses("seeds");
     if seeds.is_empty() {
@@ -29,7 +29,7 @@
         .map_err(|fault| miette!("listen: {}: {fault}", settings.text("listen").unwrap_or("")))?;
     let address = listener.local_addr().map_err(|fault| miette!("listen: {fault}"))?;
     if !address.ip().is_loopback() {
-        return Err(miette!("listen: {address}: an agent serves its own machine only; take a loopback address"));
+        return Err(miette!("listen: {address}: not a loopback address; an agent serves only its own machine"));
     }
     let config = AgentConfig { listener, seeds, router_exit_timeout: Span(0) };
     run_agent(config, move |handle| {
--- a/crates/agent/src/prelude.rs
+++ b/crates/agent/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of programs that run an agent.
+//! The items that each file of this crate imports, and the public ones for programs that run an agent.
 
 pub use crate::run::*;
 pub(crate) use coordinator::prelude::KeeperToAgent;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,19 +1,19 @@
-//! An agent's life.
+//! Runs an agent: its command queue, the links to the core and the router, and the subscription.
 
 use crate::prelude::*;
 
-const BATCH: usize = 256;
+const MAX_BATCH_COMMANDS: usize = 256;
 
-/// All that an agent is told at its start.
+/// The configuration of an agent.
 pub struct AgentConfig {
-    /// Where this machine's router arrives.
+    /// Accepts the link from this machine's router.
     pub listener: std::net::TcpListener,
     pub seeds: Vec<String>,
-    /// How long a stopping agent waits for its router to end first.
+    /// How long a stopping agent waits for its router to exit first.
     pub router_exit_timeout: Span,
 }
 
-/// What signals do to a running agent.
+/// Controls a running agent.
 #[derive(Clone)]
 pub struct AgentHandle {
     queue: Sender<AgentCommand>,
@@ -30,8 +30,11 @@
     }
 }
 
-/// Runs an agent until it is told to stop. `begun` is called once everything is in place.
-pub fn run_agent(config: AgentConfig, begun: impl FnOnce(AgentHandle) -> Result<(), Report>) -> Result<(), Report> {
+/// Runs an agent until it is stopped. `on_ready` is called once it accepts links.
+pub fn run_agent(
+    config: AgentConfig,
+    on_ready: impl FnOnce(AgentHandle) -> Result<(), Report>,
+) -> Result<(), Report> {
     let node = NodeId::random();
     let fleet = Arc::new(AtomicU64::new(0));
     let (queue, commands) = bounded_queue::<AgentCommand>(4096);
@@ -41,11 +44,11 @@
     accept_links(config.listener, own_hello, move |link_event| {
         router_queue.send(AgentCommand::Router(link_event)).is_ok()
     });
-    begun(AgentHandle { queue: queue.clone(), identity: node })?;
+    on_ready(AgentHandle { queue: queue.clone(), identity: node })?;
     event!(info, "started", id = node);
     let subscription = Subscription::new(config.seeds, node.0 as usize % 64);
     let mut agent = Agent { subscription, node, queue, core: None, router: None, dial_number: 0, fleet };
-    agent.work(&commands, config.router_exit_timeout);
+    agent.run(&commands, config.router_exit_timeout);
     event!(info, "stopped");
     Ok(())
 }
@@ -69,23 +72,26 @@
 }
 
 impl Agent {
-    fn work(&mut self, commands: &Receiver<AgentCommand>, router_exit_timeout: Span) {
+    fn run(&mut self, commands: &Receiver<AgentCommand>, router_exit_timeout: Span) {
         let mut next_tick = Instant(0);
-        let mut stops_at: Option<Instant> = None;
+        let mut stop_deadline: Option<Instant> = None;
         loop {
-            let due = stops_at.map_or(next_tick, |stops_at| next_tick.min(stops_at));
-            let Some(batch) = receive_batch(commands, due.since(boot_now()).as_duration(), BATCH) else { return };
+            let deadline = stop_deadline.map_or(next_tick, |stop_deadline| next_tick.min(stop_deadline));
+            let Some(batch) = receive_batch(commands, deadline.since(boot_now()).as_duration(), MAX_BATCH_COMMANDS)
+            else {
+                return;
+            };
             for command in batch {
                 match command {
                     AgentCommand::Stop => {
-                        stops_at.get_or_insert(boot_now() + router_exit_timeout);
+                        stop_deadline.get_or_insert(boot_now() + router_exit_timeout);
                     }
-                    command => self.take(command),
+                    command => self.handle(command),
                 }
             }
             let now = boot_now();
-            let is_over = self.router.is_none() || stops_at.is_some_and(|stops_at| now >= stops_at);
-            if stops_at.is_some() && is_over {
+            let may_stop = self.router.is_none() || stop_deadline.is_some_and(|stop_deadline| now >= stop_deadline);
+            if stop_deadline.is_some() && may_stop {
                 return;
             }
             if now >= next_tick {
@@ -96,19 +102,19 @@
     }
 
     fn step(&mut self, input: SubscriptionInput) {
-        let plan = self.subscription.step(input, boot_now());
+        let effects = self.subscription.step(input, boot_now());
         self.fleet.store(self.subscription.fleet().0, Ordering::SeqCst);
-        for effect in plan {
-            self.carry_out(effect);
+        for effect in effects {
+            self.execute(effect);
         }
     }
 
-    fn take(&mut self, command: AgentCommand) {
+    fn handle(&mut self, command: AgentCommand) {
         match command {
             AgentCommand::Core { dial_number, link_event } => {
                 if dial_number != self.dial_number {
-                    if let LinkEvent::Up(late_link, _) = link_event {
-                        late_link.close();
+                    if let LinkEvent::Up(stale_link, _) = link_event {
+                        stale_link.close();
                     }
                     return;
                 }
@@ -127,7 +133,7 @@
                     self.step(SubscriptionInput::CoreDisconnected);
                 }
             }
-            AgentCommand::Router(link_event) => self.take_router(link_event),
+            AgentCommand::Router(link_event) => self.handle_router_event(link_event),
             AgentCommand::Seeds(seeds) => self.step(SubscriptionInput::Seeds(seeds)),
             AgentCommand::Stop => {}
         }
@@ -137,7 +143,7 @@
         self.router.as_ref().is_some_and(|router| router.id == id)
     }
 
-    fn take_router(&mut self, link_event: LinkEvent<RouterToAgent>) {
+    fn handle_router_event(&mut self, link_event: LinkEvent<RouterToAgent>) {
         match link_event {
             LinkEvent::Up(link, hello) => {
                 if hello.purpose != Purpose::Router {
@@ -166,7 +172,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: SubscriptionEffect) {
+    fn execute(&mut self, effect: SubscriptionEffect) {
         match effect {
             SubscriptionEffect::Dial(address) => self.dial(address),
             SubscriptionEffect::SendToCore(message) => {
@@ -195,8 +201,8 @@
         let queue = self.queue.clone();
         event!(debug, "dials", address = address);
         spawn_thread("core-link", move || {
-            let tell = |link_event| queue.send(AgentCommand::Core { dial_number, link_event }).is_ok();
-            if let Err(reason) = dial_and_hold(&address, own_hello, &tell) {
+            let on_event = |link_event| queue.send(AgentCommand::Core { dial_number, link_event }).is_ok();
+            if let Err(reason) = dial_and_hold(&address, own_hello, &on_event) {
                 event!(debug, "dial_fault", address = address, reason = reason);
             }
             let _ = queue.send(AgentCommand::CoreEnded { dial_number });
