--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -9,8 +9,8 @@
     about: "Holds a machine's stream to the core and feeds its router.",
     settings: &[
         setting("listen", Kind::Address, Some("127.0.0.1:0"), "where this machine's router reaches the agent"),
-        setting("seeds", Kind::Addresses, None, "keepers to make contact with"),
-        setting("zone", Kind::Text, Some("a"), "the zone this machine stands in"),
+        setting("seeds", Kind::Addresses, None, "addresses of keepers to contact"),
+        setting("zone", Kind::Text, Some("a"), "the zone of this machine"),
         LOG_LEVEL,
     ],
 };
--- a/crates/keeper/src/conductor_duty.rs
+++ b/crates/keeper/src/conductor_duty.rs
@@ -16,6 +16,7 @@
     adapters: BTreeMap<EngineName, AdapterReport>,
 }
 
+/// Observes the engines and executes the conductor's actions while this keeper holds the duty.
 pub async fn run_conductor(publisher: SharedPublisher, executor: ExecutorClient, me: NodeId) {
     let mut conductor = Conductor::default();
     let mut planner = WarmingPlanner::default();
--- a/crates/keeper/src/directory_poller.rs
+++ b/crates/keeper/src/directory_poller.rs
@@ -26,6 +26,7 @@
 /// The boot identity of every listing read here: the fleet state alone numbers them.
 const BOOT: &str = "directory";
 
+/// Reads the engine directory while this keeper holds the census duty and submits changes.
 pub async fn poll_directory(
     directory: Arc<dyn EngineDirectory>,
     calls_per_second: f64,
--- a/crates/keeper/src/executor.rs
+++ b/crates/keeper/src/executor.rs
@@ -7,11 +7,21 @@
 
 const MAX_BATCH_COMMANDS: usize = 256;
 
+/// A command to the executor.
 pub enum ExecutorCommand {
     Link(LinkEvent<Inbound>),
-    Query { query: CoreQuery, timeout: Span, reply: oneshot::Sender<QueryOutcome> },
+    Query {
+        query: CoreQuery,
+        timeout: Span,
+        reply: oneshot::Sender<QueryOutcome>,
+    },
     Seeds(Vec<String>),
-    ListingRead { read: Option<(String, ListingNumber)>, asked: Instant },
+    /// The boot identity and number of the listing read, or `None` after a failed read that began at `asked`.
+    ListingRead {
+        read: Option<(String, ListingNumber)>,
+        asked: Instant,
+    },
+    /// Hands a duty over to another keeper.
     HandOver(DutyKind),
     Stop,
 }
@@ -60,11 +70,13 @@
     }
 }
 
+/// An open link and the hello of its peer.
 struct LinkEntry {
     link: Link,
     hello: Hello,
 }
 
+/// Executes commands on the coordinator and the coordinator's effects.
 pub struct Executor {
     pub coordinator: Coordinator,
     pub state_store: StateStore,
@@ -370,6 +382,7 @@
 }
 
 impl ExecutorClient {
+    /// Sends a query to the coordinator; the outcome is `Unknown` if the queue is full or no answer comes.
     pub async fn query(&self, query: CoreQuery, timeout: Span) -> QueryOutcome {
         let (reply, outcome) = oneshot::channel();
         if self.queue.try_send(ExecutorCommand::Query { query, timeout, reply }).is_err() {
@@ -378,6 +391,7 @@
         outcome.await.unwrap_or(QueryOutcome::Unknown)
     }
 
+    /// Submits a command to the chain and waits for its outcome.
     pub async fn submit(&self, request: RequestId, command: Command, timeout: Span) -> QueryOutcome {
         self.query(CoreQuery::Submit(Submission { request, command }), timeout).await
     }
--- a/crates/keeper/src/listing_poller.rs
+++ b/crates/keeper/src/listing_poller.rs
@@ -10,12 +10,14 @@
 const STANDBY_DELAY: Span = Span::millis(500);
 const MAX_ENGINES: usize = 1000;
 
+/// The health of listing reads, for the operators' interface.
 #[derive(Default)]
 pub struct ListingHealth {
     /// Boot-time milliseconds of the last successful read; zero if there was none.
     pub last_read: AtomicU64,
 }
 
+/// Polls the platform's listing and submits newer ones.
 pub async fn poll_listing(
     platform: String,
     publisher: SharedPublisher,
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -8,21 +8,21 @@
 
 static TRADE: Trade = Trade {
     program: "keeper",
-    about: "Keeps haremount's shared state: a member of the core's chain, and a door for operators.",
+    about: "Keeps haremount's shared state: a member of the core's chain with an interface for operators.",
     settings: &[
         setting("listen", Kind::Address, Some("127.0.0.1:0"), "where keepers and agents reach this keeper"),
         setting("door", Kind::Address, Some("127.0.0.1:0"), "where operators reach it over HTTP"),
         setting("advertise", Kind::Address, None, "the address others use for listen, if it differs"),
         setting("advertise_door", Kind::Address, None, "the address others use for door, if it differs"),
-        setting("zone", Kind::Text, Some("a"), "the zone this machine stands in"),
-        setting("data", Kind::Path, None, "the data folder; an empty one makes a new member"),
-        setting("seeds", Kind::Addresses, None, "other keepers to make contact with"),
+        setting("zone", Kind::Text, Some("a"), "the zone of this machine"),
+        setting("data", Kind::Path, None, "the data folder; an empty one starts a new member"),
+        setting("seeds", Kind::Addresses, None, "addresses of other keepers to contact"),
         setting("found", Kind::Flag, None, "found a new fleet; refused where one exists"),
         setting("operator_key_file", Kind::Path, None, "with found: a file holding the first operator's key"),
         setting("core_size", Kind::Whole(1, 7), Some("4"), "how many keepers the core grows to"),
         setting("platform", Kind::Address, None, "the platform's listing of engines"),
         #[cfg(feature = "faults")]
-        setting("disk_faults", Kind::Path, None, "for tests: a file that says how the disk misbehaves"),
+        setting("disk_faults", Kind::Path, None, "for tests: a file that controls injected disk faults"),
         setting("threads", Kind::Whole(1, 64), Some("2"), "threads for HTTP"),
         LOG_LEVEL,
     ],
@@ -97,7 +97,7 @@
     if !settings.flag("found") {
         return Ok(Bootstrap::Join);
     }
-    let key_file = settings.maybe("operator_key_file").ok_or("operator_key_file is needed")?;
+    let key_file = settings.maybe("operator_key_file").ok_or("operator_key_file is required")?;
     let key = std::fs::read_to_string(Path::new(key_file)).map_err(|fault| format!("{key_file}: {fault}"))?;
     if key.trim().len() < 8 {
         return Err(format!("{key_file}: a key has at least 8 characters"));
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -7,6 +7,7 @@
 const READ_TIMEOUT: Span = Span::seconds(3);
 const MAX_BODY_BYTES: usize = (1 << 20) + (64 << 10);
 
+/// Serves the operators' built-in HTTP interface.
 pub struct OperatorInterface {
     pub executor: ExecutorClient,
     pub publisher: SharedPublisher,
@@ -32,7 +33,7 @@
         let Some(state) = self.read_state().await else { return core_unavailable() };
         let known_key = asked.bearer().is_some_and(|key| state.is_operator(&sha256_hex(key)));
         if !known_key {
-            return refuse(StatusCode::UNAUTHORIZED, "unknown_key", "an operator's key is needed");
+            return refuse(StatusCode::UNAUTHORIZED, "unknown_key", "an operator's key is required");
         }
         let parts: Vec<String> = segments.iter().map(|segment| (*segment).to_owned()).collect();
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
@@ -323,7 +324,7 @@
 }
 
 fn core_unavailable() -> WebOutcome {
-    refuse(StatusCode::SERVICE_UNAVAILABLE, "no_core", "the core does not answer now; a majority may be away")
+    refuse(StatusCode::SERVICE_UNAVAILABLE, "no_core", "the core does not answer; a majority may be unavailable")
         .with_header("retry-after", "2")
 }
 
@@ -335,7 +336,7 @@
 
 fn read_if_match(asked: &Asked) -> Result<Edition, Box<WebOutcome>> {
     let Some(tag) = asked.header("if-match") else {
-        let reason = "If-Match with the edition this change is based on is needed";
+        let reason = "If-Match with the edition that this change is based on is required";
         return Err(Box::new(refuse(StatusCode::PRECONDITION_REQUIRED, "no_base", reason)));
     };
     tag.trim().trim_matches('"').parse().map(Edition).map_err(|_| {
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -12,6 +12,7 @@
 /// How often a patch is tried if its base revision comes into force only after the configuration was read.
 const MAX_PATCH_ATTEMPTS: usize = 3;
 
+/// Serves operators through their own protocol.
 pub struct ProtocolInterface {
     pub executor: ExecutorClient,
     pub protocol: Arc<dyn OperatorProtocol>,
--- a/crates/keeper/src/publisher.rs
+++ b/crates/keeper/src/publisher.rs
@@ -49,9 +49,11 @@
     pub(crate) changed: tokio::sync::Notify,
 }
 
+/// The publisher as tasks share it.
 pub type SharedPublisher = Arc<SnapshotPublisher>;
 
 impl SnapshotPublisher {
+    /// Replaces the snapshot and returns the earlier one, without a notification.
     pub(crate) fn replace(&self, snapshot: Arc<KeeperSnapshot>) -> Arc<KeeperSnapshot> {
         let mut current = self.current.write().expect("no holder of this lock panics");
         std::mem::replace(&mut *current, snapshot)
@@ -70,6 +72,7 @@
     }
 }
 
+/// The latest published snapshot.
 pub fn latest_snapshot(publisher: &SharedPublisher) -> Arc<KeeperSnapshot> {
     Arc::clone(&publisher.current.read().expect("no holder of this lock panics"))
 }
--- a/crates/keeper/src/retry_queue.rs
+++ b/crates/keeper/src/retry_queue.rs
@@ -10,6 +10,7 @@
 pub const STALE_AFTER: Span = SUSPECT_TIMEOUT;
 const MAX_BUFFERED_COMMANDS: usize = 4096;
 
+/// A queue of commands that keeps receiving while a disk operation is retried.
 pub struct RetryQueue {
     queue: Receiver<ExecutorCommand>,
     /// Commands received while waiting, in order.
--- a/crates/keeper/src/state_store.rs
+++ b/crates/keeper/src/state_store.rs
@@ -8,6 +8,7 @@
 /// Size of the trial write at startup, which finds an unwritable disk before the first record does.
 const WRITE_CHECK_BYTES: usize = 64 << 10;
 
+/// Stores the coordinator's state in the data folder as a snapshot and the records after it.
 pub struct StateStore {
     folder: Folder,
     snapshot_edition: Edition,
@@ -31,6 +32,7 @@
         self.folder.identity()
     }
 
+    /// Reads everything that was stored.
     pub fn load(&mut self) -> Result<PersistedState, DiskFault> {
         let (mark, state): (LogPosition, FleetState) = self.folder.plain("snapshot")?.unwrap_or_default();
         let records: Vec<Record> = self.folder.numbered_after(mark.edition.0)?;
--- a/crates/keeper/src/weights_orders.rs
+++ b/crates/keeper/src/weights_orders.rs
@@ -21,6 +21,7 @@
     StatusSettled(EngineName),
 }
 
+/// Runs weights rollouts while this keeper holds the conductor duty.
 pub async fn run_weights_rollout(
     orders: Arc<dyn EngineOrders>,
     publisher: SharedPublisher,
@@ -128,6 +129,7 @@
     StepOutcome::StatusSettled(engine)
 }
 
+/// Sends an order, if this keeper still holds the duty when the first byte is written.
 async fn send_order(
     orders: Arc<dyn EngineOrders>,
     publisher: SharedPublisher,
