--- a/crates/keeper/src/conductor_duty.rs
+++ b/crates/keeper/src/conductor_duty.rs
@@ -6,6 +6,7 @@
 const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 const OBSERVE_TIMEOUT: Span = Span::millis(700);
 const ORDER_TIMEOUT: Span = Span::seconds(15);
+const SUBMIT_TIMEOUT: Span = Span::seconds(5);
 /// How often the conductor queries the demand for adapters.
 const DEMAND_INTERVAL: Span = Span::seconds(1);
 
@@ -146,7 +147,7 @@
     }
     let executor = executor.clone();
     let submission = async move {
-        executor.submit(RequestId::random(), command, Span::seconds(5)).await;
+        executor.submit(RequestId::random(), command, SUBMIT_TIMEOUT).await;
     };
     in_flight.insert(key, tokio::spawn(submission));
 }
--- a/crates/keeper/src/listing_poller.rs
+++ b/crates/keeper/src/listing_poller.rs
@@ -8,6 +8,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 const POLL_TIMEOUT: Span = Span::millis(600);
 const STANDBY_DELAY: Span = Span::millis(500);
+const SUBMIT_TIMEOUT: Span = Span::millis(3000);
+/// How long polling waits for a submission.
+const SUBMIT_WAIT: Duration = Duration::from_millis(700);
 const MAX_ENGINES: usize = 1000;
 
 /// The health of listing reads, for the operators' interface.
@@ -66,8 +69,8 @@
         event!(info, "listing_submitted", number = listing.number, engines = listing.engines.len());
         let parts = [listing.boot.as_bytes(), &listing.number.0.to_le_bytes()];
         let request = RequestId(BlockHash::of_parts(&[b"listing", parts[0], parts[1]]).0);
-        let submission = executor.submit(request, Command::List(listing.clone()), Span::millis(3000));
-        let _ = tokio::time::timeout(Duration::from_millis(700), submission).await;
+        let submission = executor.submit(request, Command::List(listing.clone()), SUBMIT_TIMEOUT);
+        let _ = tokio::time::timeout(SUBMIT_WAIT, submission).await;
     }
 }
 
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -5,6 +5,8 @@
 
 const CHANGE_TIMEOUT: Span = Span::seconds(8);
 const READ_TIMEOUT: Span = Span::seconds(3);
+/// The platform's listing counts as reachable if it was read within this time.
+const REACHABLE_LISTING_AGE_MS: u64 = 1500;
 const MAX_BODY_BYTES: usize = (1 << 20) + (64 << 10);
 
 /// Serves the operators' built-in HTTP interface.
@@ -47,7 +49,7 @@
                     .desired
                     .tenants
                     .get(&TenantName::from(*tenant))
-                    .is_some_and(|wish| wish.keys.contains_key(&KeyName::from(*key_name)));
+                    .is_some_and(|tenant| tenant.keys.contains_key(&KeyName::from(*key_name)));
                 if !is_known {
                     return refuse(StatusCode::NOT_FOUND, "not_found", "no such tenant or key");
                 }
@@ -254,7 +256,7 @@
             "view": {"number": snapshot.view.number.0, "chain": ids(&snapshot.view.chain), "voters": ids(&snapshot.view.voters)},
             "members": members, "nodes": nodes, "engines": engines, "duties": duties,
             "listing": {"number": state.listing.number.0, "read_ms_ago": self.listing_age(),
-                        "reachable": self.listing_age().is_some_and(|age| age < 1500)},
+                        "reachable": self.listing_age().is_some_and(|age| age < REACHABLE_LISTING_AGE_MS)},
         });
         outcome_json(StatusCode::OK, &answer)
     }
--- a/crates/keeper/tests/patience.rs
+++ b/crates/keeper/tests/patience.rs
@@ -38,10 +38,10 @@
     let (first, _first_answer) = query();
     queue.send(first).unwrap();
     queue.send(ExecutorCommand::Seeds(vec!["seed".into()])).unwrap();
-    let mut told = Vec::new();
+    let mut refusals = Vec::new();
     let done =
-        retry_queue.run_with_retry(refused_for(Duration::from_millis(50)), |waited| told.push(waited)).unwrap();
-    assert_eq!((done, told.len()), (Some(()), 1));
+        retry_queue.run_with_retry(refused_for(Duration::from_millis(50)), |waited| refusals.push(waited)).unwrap();
+    assert_eq!((done, refusals.len()), (Some(()), 1));
     let left = next_commands(&mut retry_queue);
     assert!(matches!(left.as_slice(), [ExecutorCommand::Query { .. }, ExecutorCommand::Seeds(_)]), "{}", left.len());
     assert_eq!(next_commands(&mut retry_queue).len(), 0);
@@ -92,7 +92,7 @@
 /// Dials as an agent or a keeper does; the flag is set when the stream ends.
 fn dial(address: &str, purpose: Purpose) -> Arc<AtomicBool> {
     let ended = Arc::new(AtomicBool::new(false));
-    let (address, told) = (address.to_owned(), Arc::clone(&ended));
+    let (address, ended_flag) = (address.to_owned(), Arc::clone(&ended));
     std::thread::spawn(move || {
         let hello = Hello::new(FleetId(1), NodeId::random(), purpose);
         let events = Mutex::new(Vec::new());
@@ -100,7 +100,7 @@
             events.lock().unwrap().push(event);
             true
         });
-        told.store(true, Ordering::SeqCst);
+        ended_flag.store(true, Ordering::SeqCst);
     });
     ended
 }
@@ -119,7 +119,7 @@
     let left = next_commands(&mut retry_queue);
     assert!(
         matches!(left.as_slice(), [ExecutorCommand::Link(LinkEvent::Up(_, hello))] if hello.purpose == Purpose::Keeper),
-        "{} commands are kept",
+        "{} commands are left",
         left.len()
     );
 }
