--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent with the product's own settings.
+//! The agent program with its settings.
 
 use agent::prelude::*;
 use process::prelude::*;
@@ -9,17 +9,17 @@
     about: "Holds a machine's stream to the core and feeds its router.",
     settings: &[
         setting("listen", SettingKind::Address, Some("127.0.0.1:0"), "where this machine's router reaches the agent"),
-        setting("seeds", SettingKind::Addresses, None, "keepers to make contact with"),
-        setting("zone", SettingKind::Text, Some("a"), "the zone this machine stands in"),
+        setting("seeds", SettingKind::Addresses, None, "addresses of keepers to contact"),
+        setting("zone", SettingKind::Text, Some("a"), "the zone of this machine"),
         LOG_LEVEL,
     ],
 };
 
 fn main() -> std::process::ExitCode {
-    run_program(&TRADE, serve_node)
+    run_program(&TRADE, run)
 }
 
-fn serve_node(settings: Settings) -> Result<(), Report> {
+fn run(settings: Settings) -> Result<(), Report> {
     let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
     let seeds = settings.addresses("seeds");
     if seeds.is_empty() {
@@ -29,10 +29,10 @@
         .map_err(|fault| miette!("listen: {}: {fault}", settings.text("listen").unwrap_or("")))?;
     let address = listener.local_addr().map_err(|fault| miette!("listen: {fault}"))?;
     if !address.ip().is_loopback() {
-        return Err(miette!("listen: {address}: an agent serves its own machine only; take a loopback address"));
+        return Err(miette!("listen: {address}: not a loopback address; an agent serves only its own machine"));
     }
-    let plan = AgentPlan { listener, seeds, parting: Span(0) };
-    run_agent(plan, move |handle| {
+    let config = AgentConfig { listener, seeds, router_exit_timeout: Span(0) };
+    run_agent(config, move |handle| {
         let (stopped, reloaded) = (handle.clone(), handle.clone());
         let reload = move |settings: &Settings| reloaded.set_seeds(settings.addresses("seeds"));
         handle_signals(&TRADE, settings, logs, move || stopped.stop(), reload)?;
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -1,17 +1,18 @@
-//! The interface for operators who speak a protocol of their own: whole and partial configurations under their
-//! revisions, weights by name, and reading back. A change is answered once it is in force; one whose outcome
-//! is not known is to be sent again, and is known by its fingerprint.
+//! The HTTP interface for operators with a protocol of their own: whole and partial configurations with revisions,
+//! weights by model name, and reads of the configuration. A change is answered once it is in force; one whose
+//! outcome is unknown is to be sent again and is recognized by its fingerprint.
 
 use crate::prelude::*;
 
-/// Longer than callers wait; the next call about the same change finds it further on.
-const CHANGE_LIMIT: Span = Span::millis(4000);
-const READ_LIMIT: Span = Span::millis(900);
+/// Longer than callers wait, so that a repeated call finds the change further along.
+const CHANGE_TIMEOUT: Span = Span::millis(4000);
+const READ_TIMEOUT: Span = Span::millis(900);
 const BODY_BOUNDS: TextBounds = TextBounds { bytes: 8 << 20, depth: 32 };
 const RETRY_AFTER: &str = "0.3";
-/// How often the configuration is read anew for a change whose base comes into force meanwhile.
-const MOST_READINGS: usize = 3;
+/// How often a patch is tried if its base revision comes into force only after the configuration was read.
+const MAX_PATCH_ATTEMPTS: usize = 3;
 
+/// Serves operators through their own protocol.
 pub struct ProtocolInterface {
     pub executor: ExecutorClient,
     pub protocol: Arc<dyn OperatorProtocol>,
@@ -19,15 +20,15 @@
 
 impl RequestHandler for ProtocolInterface {
     fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
-        Box::pin(self.enter(asked))
+        Box::pin(self.route(asked))
     }
 }
 
 impl ProtocolInterface {
-    async fn enter(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
+    async fn route(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
         let (_, segments) = asked.method_and_path();
-        let Some(page) = self.protocol.page(&asked.method, &segments) else { return not_found_response() };
-        if page == OperatorPage::ReadBack {
+        let Some(call) = self.protocol.call(&asked.method, &segments) else { return not_found_response() };
+        if call == OperatorCall::Read {
             return self.read_back().await;
         }
         let body = match asked.read_body(BODY_BOUNDS.bytes).await {
@@ -40,12 +41,12 @@
         let read = std::str::from_utf8(&body).map_err(|_| ValidationError::at("", "not UTF-8"));
         let body = match read.and_then(|text| parse_bounded(text, BODY_BOUNDS)) {
             Ok(body) => body,
-            Err(complaint) => return tell_faults(&[complaint]),
+            Err(error) => return validation_response(&[error]),
         };
-        match page {
-            OperatorPage::NameWeights => self.name_weights(&body).await,
-            OperatorPage::Replace | OperatorPage::Patch => self.change(page, &asked.headers, &body).await,
-            OperatorPage::ReadBack => not_found_response(),
+        match call {
+            OperatorCall::RaiseWeights => self.raise_weights(&body).await,
+            OperatorCall::Replace | OperatorCall::Patch => self.change(call, &asked.headers, &body).await,
+            OperatorCall::Read => not_found_response(),
         }
     }
 
@@ -56,26 +57,26 @@
             }
             Some((revision, source)) => bytes_response(StatusCode::OK, "application/json", source)
                 .with_header("etag", &format!("\"{revision}\"")),
-            None => not_known(),
+            None => outcome_unknown(),
         }
     }
 
     async fn configuration(&self) -> Option<(Revision, String)> {
-        match self.executor.ask(CoreQuery::Configuration, READ_LIMIT).await {
+        match self.executor.query(CoreQuery::Configuration, READ_TIMEOUT).await {
             QueryOutcome::Configuration { revision, source } => Some((revision, source)),
             _ => None,
         }
     }
 
-    async fn change(&self, page: OperatorPage, headers: &HeaderMap, body: &JsonValue) -> WebResponse {
-        let base = match self.protocol.base(headers) {
+    async fn change(&self, call: OperatorCall, headers: &HeaderMap, body: &JsonValue) -> WebResponse {
+        let base = match self.protocol.base_revision(headers) {
             Ok(base) => base,
             Err(reason) => return error_response(StatusCode::BAD_REQUEST, "no_base", &reason),
         };
-        let fingerprint = fingerprint_of(page, base, &write_sorted(body));
-        match page {
-            OperatorPage::Patch => self.patch(base, fingerprint, body).await,
-            _ => self.configure(base, fingerprint, self.protocol.whole(body)).await,
+        let fingerprint = fingerprint_of(call, base, &write_sorted(body));
+        match call {
+            OperatorCall::Patch => self.patch(base, fingerprint, body).await,
+            _ => self.configure(base, fingerprint, self.protocol.parse_configuration(body)).await,
         }
     }
 
@@ -83,16 +84,16 @@
         &self,
         base: Revision,
         fingerprint: BlockHash,
-        read: Result<ReadConfiguration, Vec<ValidationError>>,
+        read: Result<ParsedConfiguration, Vec<ValidationError>>,
     ) -> WebResponse {
-        let ReadConfiguration { revision, document, source } = match read {
+        let ParsedConfiguration { revision, document, source } = match read {
             Ok(read) => read,
-            Err(complaints) => return tell_faults(&complaints),
+            Err(errors) => return validation_response(&errors),
         };
         let change = ConfigurationChange { base, revision, fingerprint, document, source };
-        let began = boot_now();
+        let started = boot_now();
         let outcome = self.settle(Command::Configure(Box::new(change))).await;
-        let millis = boot_now().since(began).as_millis();
+        let millis = boot_now().since(started).as_millis();
         event!(
             info,
             "configuration",
@@ -101,46 +102,45 @@
             outcome = outcome_name(&outcome),
             millis = millis
         );
-        tell(outcome)
+        outcome_response(outcome)
     }
 
-    /// Named items make a whole configuration of the one they build on, while that is in force. Else the chain
-    /// says whether this very change was taken before; it is stale otherwise, unless its base has come into force
-    /// meanwhile.
+    /// Applies a change of named items to its base, if that is in force. Otherwise the chain tells whether this
+    /// change was applied before; if not it is stale, unless its base has come into force meanwhile.
     async fn patch(&self, base: Revision, fingerprint: BlockHash, body: &JsonValue) -> WebResponse {
-        for _ in 0..MOST_READINGS {
-            let Some((in_force, source)) = self.configuration().await else { return not_known() };
-            if in_force == base {
-                return self.configure(base, fingerprint, self.protocol.patched(&source, body)).await;
+        for _ in 0..MAX_PATCH_ATTEMPTS {
+            let Some((current_revision, source)) = self.configuration().await else { return outcome_unknown() };
+            if current_revision == base {
+                return self.configure(base, fingerprint, self.protocol.apply_patch(&source, body)).await;
             }
             let outcome = self.settle(Command::QueryChange { base, fingerprint }).await;
-            let is_base_now =
+            let base_now_current =
                 matches!(outcome, QueryOutcome::Settled(CommandOutcome::Stale { now }) if now.0 == base.0);
-            if !is_base_now {
-                return tell(outcome);
+            if !base_now_current {
+                return outcome_response(outcome);
             }
         }
-        not_known()
+        outcome_unknown()
     }
 
-    async fn name_weights(&self, body: &JsonValue) -> WebResponse {
-        let (model, weights) = match self.protocol.weights(body) {
+    async fn raise_weights(&self, body: &JsonValue) -> WebResponse {
+        let (model, weights) = match self.protocol.parse_weights(body) {
             Ok(named) => named,
-            Err(complaints) => return tell_faults(&complaints),
+            Err(errors) => return validation_response(&errors),
         };
         match self.settle(Command::RaiseWeights { model, weights }).await {
-            // Newer ones were named since.
+            // Newer weights were set in the meantime.
             QueryOutcome::Settled(CommandOutcome::Refused(_)) => json_response(StatusCode::OK, &json!({})),
-            outcome => tell(outcome),
+            outcome => outcome_response(outcome),
         }
     }
 
     async fn settle(&self, command: Command) -> QueryOutcome {
-        self.executor.submit(RequestId::random(), command, CHANGE_LIMIT).await
+        self.executor.submit(RequestId::random(), command, CHANGE_TIMEOUT).await
     }
 }
 
-/// What became of a change, as logs name it.
+/// The name of a change's outcome in the log.
 fn outcome_name(outcome: &QueryOutcome) -> &'static str {
     match outcome {
         QueryOutcome::Settled(CommandOutcome::Applied(_)) => "acknowledged",
@@ -150,7 +150,7 @@
     }
 }
 
-fn tell(outcome: QueryOutcome) -> WebResponse {
+fn outcome_response(outcome: QueryOutcome) -> WebResponse {
     match outcome {
         QueryOutcome::Settled(CommandOutcome::Applied(edition)) => {
             json_response(StatusCode::OK, &json!({"edition": edition.0}))
@@ -159,25 +159,24 @@
             let reason = format!("another revision is in force: {now}");
             error_response(StatusCode::PRECONDITION_FAILED, "stale", &reason)
         }
-        QueryOutcome::Settled(CommandOutcome::Refused(complaints)) => tell_faults(&complaints),
-        _ => not_known(),
+        QueryOutcome::Settled(CommandOutcome::Refused(errors)) => validation_response(&errors),
+        _ => outcome_unknown(),
     }
 }
 
-/// Equal for the very same change, whichever way it came and however its text was laid out.
-fn fingerprint_of(page: OperatorPage, base: Revision, canonical: &str) -> BlockHash {
-    let kind: &[u8] = if page == OperatorPage::Patch { b"patch" } else { b"replace" };
+/// Identifies a change by its kind, base and canonical text, so that repeated calls have equal fingerprints.
+fn fingerprint_of(call: OperatorCall, base: Revision, canonical: &str) -> BlockHash {
+    let kind: &[u8] = if call == OperatorCall::Patch { b"patch" } else { b"replace" };
     BlockHash::of_parts(&[kind, &base.0.to_le_bytes(), canonical.as_bytes()])
 }
 
-fn not_known() -> WebResponse {
+fn outcome_unknown() -> WebResponse {
     error_response(StatusCode::SERVICE_UNAVAILABLE, "unknown", "not known to be in force; send it again")
         .with_header("retry-after", RETRY_AFTER)
 }
 
-fn tell_faults(complaints: &[ValidationError]) -> WebResponse {
-    let listed: Vec<Value> =
-        complaints.iter().map(|complaint| json!({"path": complaint.path, "reason": complaint.reason})).collect();
+fn validation_response(errors: &[ValidationError]) -> WebResponse {
+    let listed: Vec<Value> = errors.iter().map(|error| json!({"path": error.path, "reason": error.reason})).collect();
     let answer = json!({"error": {"type": "refused", "message": "the change was refused", "complaints": listed}});
     json_response(StatusCode::BAD_REQUEST, &answer)
 }
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -1,63 +1,63 @@
-//! A keeper's life: folder, coordinator, links, operators' interface and duties, from a plan of what it is to be.
+//! Starts a keeper from its configuration: data folder, coordinator, links, operators' interface and duty tasks.
 
 use crate::prelude::*;
 
 /// Whether this keeper founds a fleet, and how.
-pub enum Founding {
-    /// It joins the fleet that its seeds or its folder know of.
-    Joins,
-    /// It founds one with this document. Where a fleet is known already it joins that, or refuses to start.
-    Founds { document: String, tolerance: u64, or_joins: bool },
+pub enum Bootstrap {
+    /// It joins the fleet known to its seeds or its data folder.
+    Join,
+    /// It founds a fleet with this document. If a fleet exists already, it joins that or refuses to start.
+    Found { document: String, tolerance: u64, join_if_exists: bool },
 }
 
-/// Which engines there are, and who says so.
+/// Where the list of engines comes from.
 pub enum EngineSource {
     None,
-    /// A listing with numbers of its own, read by every keeper.
+    /// The address of a numbered listing, read by every keeper.
     Listing(String),
-    /// A directory that the duty's holder reads, within so many calls a second.
+    /// A directory that only the holder of the census duty reads, and the calls a second that the fleet may make.
     Directory(Arc<dyn EngineDirectory>, f64),
 }
 
-/// How engines are brought to new weights.
-pub enum OrderSource {
-    /// By their own state and orders.
-    Own,
+/// The protocol by which engines are ordered to load new weights.
+pub enum EngineOrderSource {
+    /// The built-in engine state and orders.
+    BuiltIn,
     Protocol(Arc<dyn EngineOrders>),
 }
 
-/// What operators speak.
+/// The protocol of the operators' interface.
 pub enum OperatorSource {
-    Own,
+    BuiltIn,
     Protocol(Arc<dyn OperatorProtocol>),
 }
 
-/// All that a keeper is told at its start.
-pub struct KeeperPlan {
-    /// Where keepers and agents arrive.
+/// The configuration of a keeper.
+pub struct KeeperConfig {
+    /// Accepts links from keepers and agents.
     pub listener: std::net::TcpListener,
-    /// Where operators arrive.
+    /// Accepts operators' HTTP connections.
     pub operator_listener: std::net::TcpListener,
-    /// The addresses others use for the two.
+    /// The addresses at which others reach the two listeners.
     pub address: String,
     pub operator_address: String,
     pub zone: Zone,
     pub data_folder: PathBuf,
-    /// For tests: a file that says how the disk misbehaves.
+    /// For tests: a file that controls injected disk faults.
     pub disk_faults: Option<PathBuf>,
     pub seeds: Vec<String>,
-    pub founding: Founding,
+    pub bootstrap: Bootstrap,
     pub core_size: usize,
-    /// Any number of machines may join, up to the core's size.
+    /// The core may have any number of machines, up to `core_size`.
     pub automatic_size: bool,
     pub timing: Timing,
     pub engines: EngineSource,
-    pub orders: OrderSource,
+    pub orders: EngineOrderSource,
     pub operators: OperatorSource,
     pub threads: usize,
 }
 
-/// What signals do to a running keeper.
+/// Controls a running keeper.
 #[derive(Clone)]
 pub struct KeeperHandle {
     queue: Sender<ExecutorCommand>,
@@ -73,163 +73,187 @@
     }
 }
 
-/// Runs a keeper until it is told to stop or its data folder is found damaged. `tended` is called at once, and
-/// sees to signals; `begun` once everything is in place, which takes as long as the disk refuses writes.
+/// Runs a keeper until it is stopped or its data folder is found damaged. `handle_signals` is called at once,
+/// `on_ready` when the keeper has started, which waits for as long as the disk refuses writes.
 pub fn run_keeper(
-    plan: KeeperPlan,
-    tended: impl FnOnce(KeeperHandle) -> Result<(), Report>,
-    begun: impl FnOnce(NodeId),
+    config: KeeperConfig,
+    handle_signals: impl FnOnce(KeeperHandle) -> Result<(), Report>,
+    on_ready: impl FnOnce(NodeId),
 ) -> Result<(), Report> {
-    let shown_folder = plan.data_folder.display().to_string();
+    let folder_name = config.data_folder.display().to_string();
     let (queue, commands) = bounded_queue::<ExecutorCommand>(4096);
-    tended(KeeperHandle { queue: queue.clone() })?;
-    let mut patience = Patience::new(commands);
-    let mut filing = Filing::of(data_folder(&plan));
-    let prepared = prepare(&plan, &mut filing, &mut patience)?;
-    let Some(Prepared { me, kept, remembered }) = prepared else {
+    handle_signals(KeeperHandle { queue: queue.clone() })?;
+    let mut retry_queue = RetryQueue::new(commands);
+    let mut state_store = StateStore::new(open_data_folder(&config));
+    let prepared = prepare(&config, &mut state_store, &mut retry_queue)?;
+    let Some(Prepared { me, persisted, remembered_addresses }) = prepared else {
         event!(info, "stopped");
         return Ok(());
     };
     let identity = me.id;
-    let fleet = Arc::new(AtomicU64::new(kept.view.as_ref().map_or(0, |view| view.fleet.0)));
-    let mut seeds = plan.seeds.clone();
-    seeds.extend(remembered);
-    let wishes = CoordinatorSettings {
-        requires_fresh_listing: matches!(plan.engines, EngineSource::Listing(_)),
-        core_size: plan.core_size,
-        automatic_size: plan.automatic_size,
+    let fleet = Arc::new(AtomicU64::new(persisted.view.as_ref().map_or(0, |view| view.fleet.0)));
+    let mut seeds = config.seeds.clone();
+    seeds.extend(remembered_addresses);
+    let settings = CoordinatorSettings {
+        requires_fresh_listing: matches!(config.engines, EngineSource::Listing(_)),
+        core_size: config.core_size,
+        automatic_size: config.automatic_size,
         seeds,
-        timing: plan.timing,
+        timing: config.timing,
     };
-    let life = Incarnation::random().0;
-    let coordinator = Coordinator::restore(me.clone(), kept, wishes, life, boot_now());
+    let incarnation = Incarnation::random().0;
+    let coordinator = Coordinator::restore(me.clone(), persisted, settings, incarnation, boot_now());
 
     let own_hello = {
         let fleet = Arc::clone(&fleet);
         move || Hello::new(FleetId(fleet.load(Ordering::SeqCst)), identity, Purpose::Keeper)
     };
     let link_queue = queue.clone();
-    accept_links(plan.listener, own_hello.clone(), move |link_event| {
+    accept_links(config.listener, own_hello.clone(), move |link_event| {
         link_queue.send(ExecutorCommand::Link(link_event)).is_ok()
     });
-    let shelf = Shelf::default();
-    let mut executor =
-        Executor::new(coordinator, filing, PeerSender::new(own_hello), Arc::clone(&shelf), fleet, life, patience);
+    let publisher = SharedPublisher::default();
+    let mut executor = Executor::new(
+        coordinator,
+        state_store,
+        PeerSender::new(own_hello),
+        Arc::clone(&publisher),
+        fleet,
+        incarnation,
+        retry_queue,
+    );
     let client = ExecutorClient { queue: queue.clone() };
-    let health = Arc::new(CensusLiveness::default());
-    let runtime = small_runtime(plan.threads).map_err(|fault| miette!("{fault}"))?;
-    match plan.engines {
+    let health = Arc::new(ListingHealth::default());
+    let runtime = small_runtime(config.threads).map_err(|fault| miette!("{fault}"))?;
+    match config.engines {
         EngineSource::None => {}
         EngineSource::Listing(platform) => {
-            runtime.spawn(keep_census(platform, Arc::clone(&shelf), client.clone(), Arc::clone(&health)));
+            runtime.spawn(poll_listing(platform, Arc::clone(&publisher), client.clone(), Arc::clone(&health)));
         }
         EngineSource::Directory(directory, calls_per_second) => {
-            let (shelf, health) = (Arc::clone(&shelf), Arc::clone(&health));
-            runtime.spawn(keep_directory(directory, calls_per_second, shelf, client.clone(), health));
+            let (publisher, health) = (Arc::clone(&publisher), Arc::clone(&health));
+            runtime.spawn(poll_directory(directory, calls_per_second, publisher, client.clone(), health));
         }
     }
-    match plan.orders {
-        OrderSource::Own => runtime.spawn(conduct(Arc::clone(&shelf), client.clone(), identity)),
-        OrderSource::Protocol(orders) => {
-            runtime.spawn(bring(orders, Arc::clone(&shelf), client.clone(), identity, plan.timing))
-        }
+    match config.orders {
+        EngineOrderSource::BuiltIn => runtime.spawn(run_conductor(Arc::clone(&publisher), client.clone(), identity)),
+        EngineOrderSource::Protocol(orders) => runtime.spawn(run_weights_rollout(
+            orders,
+            Arc::clone(&publisher),
+            client.clone(),
+            identity,
+            config.timing,
+        )),
     };
-    let site: Arc<dyn RequestHandler> = match plan.operators {
-        OperatorSource::Own => Arc::new(OperatorInterface {
+    let site: Arc<dyn RequestHandler> = match config.operators {
+        OperatorSource::BuiltIn => Arc::new(OperatorInterface {
             executor: client,
-            shelf: Arc::clone(&shelf),
+            publisher: Arc::clone(&publisher),
             me: me.clone(),
-            census: health,
+            listing_health: health,
         }),
         OperatorSource::Protocol(protocol) => Arc::new(ProtocolInterface { executor: client, protocol }),
     };
-    runtime.spawn(serve(plan.operator_listener, site));
-    begun(identity);
+    runtime.spawn(serve(config.operator_listener, site));
+    on_ready(identity);
     event!(info, "started", id = identity, address = me.address, door = me.door);
-    let outcome = executor.work();
+    let outcome = executor.run();
     event!(info, "stopped");
     runtime.shutdown_timeout(Duration::from_millis(500));
-    outcome.map_err(|fault| miette!("data: {shown_folder}: {fault}"))
+    outcome.map_err(|fault| miette!("data: {folder_name}: {fault}"))
 }
 
 #[cfg(not(feature = "faults"))]
-fn data_folder(plan: &KeeperPlan) -> DataFolder {
-    DataFolder::at(&plan.data_folder)
+fn open_data_folder(config: &KeeperConfig) -> DataFolder {
+    DataFolder::at(&config.data_folder)
 }
 
 #[cfg(feature = "faults")]
-fn data_folder(plan: &KeeperPlan) -> DataFolder {
-    match &plan.disk_faults {
-        Some(control) => DataFolder::on_faulty_disk(&plan.data_folder, control),
-        None => DataFolder::at(&plan.data_folder),
+fn open_data_folder(config: &KeeperConfig) -> DataFolder {
+    match &config.disk_faults {
+        Some(control) => DataFolder::on_faulty_disk(&config.data_folder, control),
+        None => DataFolder::at(&config.data_folder),
     }
 }
 
-/// What a keeper needs of its folder to begin.
+/// What a keeper reads from its data folder at startup.
 struct Prepared {
     me: Member,
-    kept: PersistedState,
-    remembered: Vec<String>,
+    persisted: PersistedState,
+    remembered_addresses: Vec<String>,
 }
 
-/// Opens the folder, tries it out, founds a fleet if that is wanted; nothing if told to stop meanwhile.
-fn prepare(plan: &KeeperPlan, filing: &mut Filing, patience: &mut Patience) -> Result<Option<Prepared>, Report> {
-    let told = |fault: DiskFault| miette!("data: {}: {fault}", plan.data_folder.display());
+/// Opens the folder, checks that it is writable and founds a fleet if configured; `None` on a stop command.
+fn prepare(
+    config: &KeeperConfig,
+    state_store: &mut StateStore,
+    retry_queue: &mut RetryQueue,
+) -> Result<Option<Prepared>, Report> {
+    let describe = |fault: DiskFault| miette!("data: {}: {fault}", config.data_folder.display());
     let opening = || {
-        let identity = filing.identity()?;
-        filing.try_out()?;
-        Ok((identity, filing.remembered_addresses()?, filing.load()?))
+        let identity = state_store.identity()?;
+        state_store.check_writable()?;
+        Ok((identity, state_store.remembered_addresses()?, state_store.load()?))
     };
-    let Some((identity, remembered, kept)) = patience.insist(opening, |_| turn_away(plan)).map_err(told)? else {
+    let Some((identity, remembered_addresses, persisted)) =
+        retry_queue.run_with_retry(opening, |_| reject_connections(config)).map_err(describe)?
+    else {
         return Ok(None);
     };
     let me = Member {
         id: identity,
-        address: plan.address.clone(),
-        door: plan.operator_address.clone(),
-        zone: plan.zone.clone(),
+        address: config.address.clone(),
+        door: config.operator_address.clone(),
+        zone: config.zone.clone(),
+    };
+    let initial = bootstrap_state(config, &me, &persisted).map_err(|reason| miette!("found: {reason}"))?;
+    let Some((stored, mark, state)) = initial else {
+        return Ok(Some(Prepared { me, persisted, remembered_addresses }));
     };
-    let founded = founded(plan, &me, &kept).map_err(|reason| miette!("found: {reason}"))?;
-    let Some((founded, mark, state)) = founded else { return Ok(Some(Prepared { me, kept, remembered })) };
     let storing = || {
-        filing.store(&founded, mark, &state)?;
-        filing.load()
+        state_store.store(&stored, mark, &state)?;
+        state_store.load()
     };
-    let kept = patience.insist(storing, |_| turn_away(plan)).map_err(told)?;
-    Ok(kept.map(|kept| Prepared { me, kept, remembered }))
+    let persisted = retry_queue.run_with_retry(storing, |_| reject_connections(config)).map_err(describe)?;
+    Ok(persisted.map(|persisted| Prepared { me, persisted, remembered_addresses }))
 }
 
-/// Whoever arrived while this keeper cannot begin goes to another.
-fn turn_away(plan: &KeeperPlan) {
-    while plan.operator_listener.accept().is_ok() {}
-    if plan.listener.set_nonblocking(true).is_ok() {
-        while plan.listener.accept().is_ok() {}
-        let _ = plan.listener.set_nonblocking(false);
+/// Closes connections that arrive before this keeper can start, so that their peers try another keeper.
+fn reject_connections(config: &KeeperConfig) {
+    while config.operator_listener.accept().is_ok() {}
+    if config.listener.set_nonblocking(true).is_ok() {
+        while config.listener.accept().is_ok() {}
+        let _ = config.listener.set_nonblocking(false);
     }
 }
 
-/// What a fleet founded in an empty folder begins with, unless a seed answers that there is one.
-fn founded(
-    plan: &KeeperPlan,
+/// The initial records and state of a new fleet, if this keeper founds one. A fleet known to the data folder or to
+/// a seed is joined instead, or is an error.
+fn bootstrap_state(
+    config: &KeeperConfig,
     me: &Member,
-    kept: &PersistedState,
+    persisted: &PersistedState,
 ) -> Result<Option<(Vec<Stored>, LogPosition, FleetState)>, String> {
-    let Founding::Founds { document, tolerance, or_joins } = &plan.founding else { return Ok(None) };
-    if kept.view.is_some() {
-        return if *or_joins { Ok(None) } else { Err("the data folder already belongs to a fleet".into()) };
+    let Bootstrap::Found { document, tolerance, join_if_exists } = &config.bootstrap else { return Ok(None) };
+    if persisted.view.is_some() {
+        return if *join_if_exists { Ok(None) } else { Err("the data folder already belongs to a fleet".into()) };
     }
-    for seed in plan.seeds.iter().filter(|seed| **seed != me.address) {
+    for seed in config.seeds.iter().filter(|seed| **seed != me.address) {
         if let Some(fleet) = existing_fleet(seed, me.id) {
-            return if *or_joins { Ok(None) } else { Err(format!("seed {seed} already belongs to fleet {fleet}")) };
+            return if *join_if_exists {
+                Ok(None)
+            } else {
+                Err(format!("seed {seed} already belongs to fleet {fleet}"))
+            };
         }
     }
-    let mut founding_state = FleetState::default();
+    let mut state = FleetState::default();
     let command = Command::Replace { base: None, text: document.clone() };
-    let outcome = founding_state.apply(&Submission { request: RequestId::random(), command });
+    let outcome = state.apply(&Submission { request: RequestId::random(), command });
     let CommandOutcome::Applied(_) = outcome else { return Err("the founding document was refused".into()) };
-    let mark = LogPosition { edition: founding_state.edition, view: ViewNumber(1) };
-    let stored = Coordinator::bootstrap_with_tolerance(me, FleetId::random(), founding_state.clone(), *tolerance);
-    Ok(Some((stored, mark, founding_state)))
+    let mark = LogPosition { edition: state.edition, view: ViewNumber(1) };
+    let stored = Coordinator::bootstrap_with_tolerance(me, FleetId::random(), state.clone(), *tolerance);
+    Ok(Some((stored, mark, state)))
 }
 
 fn existing_fleet(seed: &str, me: NodeId) -> Option<FleetId> {
--- a/crates/keeper/src/filing.rs
+++ b/crates/keeper/src/state_store.rs
@@ -1,36 +1,38 @@
-//! How what the coordinator stores becomes rows of the data folder, and the way back.
+//! Maps the coordinator's stored items to rows of the data folder and reads them back.
 
 use crate::prelude::*;
 
-const SNAPSHOT_EVERY: u64 = 512;
-/// Records of so many bytes are dropped for a snapshot, whatever their number: the disk is small.
-const MOST_BYTES: u64 = 8 << 20;
-/// What a folder must take at the start, lest its first record be the one that fails.
-const TRIAL_BYTES: usize = 64 << 10;
+const SNAPSHOT_INTERVAL_RECORDS: u64 = 512;
+/// Record bytes since the latest snapshot that trigger a new one, whatever their number, because the disk is small.
+const MAX_RECORD_BYTES: u64 = 8 << 20;
+/// Size of the trial write at startup, which finds an unwritable disk before the first record does.
+const WRITE_CHECK_BYTES: usize = 64 << 10;
 
-pub struct Filing {
+/// Stores the coordinator's state in the data folder as a snapshot and the records after it.
+pub struct StateStore {
     folder: DataFolder,
     snapshot_edition: Edition,
-    /// Of the records since the latest snapshot.
+    /// Total size of the records since the latest snapshot.
     record_bytes: u64,
 }
 
-impl Filing {
-    pub fn of(folder: DataFolder) -> Filing {
-        Filing { folder, snapshot_edition: Edition(0), record_bytes: 0 }
+impl StateStore {
+    pub fn new(folder: DataFolder) -> StateStore {
+        StateStore { folder, snapshot_edition: Edition(0), record_bytes: 0 }
     }
 
-    /// Opens a data folder; also tells its identity.
-    pub fn open(data_folder: &Path) -> Result<(Filing, NodeId), DiskFault> {
-        let mut filing = Filing::of(DataFolder::open(data_folder)?);
-        let identity = filing.identity()?;
-        Ok((filing, identity))
+    /// Opens a data folder and reads its identity.
+    pub fn open(data_folder: &Path) -> Result<(StateStore, NodeId), DiskFault> {
+        let mut state_store = StateStore::new(DataFolder::open(data_folder)?);
+        let identity = state_store.identity()?;
+        Ok((state_store, identity))
     }
 
     pub fn identity(&mut self) -> Result<NodeId, DiskFault> {
         self.folder.identity()
     }
 
+    /// Reads everything that was stored.
     pub fn load(&mut self) -> Result<PersistedState, DiskFault> {
         let (mark, state): (LogPosition, FleetState) = self.folder.read_value("snapshot")?.unwrap_or_default();
         let records: Vec<Record> = self.folder.records_after(mark.edition.0)?;
@@ -48,9 +50,9 @@
         })
     }
 
-    /// Writes something of size and takes it back: a keeper that cannot write has no part in the core.
-    pub fn try_out(&mut self) -> Result<(), DiskFault> {
-        self.folder.store(&[Row::key_value("trial", &vec![0u8; TRIAL_BYTES])?])?;
+    /// Writes a trial row and replaces it by an empty one: a keeper that cannot write must not join the core.
+    pub fn check_writable(&mut self) -> Result<(), DiskFault> {
+        self.folder.store(&[Row::key_value("trial", &vec![0u8; WRITE_CHECK_BYTES])?])?;
         self.folder.store(&[Row::key_value("trial", &())?])
     }
 
@@ -62,8 +64,8 @@
         self.folder.remember_addresses(addresses)
     }
 
-    /// Stores a batch, synced; `mark` and `state` are where the log stands after it. A batch that failed may
-    /// be stored again.
+    /// Stores a batch and syncs it; `mark` and `state` are the log's last position and state after it. A batch that
+    /// failed can be stored again.
     pub fn store(&mut self, batch: &[Stored], mark: LogPosition, state: &FleetState) -> Result<(), DiskFault> {
         self.folder.ensure_open()?;
         let mut rows = Vec::new();
@@ -89,9 +91,10 @@
                 Stored::SyncedView(view_number) => rows.push(Row::key_value("aligned", view_number)?),
             }
         }
-        let is_due = mark.edition.0 >= snapshot_edition.0 + SNAPSHOT_EVERY || record_bytes >= MOST_BYTES;
+        let is_due =
+            mark.edition.0 >= snapshot_edition.0 + SNAPSHOT_INTERVAL_RECORDS || record_bytes >= MAX_RECORD_BYTES;
         if is_due {
-            // The snapshot stands for them.
+            // The snapshot contains the batch's records.
             rows.retain(|row| !matches!(row, Row::Record { .. }));
             rows.push(Row::key_value("snapshot", &(mark, state))?);
             rows.push(Row::DeleteThrough(mark.edition.0));
