--- a/crates/testbed/tests/later.rs
+++ b/crates/testbed/tests/later.rs
@@ -260,7 +260,7 @@
     let damaged = fleet.folder.join("damaged.day").display().to_string();
     std::fs::write(&damaged, text.replacen("whole", "other", 1)).unwrap();
     let (code, told) = replay(&["check"], std::slice::from_ref(&damaged));
-    assert!(code == Some(1) && told.contains("damaged, its checksum differs"), "{told}");
+    assert!(code == Some(1) && told.contains("corrupted, the checksum differs"), "{told}");
     std::fs::write(&damaged, &text[..text.len() - 20]).unwrap();
     let (code, told) = replay(&["check"], std::slice::from_ref(&damaged));
     assert!(code == Some(1) && told.contains("--use-cut"), "{told}");
