--- a/crates/testbed/tests/settings.rs
+++ b/crates/testbed/tests/settings.rs
@@ -67,7 +67,7 @@
     let (code, text, _) = console(&["desired-state", "patch", &patch]);
     assert!(code == Some(0) && text.contains("edition"), "{text}");
     let (code, text, _) = console(&["--base", "1", "desired-state", "patch", &patch]);
-    assert!(code == Some(1) && text.contains("stale") && text.contains("it now stands at edition"), "{text}");
+    assert!(code == Some(1) && text.contains("stale") && text.contains("the current edition is"), "{text}");
     std::fs::write(&patch_path, r#"{"routing": {"limit_ms": 5}}"#).unwrap();
     let (code, text, _) = console(&["desired-state", "patch", &patch]);
     assert!(code == Some(1) && text.contains("routing.limit_ms: out of range"), "{text}");
