--- a/crates/simulator/src/effects.rs
+++ b/crates/simulator/src/attempt_effects.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 
 impl World {
-    pub(crate) fn carry(
+    pub(crate) fn apply_attempt_effect(
         &mut self,
         node: usize,
         router_id: NodeId,
@@ -17,12 +17,12 @@
             AttemptEffect::Claim => {
                 let Some(claim) = run.claim else { return };
                 let command = Command::Claim { claim, router: router_id, run: run.number };
-                self.ask_core(node, router_id, run.number, command, true);
+                self.submit_from_router(node, router_id, run.number, command, true);
             }
             AttemptEffect::ReleaseClaim => {
                 let Some(claim) = run.claim else { return };
                 let command = Command::Release { claim, router: router_id, run: run.number };
-                self.ask_core(node, router_id, run.number, command, false);
+                self.submit_from_router(node, router_id, run.number, command, false);
             }
             AttemptEffect::Pick { tried, is_retry } => {
                 inputs.push_back(AttemptInput::Picked(self.pick(node, run, tried, is_retry, local_now)));
@@ -31,7 +31,7 @@
             AttemptEffect::Write => self.write(node, router_id, run, local_now, inputs),
             AttemptEffect::FirstPieceReceived => {
                 if let (Some(router), Some(attempt)) = (self.nodes[node].router.as_mut(), &run.attempt) {
-                    router.picker.record_kept(&attempt.ground.engine, &attempt.names, local_now);
+                    router.picker.record_kept(&attempt.basis.engine, &attempt.names, local_now);
                 }
                 if run.request.resumes && run.request.streams {
                     run.held = Some(HeldEvents::default());
@@ -44,14 +44,14 @@
                     inputs.push_back(AttemptInput::BufferFull);
                     return;
                 }
-                self.feed_caller(run, CallerNews::Piece(piece));
+                self.send_to_caller(run, CallerMessage::Piece(piece));
             }
-            AttemptEffect::AnswerWhole(piece) => self.feed_caller(run, CallerNews::Whole(piece)),
+            AttemptEffect::AnswerWhole(piece) => self.send_to_caller(run, CallerMessage::Whole(piece)),
             AttemptEffect::EndWhole => {
                 if let Some(held) = &mut run.held {
                     held.end(HeldEnd::Whole, local_now);
                 }
-                self.feed_caller(run, CallerNews::End);
+                self.send_to_caller(run, CallerMessage::End);
             }
             AttemptEffect::EndCut(reason) => {
                 let kind = reason.kind;
@@ -59,17 +59,17 @@
                 if let Some(held) = &mut run.held {
                     held.end(HeldEnd::Cut(reason), local_now);
                 }
-                self.feed_caller(run, CallerNews::Cut(kind));
+                self.send_to_caller(run, CallerMessage::Cut(kind));
             }
             AttemptEffect::GiveUp(given_up) => {
-                self.feed_caller(run, final_news(&given_up));
+                self.send_to_caller(run, final_message(&given_up));
             }
             AttemptEffect::EndAttempt => self.end_attempt(node, run),
             AttemptEffect::AttemptFault { avoid_engine, .. } => {
                 if let (Some(router), Some(attempt), true) =
                     (self.nodes[node].router.as_mut(), &run.attempt, avoid_engine)
                 {
-                    router.picker.record_fault(&attempt.ground.engine, local_now);
+                    router.picker.record_fault(&attempt.basis.engine, local_now);
                 }
             }
         }
@@ -78,30 +78,30 @@
     fn connect_attempt(&mut self, node: usize, router_id: NodeId, run: &mut SimRun, attempt: String) {
         let Some(under_way) = run.attempt.as_mut() else { return };
         under_way.name = attempt.clone();
-        let to = AttemptPlaceName { node, router: router_id, run: run.number, attempt };
+        let to = AttemptAddress { node, router: router_id, run: run.number, attempt };
         let (span, input) = match self.engines[under_way.engine].up {
-            true if self.net.slow && self.draw.chance(30) => {
-                (Span::millis(self.draw.between(100, 690)), AttemptInput::Connected)
+            true if self.net.slow && self.rng.chance(30) => {
+                (Span::millis(self.rng.between(100, 690)), AttemptInput::Connected)
             }
-            true => (self.net.delay(&mut self.draw), AttemptInput::Connected),
-            false if self.draw.chance(30) => (Span::millis(700), AttemptInput::ConnectFault("late".into())),
+            true => (self.net.delay(&mut self.rng), AttemptInput::Connected),
+            false if self.rng.chance(30) => (Span::millis(700), AttemptInput::ConnectFault("late".into())),
             false => (Span::millis(2), AttemptInput::ConnectFault("refused".into())),
         };
         let prefiller = under_way.placement.prefill.iter().map(|prefill| prefill.engine.clone());
-        let engines = prefiller.chain([under_way.ground.engine.clone()]).collect();
-        self.later(span, SimEvent::RunInput { to, input });
-        self.freeze_in_connect(node, &run.request.key_hash, &run.request.tenant, engines);
+        let engines = prefiller.chain([under_way.basis.engine.clone()]).collect();
+        self.schedule_after(span, SimEvent::RunInput { to, input });
+        self.freeze_node_on_connect(node, &run.request.key_hash, &run.request.tenant, engines);
     }
 
-    pub(crate) fn feed_caller(&mut self, run: &SimRun, news: CallerNews) {
+    pub(crate) fn send_to_caller(&mut self, run: &SimRun, message: CallerMessage) {
         if let Some((caller, _)) = run.caller.filter(|attached| self.is_attached(*attached)) {
-            self.caller_gets(caller, news);
+            self.deliver_to_caller(caller, message);
         }
     }
 }
 
 /// The final answer a caller gets for a run that was given up.
-fn final_news(given_up: &GivenUp) -> CallerNews {
+fn final_message(given_up: &GivenUp) -> CallerMessage {
     let outcome = match (given_up.kind, given_up.ran) {
         (GivenUpKind::Claimed, _) => "claimed",
         (_, Ran::Perhaps) => "unknown",
@@ -115,5 +115,5 @@
         GivenUpKind::NotServed | GivenUpKind::AdapterCold if given_up.ran == Ran::No => 503,
         GivenUpKind::NotServed | GivenUpKind::AdapterCold => 502,
     };
-    CallerNews::Final { status, outcome }
+    CallerMessage::Final { status, outcome }
 }
--- a/crates/simulator/src/placing.rs
+++ b/crates/simulator/src/attempt_placement.rs
@@ -12,13 +12,13 @@
         local_now: Instant,
     ) -> PickOutcome {
         let Some(router) = self.nodes[node].router.as_mut() else { return PickOutcome::Overloaded };
-        let sight = &router.sight;
+        let snapshot = &router.snapshot;
         let model = ModelName(MODEL.into());
-        let wall = sight.state.wall_of(&run.request.tenant);
-        let adapter = sight.state.adapter_for(&run.request.tenant, &model);
+        let wall = snapshot.state.wall_of(&run.request.tenant);
+        let adapter = snapshot.state.adapter_for(&run.request.tenant, &model);
         let salt_on =
             |weights| Salt::for_model(&model, weights, wall.id, wall.edition).with_adapter(adapter.as_ref());
-        let names: BTreeMap<WeightsEdition, Vec<BlockHash>> = sight
+        let names: BTreeMap<WeightsEdition, Vec<BlockHash>> = snapshot
             .editions_in_use(&model, local_now)
             .into_iter()
             .map(|weights| (weights, hash_blocks(&salt_on(weights), run.request.text.as_bytes())))
@@ -34,8 +34,8 @@
             trial_bucket: 0,
             tried,
         };
-        let Some(placement) = router.picker.pick(sight, &prompt, local_now) else {
-            let is_cold = adapter.is_some_and(|adapter| !sight.is_warm_anywhere(&adapter, local_now));
+        let Some(placement) = router.picker.pick(snapshot, &prompt, local_now) else {
+            let is_cold = adapter.is_some_and(|adapter| !snapshot.is_warm_anywhere(&adapter, local_now));
             return if is_cold { PickOutcome::NoAdapter } else { PickOutcome::NoEngine };
         };
         if is_retry {
@@ -44,13 +44,13 @@
             }
             router.retries += 1;
         } else {
-            router.budget.deposit(sight.state.desired.routing.retry_percent);
+            router.budget.deposit(snapshot.state.desired.routing.retry_percent);
         }
         router.attempts += 1;
         let weights = placement.chosen.weights;
         let engine_name = placement.chosen.engine.clone();
         let blocks = BlockCount(prompt.blocks.0 + prompt.output_blocks.0);
-        let ground = AttemptBasis {
+        let basis = AttemptBasis {
             key_hash: run.request.key_hash.clone(),
             tenant: run.request.tenant.clone(),
             model: model.clone(),
@@ -70,11 +70,11 @@
             engine,
             blocks,
             placement: Box::new(placement),
-            ground,
+            basis,
             names,
             arrives_at: None,
             allowance: Allowance::under(router.lease_until, run.limit),
-            prefilled: Prefilled::Not,
+            prefill: PrefillState::NotRequested,
         });
         PickOutcome::Placed(engine_name)
     }
@@ -87,31 +87,31 @@
         local_now: Instant,
         inputs: &mut VecDeque<AttemptInput<SimPiece>>,
     ) {
-        if self.ask_prefill(node, router_id, run, local_now) {
+        if self.request_prefill(node, router_id, run, local_now) {
             return;
         }
         let (Some(router), Some(attempt)) = (&self.nodes[node].router, run.attempt.as_mut()) else { return };
-        let to = AttemptPlaceName { node, router: router_id, run: run.number, attempt: attempt.name.clone() };
-        attempt.prefilled = Prefilled::Over;
-        if let Err(bar) = may_start(&router.sight, router.lease_until, &attempt.ground, local_now) {
-            inputs.push_back(AttemptInput::StartRefused(bar));
+        let to = AttemptAddress { node, router: router_id, run: run.number, attempt: attempt.name.clone() };
+        attempt.prefill = PrefillState::Done;
+        if let Err(refusal) = may_start(&router.snapshot, router.lease_until, &attempt.basis, local_now) {
+            inputs.push_back(AttemptInput::StartRefused(refusal));
             return;
         }
-        let bound = router.sight.state.adapter_for(&run.request.tenant, &attempt.ground.model);
+        let bound = router.snapshot.state.adapter_for(&run.request.tenant, &attempt.basis.model);
         if self.scenario.is_some() {
             let (at, attempt) = (self.millis(), attempt.name.clone());
-            let adapter = written(bound.as_ref());
+            let adapter = adapter_text(bound.as_ref());
             self.record.world.push(WorldLine::Written { at, attempt, adapter });
         }
-        let arrives_at = self.now + self.net.delay(&mut self.draw);
+        let arrives_at = self.now + self.net.delay(&mut self.rng);
         attempt.arrives_at = Some(arrives_at);
         attempt.allowance = Allowance::under(router.lease_until, run.limit);
-        let ask = EngineAsk {
+        let request = EngineRequest {
             to,
             tenant: run.request.tenant.clone(),
-            weights: attempt.ground.weights,
-            adapter: attempt.ground.adapter.clone(),
-            salt: attempt.ground.salt.clone(),
+            weights: attempt.basis.weights,
+            adapter: attempt.basis.adapter.clone(),
+            salt: attempt.basis.salt.clone(),
             names: attempt.names.clone(),
             fetches: attempt.placement.fetches.clone(),
             tokens: run.request.tokens,
@@ -119,27 +119,29 @@
             limit: attempt.allowance.left(local_now),
         };
         let engine = attempt.engine;
-        self.at(arrives_at, SimEvent::EngineGets { engine, ask: Box::new(ask) });
+        self.schedule_at(arrives_at, SimEvent::AttemptArrives { engine, request: Box::new(request) });
     }
 
     /// In a split pool, asks the prefilling engine once; whether that is to be waited for.
-    fn ask_prefill(&mut self, node: usize, router_id: NodeId, run: &mut SimRun, local_now: Instant) -> bool {
+    fn request_prefill(&mut self, node: usize, router_id: NodeId, run: &mut SimRun, local_now: Instant) -> bool {
         let (Some(router), Some(attempt)) = (&self.nodes[node].router, run.attempt.as_mut()) else { return false };
-        let Some(prefill) = attempt.placement.prefill.as_ref().filter(|_| attempt.prefilled == Prefilled::Not) else {
+        let Some(prefill) =
+            attempt.placement.prefill.as_ref().filter(|_| attempt.prefill == PrefillState::NotRequested)
+        else {
             return false;
         };
-        attempt.prefilled = Prefilled::Asked;
-        let ground = AttemptBasis { engine: prefill.engine.clone(), ..attempt.ground.clone() };
+        attempt.prefill = PrefillState::Requested;
+        let basis = AttemptBasis { engine: prefill.engine.clone(), ..attempt.basis.clone() };
         let place = self.engines.iter().position(|engine| engine.name == prefill.engine);
-        let may_prefill = may_start(&router.sight, router.lease_until, &ground, local_now).is_ok();
+        let may_prefill = may_start(&router.snapshot, router.lease_until, &basis, local_now).is_ok();
         let Some(engine) = place.filter(|_| may_prefill) else { return false };
-        let to = AttemptPlaceName { node, router: router_id, run: run.number, attempt: attempt.name.clone() };
-        let ask = EngineAsk {
+        let to = AttemptAddress { node, router: router_id, run: run.number, attempt: attempt.name.clone() };
+        let request = EngineRequest {
             to: to.clone(),
             tenant: run.request.tenant.clone(),
-            weights: ground.weights,
-            adapter: ground.adapter.clone(),
-            salt: ground.salt.clone(),
+            weights: basis.weights,
+            adapter: basis.adapter.clone(),
+            salt: basis.salt.clone(),
             names: attempt.names.clone(),
             fetches: Vec::new(),
             tokens: 0,
@@ -147,34 +149,34 @@
             limit: run.limit.since(local_now),
         };
         let patience = Span(run.limit.since(local_now).0 / 2);
-        let delay = self.net.delay(&mut self.draw);
-        self.later(delay, SimEvent::EnginePrefills { engine, ask: Box::new(ask) });
-        self.later(patience, SimEvent::Prefilled { to });
+        let delay = self.net.delay(&mut self.rng);
+        self.schedule_after(delay, SimEvent::PrefillArrives { engine, request: Box::new(request) });
+        self.schedule_after(patience, SimEvent::PrefillDone { to });
         true
     }
 
     /// A prefill is over, or was waited for long enough: the decoding engine is asked.
-    pub fn hear_prefilled(&mut self, to: AttemptPlaceName) {
+    pub fn handle_prefill_done(&mut self, to: AttemptAddress) {
         let woken_at = self.nodes[to.node].frozen_until;
         if woken_at > self.now {
-            return self.defer(woken_at, SimEvent::Prefilled { to });
+            return self.defer(woken_at, SimEvent::PrefillDone { to });
         }
         let router = self.nodes[to.node].router.as_ref().filter(|router| router.id == to.router);
         let attempt = router.and_then(|router| router.runs.get(&to.run)?.attempt.as_ref());
-        if attempt.is_some_and(|attempt| attempt.name == to.attempt && attempt.prefilled == Prefilled::Asked) {
-            self.drive_on(to.node, to.router, to.run, None);
+        if attempt.is_some_and(|attempt| attempt.name == to.attempt && attempt.prefill == PrefillState::Requested) {
+            self.drive_or_write(to.node, to.router, to.run, None);
         }
     }
 
     pub(crate) fn end_attempt(&mut self, node: usize, run: &mut SimRun) {
         let Some(attempt) = run.attempt.take() else { return };
         if let Some(router) = self.nodes[node].router.as_mut() {
-            router.picker.end_attempt(&attempt.ground.engine, attempt.blocks);
+            router.picker.end_attempt(&attempt.basis.engine, attempt.blocks);
         }
         if let Some(arrives_at) = attempt.arrives_at {
-            let closed_at = self.now + Span::millis(3) + self.net.delay(&mut self.draw);
-            let lost = SimEvent::EngineLosesCaller { engine: attempt.engine, attempt: attempt.name };
-            self.at(closed_at.max(arrives_at), lost);
+            let closed_at = self.now + Span::millis(3) + self.net.delay(&mut self.rng);
+            let lost = SimEvent::AttemptClosed { engine: attempt.engine, attempt: attempt.name };
+            self.schedule_at(closed_at.max(arrives_at), lost);
         }
     }
 }
--- /dev/null
+++ b/crates/simulator/src/block_cache.rs
@@ -0,0 +1,88 @@
+//! Kept blocks in virtual time, of engines and of the store, with the numbered news of them.
+
+use crate::prelude::*;
+
+const MAX_BLOCKS: usize = 160;
+const MAX_EVENTS: usize = 256;
+
+/// Who made a kept block, and on which weights.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct BlockOrigin {
+    pub weights: WeightsEdition,
+    pub tenant: TenantName,
+    /// The adapter it was made under; none for the bare model.
+    pub adapter: Option<AdapterId>,
+}
+
+/// Kept blocks and the numbered news of them.
+#[derive(Default)]
+pub struct SimBlockCache {
+    pub boot: u64,
+    blocks: BTreeMap<BlockHash, BlockOrigin>,
+    insertion_order: VecDeque<BlockHash>,
+    events: VecDeque<CacheEvent>,
+    first_number: u64,
+}
+
+impl SimBlockCache {
+    pub fn overlap(&self, hashes: &[BlockHash]) -> usize {
+        hashes.iter().take_while(|hash| self.blocks.contains_key(hash)).count()
+    }
+
+    pub fn origin(&self, hash: &BlockHash) -> Option<&BlockOrigin> {
+        self.blocks.get(hash)
+    }
+
+    pub fn insert(&mut self, blocks: Vec<(BlockHash, BlockOrigin)>) {
+        let mut stored = Vec::new();
+        for (hash, origin) in blocks {
+            if self.blocks.insert(hash, origin).is_none() {
+                self.insertion_order.push_back(hash);
+                stored.push(hash);
+            }
+        }
+        let mut removed = Vec::new();
+        while self.blocks.len() > MAX_BLOCKS {
+            let Some(oldest) = self.insertion_order.pop_front() else { break };
+            self.blocks.remove(&oldest);
+            removed.push(oldest);
+        }
+        for event in [CacheEvent::Stored(stored), CacheEvent::Removed(removed)] {
+            if !matches!(&event, CacheEvent::Stored(hashes) | CacheEvent::Removed(hashes) if hashes.is_empty()) {
+                self.publish(event);
+            }
+        }
+    }
+
+    pub fn clear(&mut self) {
+        self.blocks.clear();
+        self.insertion_order.clear();
+        self.publish(CacheEvent::AllCleared);
+    }
+
+    fn publish(&mut self, event: CacheEvent) {
+        self.events.push_back(event);
+        if self.events.len() > MAX_EVENTS {
+            self.events.pop_front();
+            self.first_number += 1;
+        }
+    }
+
+    /// A new life: nothing is kept, and news are numbered from one on.
+    pub fn restart(&mut self) {
+        *self = SimBlockCache { boot: self.boot + 1, first_number: 1, ..SimBlockCache::default() };
+    }
+
+    pub fn next_number(&self) -> u64 {
+        self.first_number + self.events.len() as u64
+    }
+
+    pub fn events_from(&self, number: u64) -> (u64, Vec<CacheEvent>) {
+        let first = number.clamp(self.first_number, self.next_number());
+        (first, self.events.iter().skip((first - self.first_number) as usize).cloned().collect())
+    }
+
+    pub fn hashes(&self) -> Vec<BlockHash> {
+        self.blocks.keys().copied().collect()
+    }
+}
--- a/crates/simulator/src/founding.rs
+++ b/crates/simulator/src/bootstrap.rs
@@ -4,9 +4,9 @@
 
 impl World {
     /// Founds the core, and starts every machine once.
-    pub(crate) fn start_all(&mut self) {
+    pub(crate) fn bootstrap(&mut self) {
         self.store.restart();
-        self.found();
+        self.bootstrap_core();
         for number in 0..KEEPERS {
             self.start_keeper(number);
         }
@@ -15,15 +15,15 @@
         }
         for number in 0..NODES {
             self.start_node(number);
-            self.later(Span::millis(number as u64), SimEvent::Traffic { node: number });
+            self.schedule_after(Span::millis(number as u64), SimEvent::Traffic { node: number });
         }
-        self.later(Span::millis(100), SimEvent::Sample);
+        self.schedule_after(Span::millis(100), SimEvent::Sample);
         if self.scenario.is_some() {
-            (0..NODES).for_each(|node| self.later(Span::seconds(1), SimEvent::TellsDemand { node }));
+            (0..NODES).for_each(|node| self.schedule_after(Span::seconds(1), SimEvent::ReportDemand { node }));
         }
     }
 
-    fn found(&mut self) {
+    fn bootstrap_core(&mut self) {
         let mut state = FleetState::default();
         let tenants: Vec<String> = self
             .keys
@@ -43,10 +43,10 @@
         self.record.world.push(WorldLine::Walled { at, tenant: "t5".into() });
         let command = Command::Replace { base: None, text: document };
         state.apply(&Submission { request: RequestId(1), command });
-        self.found_adapters(&mut state);
+        self.configure_adapters(&mut state);
         let founder = self.member(0);
         for stored in Coordinator::bootstrap(&founder, FleetId(77), state) {
-            keep(&mut self.keepers[0].disk, stored);
+            persist(&mut self.keepers[0].disk, stored);
         }
     }
 
--- a/crates/simulator/src/callers.rs
+++ b/crates/simulator/src/callers.rs
@@ -3,26 +3,26 @@
 
 use crate::prelude::*;
 
-const PATIENCE: Span = Span::seconds(13);
-const MOST_RESUMES: u64 = 6;
+const CALLER_TIMEOUT: Span = Span::seconds(13);
+const MAX_RESUMES: u64 = 6;
 
 pub struct SimCaller {
     pub line: CallerLine,
     pub request: SimRequest,
     is_done: bool,
     /// Its stream is broken; it comes back for the rest.
-    is_away: bool,
+    is_disconnected: bool,
     /// Breaks its own stream after so many pieces.
-    leaves_after: Option<u64>,
+    disconnects_after: Option<u64>,
     resumes: u64,
     /// Which of its streams this is: the first, or one it resumed on.
     pub stream: u64,
-    asked_again: bool,
+    has_retried: bool,
 }
 
 /// A caller's stream that its caller closed.
 #[derive(Clone, Copy, Debug)]
-pub struct CallerLeft {
+pub struct CallerDisconnect {
     node: usize,
     router: NodeId,
     run: u64,
@@ -32,7 +32,7 @@
 
 /// What reaches a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallerNews {
+pub enum CallerMessage {
     Piece(SimPiece),
     Whole(SimPiece),
     End,
@@ -53,7 +53,7 @@
 impl SimCaller {
     /// A new stream takes the place of the one that broke.
     pub fn attach(&mut self) -> u64 {
-        self.is_away = false;
+        self.is_disconnected = false;
         self.stream += 1;
         self.stream
     }
@@ -63,39 +63,39 @@
     /// Whether a caller still listens on that stream.
     pub fn is_attached(&self, (caller, stream): (usize, u64)) -> bool {
         let listener = &self.callers[caller];
-        !listener.is_away && listener.stream == stream
+        !listener.is_disconnected && listener.stream == stream
     }
 
     /// A new request to a router.
-    pub fn call(&mut self, node: usize) {
-        let request = self.draw_request();
-        self.ask_router(node, request);
+    pub fn send_random_request(&mut self, node: usize) {
+        let request = self.random_request();
+        self.send_request(node, request);
     }
 
     /// A request whose answer takes long.
-    pub fn call_long(&mut self, node: usize, tenant: TenantName, key_hash: String) {
-        let request = SimRequest { tenant, key_hash, tokens: 172, ..self.draw_request() };
+    pub fn send_long_request(&mut self, node: usize, tenant: TenantName, key_hash: String) {
+        let request = SimRequest { tenant, key_hash, tokens: 172, ..self.random_request() };
         let limit = Span::seconds(10);
         let request = SimRequest { streams: true, resumes: false, idempotency_key: None, limit, ..request };
-        self.ask_router(node, request);
+        self.send_request(node, request);
     }
 
-    pub fn draw_request(&mut self) -> SimRequest {
-        let is_long = self.draw.chance(8);
-        let place = match self.draw.chance(if is_long { 30 } else { 70 }) {
-            true => self.draw.below(TENANTS as u64) as usize,
-            false => self.keys.len() - 1 - self.draw.below(self.keys.len().min(16) as u64) as usize,
+    pub fn random_request(&mut self) -> SimRequest {
+        let is_long = self.rng.chance(8);
+        let place = match self.rng.chance(if is_long { 30 } else { 70 }) {
+            true => self.rng.below(TENANTS as u64) as usize,
+            false => self.keys.len() - 1 - self.rng.below(self.keys.len().min(16) as u64) as usize,
         };
         let (key_hash, tenant) = self.keys[place].clone();
-        let shared_prefix = self.draw.below(4);
-        let own_number = if self.draw.chance(40) { self.draw.below(4) } else { self.draw.next_u64() };
+        let shared_prefix = self.rng.below(4);
+        let own_number = if self.rng.chance(40) { self.rng.below(4) } else { self.rng.next_u64() };
         let text = format!("{:-<192}{:-<64}", format!("prefix {shared_prefix} "), format!("own {own_number} "));
-        let streams = self.draw.chance(70);
-        let repeatable = self.draw.chance(30);
-        let tokens = if is_long { self.draw.between(60, 165) } else { self.draw.between(1, 8) };
-        let resumes = streams && self.draw.chance(30);
-        let idempotency_key = (!repeatable && self.draw.chance(12)).then(|| self.draw.next_u64());
-        let limit = Span::millis(if is_long { 10_000 } else { self.draw.between(5_000, 10_000) });
+        let streams = self.rng.chance(70);
+        let repeatable = self.rng.chance(30);
+        let tokens = if is_long { self.rng.between(60, 165) } else { self.rng.between(1, 8) };
+        let resumes = streams && self.rng.chance(30);
+        let idempotency_key = (!repeatable && self.rng.chance(12)).then(|| self.rng.next_u64());
+        let limit = Span::millis(if is_long { 10_000 } else { self.rng.between(5_000, 10_000) });
         SimRequest {
             tenant: TenantName(tenant),
             key_hash,
@@ -110,10 +110,10 @@
         }
     }
 
-    pub fn ask_router(&mut self, node: usize, request: SimRequest) {
+    pub fn send_request(&mut self, node: usize, request: SimRequest) {
         let at = self.millis();
-        let leaves_after = (request.streams && self.draw.chance(if request.resumes { 60 } else { 5 }))
-            .then(|| self.draw.below(request.tokens))
+        let disconnects_after = (request.streams && self.rng.chance(if request.resumes { 60 } else { 5 }))
+            .then(|| self.rng.below(request.tokens))
             .filter(|_| request.question.is_none());
         let line = CallerLine {
             at,
@@ -133,39 +133,39 @@
             line,
             request: request.clone(),
             is_done: false,
-            is_away: false,
-            leaves_after,
+            is_disconnected: false,
+            disconnects_after,
             resumes: 0,
             stream: 0,
-            asked_again: false,
+            has_retried: false,
         });
-        let delay = self.net.delay(&mut self.draw) + self.caller_distance;
-        self.later(delay, SimEvent::Enters { node, caller, request });
-        self.later(PATIENCE, SimEvent::PatienceEnds { caller });
+        let delay = self.net.delay(&mut self.rng) + self.caller_distance;
+        self.schedule_after(delay, SimEvent::RequestArrives { node, caller, request });
+        self.schedule_after(CALLER_TIMEOUT, SimEvent::CallerTimeout { caller });
     }
 
-    pub fn lose_patience(&mut self, caller: usize) {
+    pub fn time_out_caller(&mut self, caller: usize) {
         if !self.callers[caller].is_done {
-            self.leave(caller);
+            self.disconnect_caller(caller);
             self.end_call(caller, 0, "no_answer");
         }
     }
 
     /// The caller's end of the stream is closed; the run hears of it.
-    fn leave(&mut self, caller: usize) {
+    fn disconnect_caller(&mut self, caller: usize) {
         let Some(named) = EventId::read(&self.callers[caller].line.run) else { return };
         let holds = |node: &SimNode| node.router.as_ref().is_some_and(|router| router.id == named.router);
         let Some(node) = self.nodes.iter().position(holds) else { return };
-        let delay = self.net.delay(&mut self.draw);
+        let delay = self.net.delay(&mut self.rng);
         let stream = self.callers[caller].stream;
-        let left = CallerLeft { node, router: named.router, run: named.run, caller, stream };
-        self.later(delay, SimEvent::CallerLeft(left));
+        let left = CallerDisconnect { node, router: named.router, run: named.run, caller, stream };
+        self.schedule_after(delay, SimEvent::CallerDisconnected(left));
     }
 
-    pub fn hear_caller_left(&mut self, left: CallerLeft) {
+    pub fn handle_caller_disconnect(&mut self, left: CallerDisconnect) {
         let woken_at = self.nodes[left.node].frozen_until;
         if woken_at > self.now {
-            return self.defer(woken_at, SimEvent::CallerLeft(left));
+            return self.defer(woken_at, SimEvent::CallerDisconnected(left));
         }
         let known = self.nodes[left.node].router.as_mut().filter(|known| known.id == left.router);
         let Some(left_run) = known.and_then(|known| known.runs.get_mut(&left.run)) else { return };
@@ -176,20 +176,20 @@
         self.drive(left.node, left.router, left.run, AttemptInput::CallerGone);
     }
 
-    pub fn caller_gets(&mut self, number: usize, news: CallerNews) {
+    pub fn deliver_to_caller(&mut self, number: usize, message: CallerMessage) {
         let at = self.millis();
         let caller = &mut self.callers[number];
         if caller.is_done {
             return;
         }
-        let comes_back = caller.request.resumes && caller.line.pieces > 0 && caller.resumes < MOST_RESUMES;
-        match news {
-            CallerNews::Piece(piece) => self.take_piece(number, piece),
-            CallerNews::Whole(piece) => {
+        let may_reconnect = caller.request.resumes && caller.line.pieces > 0 && caller.resumes < MAX_RESUMES;
+        match message {
+            CallerMessage::Piece(piece) => self.take_piece(number, piece),
+            CallerMessage::Whole(piece) => {
                 caller.line.attempt = piece.attempt.clone();
                 caller.line.last_at = at;
                 caller.line.pieces = piece.place;
-                caller.line.adapter = written(piece.adapter.as_ref());
+                caller.line.adapter = adapter_text(piece.adapter.as_ref());
                 if !piece.attempt.starts_with(&format!("{}.", caller.line.run)) {
                     caller.line.wrong = format!("the answer of attempt {}", piece.attempt);
                 } else if piece.place != caller.request.tokens {
@@ -197,21 +197,21 @@
                 }
                 self.end_call(number, 200, "whole");
             }
-            CallerNews::End => {
+            CallerMessage::End => {
                 if caller.line.pieces != caller.request.tokens && caller.line.wrong.is_empty() {
                     caller.line.wrong = format!("{} of {} pieces", caller.line.pieces, caller.request.tokens);
                 }
                 self.end_call(number, 200, "whole");
             }
-            CallerNews::Cut("key_withdrawn") => self.end_call(number, 200, "withdrawn"),
-            CallerNews::Cut(_) => self.end_call(number, 200, "cut"),
-            CallerNews::Final { status, outcome } => self.end_call(number, status, outcome),
-            CallerNews::Lost if comes_back => self.come_back(number),
-            CallerNews::Lost if caller.line.pieces > 0 => self.end_call(number, 200, "cut"),
-            CallerNews::Lost | CallerNews::NoAnswer => self.end_call(number, 0, "no_answer"),
-            CallerNews::Refused if comes_back => self.come_back(number),
-            CallerNews::Refused => self.end_call(number, 200, "cut"),
-            CallerNews::Gone => self.end_call(number, 200, "cancelled"),
+            CallerMessage::Cut("key_withdrawn") => self.end_call(number, 200, "withdrawn"),
+            CallerMessage::Cut(_) => self.end_call(number, 200, "cut"),
+            CallerMessage::Final { status, outcome } => self.end_call(number, status, outcome),
+            CallerMessage::Lost if may_reconnect => self.schedule_reconnect(number),
+            CallerMessage::Lost if caller.line.pieces > 0 => self.end_call(number, 200, "cut"),
+            CallerMessage::Lost | CallerMessage::NoAnswer => self.end_call(number, 0, "no_answer"),
+            CallerMessage::Refused if may_reconnect => self.schedule_reconnect(number),
+            CallerMessage::Refused => self.end_call(number, 200, "cut"),
+            CallerMessage::Gone => self.end_call(number, 200, "cancelled"),
         }
     }
 
@@ -222,45 +222,45 @@
         if line.pieces == 0 {
             line.first_ms = Some(at - line.at);
             line.attempt = piece.attempt.clone();
-            line.adapter = written(piece.adapter.as_ref());
+            line.adapter = adapter_text(piece.adapter.as_ref());
         }
-        let fault = if !piece.attempt.starts_with(&format!("{}.", line.run)) {
+        let error = if !piece.attempt.starts_with(&format!("{}.", line.run)) {
             Some(format!("a piece of attempt {}", piece.attempt))
         } else if piece.attempt != line.attempt {
             Some(format!("joins attempts {} and {}", line.attempt, piece.attempt))
-        } else if written(piece.adapter.as_ref()) != line.adapter {
+        } else if adapter_text(piece.adapter.as_ref()) != line.adapter {
             Some("joins two adapters".into())
         } else if piece.place != line.pieces {
             Some(format!("piece {} where {} was due", piece.place, line.pieces))
         } else {
             None
         };
-        if let Some(fault) = fault.filter(|_| line.wrong.is_empty()) {
-            line.wrong = fault;
+        if let Some(error) = error.filter(|_| line.wrong.is_empty()) {
+            line.wrong = error;
         }
         line.pieces += 1;
         line.last_at = at;
-        if caller.leaves_after != Some(line.pieces) {
+        if caller.disconnects_after != Some(line.pieces) {
             return;
         }
-        caller.leaves_after = None;
-        self.leave(number);
+        caller.disconnects_after = None;
+        self.disconnect_caller(number);
         match self.callers[number].request.resumes {
-            true => self.come_back(number),
+            true => self.schedule_reconnect(number),
             false => self.end_call(number, 200, "cancelled"),
         }
     }
 
-    fn come_back(&mut self, number: usize) {
-        let node = self.draw.below(self.nodes.len() as u64) as usize;
+    fn schedule_reconnect(&mut self, number: usize) {
+        let node = self.rng.below(self.nodes.len() as u64) as usize;
         let caller = &mut self.callers[number];
-        caller.is_away = true;
+        caller.is_disconnected = true;
         caller.resumes += 1;
-        let pause = Span::millis(self.draw.between(20, 1500));
-        self.later(pause, SimEvent::ComesBack { node, caller: number });
+        let pause = Span::millis(self.rng.between(20, 1500));
+        self.schedule_after(pause, SimEvent::CallerReconnects { node, caller: number });
     }
 
-    pub fn hear_comes_back(&mut self, node: usize, number: usize) {
+    pub fn reconnect_caller(&mut self, node: usize, number: usize) {
         if self.callers[number].is_done {
             return;
         }
@@ -278,20 +278,20 @@
         caller.line.outcome = outcome.to_owned();
         let line = caller.line.clone();
         self.record.callers.push(line);
-        self.ask_question_again(number, outcome);
+        self.retry_question(number, outcome);
         let caller = &mut self.callers[number];
         let asks_again = caller.request.idempotency_key.is_some()
             && matches!(outcome, "unknown" | "no_answer" | "cut" | "not_run")
-            && !std::mem::replace(&mut caller.asked_again, true);
-        if asks_again && self.draw.chance(70) {
+            && !std::mem::replace(&mut caller.has_retried, true);
+        if asks_again && self.rng.chance(70) {
             let request = caller.request.clone();
-            let node = self.draw.below(self.nodes.len() as u64) as usize;
-            let pause = Span::millis(self.draw.between(1, 800));
-            self.later(pause, SimEvent::AsksAgain { node, request });
+            let node = self.rng.below(self.nodes.len() as u64) as usize;
+            let pause = Span::millis(self.rng.between(1, 800));
+            self.schedule_after(pause, SimEvent::CallerRetries { node, request });
         }
     }
 
-    pub fn ask_again(&mut self, node: usize, request: SimRequest) {
-        self.ask_router(node, request);
+    pub fn retry_request(&mut self, node: usize, request: SimRequest) {
+        self.send_request(node, request);
     }
 }
--- a/crates/simulator/src/claims.rs
+++ b/crates/simulator/src/claim_submissions.rs
@@ -2,23 +2,30 @@
 
 use crate::prelude::*;
 
-const CLAIM_LIMIT: Span = Span::millis(2500);
-const CLAIM_AGAIN: Span = Span::millis(400);
+const CLAIM_TIMEOUT: Span = Span::millis(2500);
+const CLAIM_RETRY_INTERVAL: Span = Span::millis(400);
 
 impl World {
-    pub(crate) fn ask_core(&mut self, node: usize, router: NodeId, run: u64, command: Command, is_claim: bool) {
+    pub(crate) fn submit_from_router(
+        &mut self,
+        node: usize,
+        router: NodeId,
+        run: u64,
+        command: Command,
+        is_claim: bool,
+    ) {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        let submission = Submission { request: RequestId(self.draw.next_u64() | 1), command };
+        let submission = Submission { request: RequestId(self.rng.next_u64() | 1), command };
         if is_claim {
-            self.tickets.insert(ticket, (node, router, run));
+            self.claim_tickets.insert(ticket, (node, router, run));
         }
-        let until = self.now + CLAIM_LIMIT;
-        self.say_submission(node, router, ticket, submission, until);
+        let until = self.now + CLAIM_TIMEOUT;
+        self.send_submission(node, router, ticket, submission, until);
     }
 
     /// Says a submission to the agent, again and again until it is settled or its limit has passed.
-    pub fn say_submission(
+    pub fn send_submission(
         &mut self,
         node: usize,
         router: NodeId,
@@ -27,7 +34,7 @@
         until: Instant,
     ) {
         let woken_at = self.nodes[node].frozen_until;
-        let again = |submission| SimEvent::ClaimAgain { node, router, ticket, submission, until };
+        let again = |submission| SimEvent::RetrySubmission { node, router, ticket, submission, until };
         if woken_at > self.now {
             return self.defer(woken_at, again(submission));
         }
@@ -36,20 +43,20 @@
             return;
         }
         if self.now >= until {
-            if let Some((_, _, run)) = self.tickets.remove(&ticket) {
+            if let Some((_, _, run)) = self.claim_tickets.remove(&ticket) {
                 self.drive(node, router, run, AttemptInput::ClaimSettled(ClaimOutcome::Unknown));
             }
             return;
         }
-        if self.nodes[node].fed_router == Some(router) {
+        if self.nodes[node].connected_router == Some(router) {
             let input = SubscriptionInput::Router(RouterToAgent::Submit { ticket, submission: submission.clone() });
-            self.tell_node(node, input);
+            self.send_to_subscription(node, input);
         }
-        self.later(CLAIM_AGAIN, again(submission));
+        self.schedule_after(CLAIM_RETRY_INTERVAL, again(submission));
     }
 
     pub fn settle_claim(&mut self, node: usize, ticket: u64, outcome: CommandOutcome) {
-        let Some((_, router, run)) = self.tickets.remove(&ticket) else { return };
+        let Some((_, router, run)) = self.claim_tickets.remove(&ticket) else { return };
         self.drive(node, router, run, AttemptInput::ClaimSettled(ClaimOutcome::of(Some(outcome))));
     }
 }
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -9,37 +9,37 @@
 /// How often each act is drawn: deliver, pulse, a little time, submit, start, break a stream, stall one,
 /// end stalls, end a keeper, much time, stop one in good order, an operator's call, a calm spell, the loss of
 /// a disk.
-const STEADY: [u64; 14] = [240, 60, 60, 12, 6, 4, 6, 6, 2, 3, 1, 10, 1, 2];
-const HASTY: [u64; 14] = [200, 40, 60, 20, 30, 8, 14, 12, 4, 9, 3, 12, 1, 3];
+const NORMAL_WEIGHTS: [u64; 14] = [240, 60, 60, 12, 6, 4, 6, 6, 2, 3, 1, 10, 1, 2];
+const AGGRESSIVE_WEIGHTS: [u64; 14] = [200, 40, 60, 20, 30, 8, 14, 12, 4, 9, 3, 12, 1, 3];
 
 struct CoreKeeper {
     id: NodeId,
     coordinator: Option<Coordinator>,
     disk: PersistedState,
-    life: u64,
+    incarnation: u64,
 }
 
 impl CoreKeeper {
     fn empty(id: NodeId) -> CoreKeeper {
-        CoreKeeper { id, coordinator: None, disk: PersistedState::default(), life: 0 }
+        CoreKeeper { id, coordinator: None, disk: PersistedState::default(), incarnation: 0 }
     }
 }
 
-struct Core {
-    draw: SeededRng,
+struct CoreSimulation {
+    rng: SeededRng,
     /// Half of the seeds lose and restart keepers much more often, most of all in a vote.
-    hasty: bool,
+    is_aggressive: bool,
     now: Instant,
     keepers: Vec<CoreKeeper>,
     /// Streams, each in its own order.
-    ways: BTreeMap<(usize, usize), VecDeque<Envelope>>,
+    streams: BTreeMap<(usize, usize), VecDeque<Envelope>>,
     stalled: BTreeSet<(usize, usize)>,
     views: BTreeMap<ViewNumber, View>,
     committed: BTreeMap<Edition, RequestId>,
     last_committed: Edition,
     next_ticket: u64,
     operators: RegisterOperators,
-    found: Vec<String>,
+    violations: Vec<String>,
 }
 
 fn member(number: usize, id: NodeId) -> Member {
@@ -48,9 +48,9 @@
 }
 
 /// Plays one seed; what was broken.
-pub fn play_disorder(seed: u64) -> RunOutcome {
-    let mut core = Core::new(seed);
-    core.in_order(Span::seconds(12));
+pub fn run_disorder(seed: u64) -> RunOutcome {
+    let mut core = CoreSimulation::new(seed);
+    core.run_in_order(Span::seconds(12));
     let formed = core.last_committed;
     for _ in 0..STEPS {
         core.step();
@@ -59,40 +59,40 @@
     for number in 0..KEEPERS {
         core.start(number);
     }
-    core.in_order(Span::seconds(20));
-    if core.acting_tails().is_empty() {
-        core.found.push("rule 12: no tail acts after the disorder".into());
+    core.run_in_order(Span::seconds(20));
+    if core.active_tails().is_empty() {
+        core.violations.push("rule 12: no tail acts after the disorder".into());
     }
     for number in 0..KEEPERS {
         core.read(number);
     }
-    core.in_order(Span::seconds(2));
-    if let Err(reason) = core.operators.judge() {
-        core.found.push(format!("rule 8: operators' answers are of no single register: {reason}"));
+    core.run_in_order(Span::seconds(2));
+    if let Err(reason) = core.operators.check() {
+        core.violations.push(format!("rule 8: operators' answers are of no single register: {reason}"));
     }
     let starts = core.operators.answered();
     let acks = (core.last_committed.0 - formed.0) as usize;
-    RunOutcome { violations: core.found, starts, acks, recovery: Some(Span(0)), ..RunOutcome::default() }
+    RunOutcome { violations: core.violations, starts, acks, recovery: Some(Span(0)), ..RunOutcome::default() }
 }
 
-impl Core {
-    fn new(seed: u64) -> Core {
-        let mut core = Core {
-            draw: SeededRng::new(seed ^ 0x00d1_50d3),
-            hasty: seed % 2 == 1,
+impl CoreSimulation {
+    fn new(seed: u64) -> CoreSimulation {
+        let mut core = CoreSimulation {
+            rng: SeededRng::new(seed ^ 0x00d1_50d3),
+            is_aggressive: seed % 2 == 1,
             now: Instant(1_000_000_000),
             keepers: (1..=KEEPERS as u64).map(|id| CoreKeeper::empty(NodeId(id))).collect(),
-            ways: BTreeMap::new(),
+            streams: BTreeMap::new(),
             stalled: BTreeSet::new(),
             views: BTreeMap::new(),
             committed: BTreeMap::new(),
             last_committed: Edition(0),
             next_ticket: 0,
             operators: RegisterOperators::default(),
-            found: Vec::new(),
+            violations: Vec::new(),
         };
         for stored in Coordinator::bootstrap(&member(0, NodeId(1)), FleetId(77), FleetState::default()) {
-            keep(&mut core.keepers[0].disk, stored);
+            persist(&mut core.keepers[0].disk, stored);
         }
         for number in 0..KEEPERS {
             core.start(number);
@@ -105,138 +105,146 @@
         if keeper.coordinator.is_some() {
             return;
         }
-        keeper.life += 1;
+        keeper.incarnation += 1;
         let seeds = (0..3).map(|seed| format!("k{seed}")).collect();
-        let wishes = CoordinatorSettings {
+        let settings = CoordinatorSettings {
             requires_fresh_listing: false,
             core_size: KEEPERS,
             seeds,
             ..CoordinatorSettings::default()
         };
-        let life = keeper.life * 1_000_003 + number as u64;
-        keeper.coordinator =
-            Some(Coordinator::restore(member(number, keeper.id), keeper.disk.clone(), wishes, life, self.now));
+        let incarnation = keeper.incarnation * 1_000_003 + number as u64;
+        keeper.coordinator = Some(Coordinator::restore(
+            member(number, keeper.id),
+            keeper.disk.clone(),
+            settings,
+            incarnation,
+            self.now,
+        ));
     }
 
-    fn end(&mut self, number: usize) {
+    fn kill(&mut self, number: usize) {
         self.keepers[number].coordinator = None;
-        self.ways.retain(|(_, to), _| *to != number);
+        self.streams.retain(|(_, to), _| *to != number);
     }
 
     /// Everything in good order for a while, with a change now and then.
-    fn in_order(&mut self, span: Span) {
+    fn run_in_order(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
             self.now = self.now + Span::millis(50);
             for number in 0..KEEPERS {
-                self.feed(number, Input::Tick, false);
+                self.step_keeper(number, Input::Tick, false);
             }
-            if self.draw.chance(10) {
+            if self.rng.chance(10) {
                 self.submit();
             }
-            while let Some(way) = self.open_ways().first().copied() {
-                self.deliver(way, false);
+            while let Some(stream) = self.ready_streams().first().copied() {
+                self.deliver(stream, false);
             }
         }
     }
 
-    fn open_ways(&self) -> Vec<(usize, usize)> {
-        let lively = self.ways.iter().filter(|(way, messages)| !messages.is_empty() && !self.stalled.contains(way));
-        lively.map(|(way, _)| *way).collect()
+    fn ready_streams(&self) -> Vec<(usize, usize)> {
+        let ready =
+            self.streams.iter().filter(|(stream, messages)| !messages.is_empty() && !self.stalled.contains(stream));
+        ready.map(|(stream, _)| *stream).collect()
     }
 
     fn step(&mut self) {
-        let number = self.draw.below(KEEPERS as u64) as usize;
-        let other = (number + 1 + self.draw.below(KEEPERS as u64 - 1) as usize) % KEEPERS;
-        let acts = if self.hasty { HASTY } else { STEADY };
-        match self.draw.weighted_index(acts.into_iter()) {
+        let number = self.rng.below(KEEPERS as u64) as usize;
+        let other = (number + 1 + self.rng.below(KEEPERS as u64 - 1) as usize) % KEEPERS;
+        let action_weights = if self.is_aggressive { AGGRESSIVE_WEIGHTS } else { NORMAL_WEIGHTS };
+        match self.rng.weighted_index(action_weights.into_iter()) {
             0 => {
-                let ways = self.open_ways();
-                if !ways.is_empty() {
-                    let way = ways[self.draw.below(ways.len() as u64) as usize];
-                    let votes =
-                        self.ways[&way].front().is_some_and(|first| matches!(first.message, CoreMessage::View(_)));
-                    let ends = self.draw.chance(if votes && self.hasty { 8 } else { 1 });
-                    self.deliver(way, ends);
+                let streams = self.ready_streams();
+                if !streams.is_empty() {
+                    let stream = streams[self.rng.below(streams.len() as u64) as usize];
+                    let is_vote = self.streams[&stream]
+                        .front()
+                        .is_some_and(|first| matches!(first.message, CoreMessage::View(_)));
+                    let crashes = self.rng.chance(if is_vote && self.is_aggressive { 8 } else { 1 });
+                    self.deliver(stream, crashes);
                 }
             }
             1 => {
-                let ends = self.draw.chance(1);
-                self.feed(number, Input::Tick, ends);
+                let crashes = self.rng.chance(1);
+                self.step_keeper(number, Input::Tick, crashes);
             }
-            2 => self.now = self.now + Span::millis(self.draw.between(1, 50)),
+            2 => self.now = self.now + Span::millis(self.rng.between(1, 50)),
             3 => self.submit(),
             4 => self.start(number),
             5 => {
-                self.ways.remove(&(number, other));
+                self.streams.remove(&(number, other));
             }
             6 => {
                 self.stalled.insert((number, other));
             }
             7 => self.stalled.clear(),
-            8 => self.end(number),
-            9 => self.now = self.now + Span::millis(self.draw.between(100, 900)),
+            8 => self.kill(number),
+            9 => self.now = self.now + Span::millis(self.rng.between(100, 900)),
             10 => {
-                self.feed(number, Input::Retire, false);
-                self.end(number);
+                self.step_keeper(number, Input::Retire, false);
+                self.kill(number);
             }
-            11 => self.operate(number, other),
-            12 => self.be_calm(),
+            11 => self.operator_change(number, other),
+            12 => self.calm_period(),
             _ => self.lose_disk(number),
         }
     }
 
     /// A keeper's disk is lost and an empty one comes in its place, if the fleet is to bear that now.
     fn lose_disk(&mut self, number: usize) {
-        if !self.is_made_up_for() {
+        if !self.is_fully_replicated() {
             return;
         }
-        self.end(number);
+        self.kill(number);
         // A life of an empty folder is none that anybody has met.
-        self.keepers[number] = CoreKeeper::empty(NodeId(self.draw.next_u64() | 1 << 60));
+        self.keepers[number] = CoreKeeper::empty(NodeId(self.rng.next_u64() | 1 << 60));
         self.start(number);
     }
 
     /// Whether the fleet is whole again after the last lost disk: what was put in its place is in the chain and
     /// has everything. Others may be down or cut off; their disks are kept.
-    fn is_made_up_for(&self) -> bool {
+    fn is_fully_replicated(&self) -> bool {
         let views = self.keepers.iter().filter_map(|keeper| keeper.disk.view.as_ref());
         let Some(view) = views.max_by_key(|view| view.number) else { return false };
-        let holds_all = |keeper: &CoreKeeper| view.in_chain(keeper.id) && keeper.disk.complete_view == view.number;
+        let is_complete = |keeper: &CoreKeeper| view.in_chain(keeper.id) && keeper.disk.complete_view == view.number;
         let is_first = |keeper: &CoreKeeper| keeper.id.0 <= KEEPERS as u64;
-        let nobody_is_missed = view.voters.iter().all(|voter| self.keepers.iter().any(|keeper| keeper.id == *voter));
+        let all_voters_present =
+            view.voters.iter().all(|voter| self.keepers.iter().any(|keeper| keeper.id == *voter));
         view.voters.len() == KEEPERS
-            && nobody_is_missed
-            && self.keepers.iter().all(|keeper| is_first(keeper) || holds_all(keeper))
+            && all_voters_present
+            && self.keepers.iter().all(|keeper| is_first(keeper) || is_complete(keeper))
     }
 
     /// Streams flow for a while, among the keepers that run, and operators go on.
-    fn be_calm(&mut self) {
+    fn calm_period(&mut self) {
         self.stalled.clear();
-        for _ in 0..self.draw.between(1, 5) {
-            let number = self.draw.below(KEEPERS as u64) as usize;
-            self.operate(number, (number + 1) % KEEPERS);
-            let span = Span::millis(self.draw.between(50, 600));
-            self.in_order(span);
+        for _ in 0..self.rng.between(1, 5) {
+            let number = self.rng.below(KEEPERS as u64) as usize;
+            self.operator_change(number, (number + 1) % KEEPERS);
+            let span = Span::millis(self.rng.between(50, 600));
+            self.run_in_order(span);
         }
     }
 
     /// An operator calls a keeper, or two call two.
-    fn operate(&mut self, number: usize, other: usize) {
-        match self.draw.below(10) {
+    fn operator_change(&mut self, number: usize, other: usize) {
+        match self.rng.below(10) {
             0..=3 => self.read(number),
             4..=6 => {
-                let change = self.operators.draw_change(&mut self.draw);
+                let change = self.operators.random_change(&mut self.rng);
                 self.send_change(number, change);
             }
             7 => {
-                let change = self.operators.draw_change(&mut self.draw);
+                let change = self.operators.random_change(&mut self.rng);
                 self.send_change(number, change);
-                let rival = self.operators.draw_rival(&mut self.draw);
+                let rival = self.operators.random_rival(&mut self.rng);
                 self.send_change(other, rival);
             }
             _ => {
-                if let Some(change) = self.operators.draw_again(&mut self.draw) {
+                if let Some(change) = self.operators.random_resend(&mut self.rng) {
                     self.send_change(number, change);
                 }
             }
@@ -246,88 +254,88 @@
     fn read(&mut self, number: usize) {
         self.next_ticket += 1;
         self.operators.call_read(self.next_ticket);
-        self.ask(number, CoreQuery::Configuration);
+        self.query(number, CoreQuery::Configuration);
     }
 
     fn send_change(&mut self, number: usize, change: ConfigurationChange) {
         self.next_ticket += 1;
         self.operators.call_change(self.next_ticket, &change);
         let command = Command::Configure(Box::new(change));
-        let submission = Submission { request: RequestId(self.draw.next_u64()), command };
-        self.ask(number, CoreQuery::Submit(submission));
+        let submission = Submission { request: RequestId(self.rng.next_u64()), command };
+        self.query(number, CoreQuery::Submit(submission));
     }
 
     /// Asks under the ticket drawn last.
-    fn ask(&mut self, number: usize, question: CoreQuery) {
+    fn query(&mut self, number: usize, question: CoreQuery) {
         let limit = self.now + Span::seconds(3);
-        self.feed(number, Input::Query { ticket: self.next_ticket, question, limit }, false);
+        self.step_keeper(number, Input::Query { ticket: self.next_ticket, question, limit }, false);
     }
 
     fn submit(&mut self) {
-        let number = self.draw.below(KEEPERS as u64) as usize;
+        let number = self.rng.below(KEEPERS as u64) as usize;
         self.next_ticket += 1;
         let patch = format!(r#"{{"kinds":["k","x{}"]}}"#, self.next_ticket);
         let submission =
-            Submission { request: RequestId(self.draw.next_u64()), command: Command::Merge { base: None, patch } };
-        self.ask(number, CoreQuery::Submit(submission));
+            Submission { request: RequestId(self.rng.next_u64()), command: Command::Merge { base: None, patch } };
+        self.query(number, CoreQuery::Submit(submission));
     }
 
-    fn deliver(&mut self, way: (usize, usize), ends: bool) {
-        let Some(envelope) = self.ways.get_mut(&way).and_then(VecDeque::pop_front) else { return };
-        self.feed(way.1, Input::Peer(envelope), ends);
+    fn deliver(&mut self, stream: (usize, usize), crashes: bool) {
+        let Some(envelope) = self.streams.get_mut(&stream).and_then(VecDeque::pop_front) else { return };
+        self.step_keeper(stream.1, Input::Peer(envelope), crashes);
     }
 
     /// Steps a keeper and carries its plan out; if it ends here, only a part of it.
-    fn feed(&mut self, number: usize, input: Input, ends: bool) {
+    fn step_keeper(&mut self, number: usize, input: Input, crashes: bool) {
         let now = self.now;
         let Some(coordinator) = self.keepers[number].coordinator.as_mut() else { return };
         let plan = coordinator.step(input, now);
         // What is stored is stored as a whole, before anything is said, or not at all.
-        let (stores, said): (Vec<Effect>, Vec<Effect>) =
+        let (stores, sends): (Vec<Effect>, Vec<Effect>) =
             plan.into_iter().partition(|effect| matches!(effect, Effect::Store(_)));
-        let parts_done = if ends { self.draw.below(said.len() as u64 + 2) as usize } else { said.len() + 1 };
-        if parts_done > 0 {
+        let completed_parts = if crashes { self.rng.below(sends.len() as u64 + 2) as usize } else { sends.len() + 1 };
+        if completed_parts > 0 {
             for stored in stores {
                 let Effect::Store(stored) = stored else { continue };
-                keep(&mut self.keepers[number].disk, stored);
+                persist(&mut self.keepers[number].disk, stored);
             }
-            self.hold_to_rules(number);
+            self.check_invariants(number);
         }
-        for effect in said.into_iter().take(parts_done.saturating_sub(1)) {
+        for effect in sends.into_iter().take(completed_parts.saturating_sub(1)) {
             if let Effect::Outcome { ticket, outcome } = &effect {
-                self.operators.hear(*ticket, outcome);
+                self.operators.record_answer(*ticket, outcome);
             }
             let Effect::Send { address, envelope, .. } = effect else { continue };
             let Some(to) = (0..KEEPERS).find(|to| format!("k{to}") == address) else { continue };
             if self.keepers[to].coordinator.is_some() {
-                self.ways.entry((number, to)).or_default().push_back(envelope);
+                self.streams.entry((number, to)).or_default().push_back(envelope);
             }
         }
-        if ends {
-            self.end(number);
+        if crashes {
+            self.kill(number);
         }
     }
 
-    fn acting_tails(&self) -> Vec<usize> {
-        let acts = |number: &usize| {
+    fn active_tails(&self) -> Vec<usize> {
+        let is_active = |number: &usize| {
             self.keepers[*number].coordinator.as_ref().is_some_and(|coordinator| coordinator.tail_is_active(self.now))
         };
-        (0..KEEPERS).filter(acts).collect()
+        (0..KEEPERS).filter(is_active).collect()
     }
 
-    fn hold_to_rules(&mut self, number: usize) {
+    fn check_invariants(&mut self, number: usize) {
         let Some(coordinator) = &self.keepers[number].coordinator else { return };
         let view = coordinator.view();
         let known_view = self.views.entry(view.number).or_insert_with(|| view.clone());
         if (&known_view.chain, &known_view.voters) != (&view.chain, &view.voters) {
-            self.found.push(format!("rule 8: two views have number {}", view.number));
+            self.violations.push(format!("rule 8: two views have number {}", view.number));
         }
         if !coordinator.tail_is_active(self.now) {
             return;
         }
         let last = coordinator.last();
         if last.edition < self.last_committed {
-            self.found
+            self.violations
                 .push(format!("rule 8: the tail stands at {}, {} was committed", last.edition, self.last_committed));
         }
         self.last_committed = self.last_committed.max(last.edition);
@@ -336,13 +344,13 @@
             let CommandOutcome::Applied(edition) = settled else { continue };
             let known = *self.committed.entry(*edition).or_insert(request);
             if known != request {
-                self.found.push(format!("rule 8: edition {edition} was {known} and is {request}"));
+                self.violations.push(format!("rule 8: edition {edition} was {known} and is {request}"));
             }
         }
-        let tails = self.acting_tails();
+        let tails = self.active_tails();
         if tails.len() > 1 {
-            self.found.push(format!("rule 8: tails {tails:?} act at once"));
+            self.violations.push(format!("rule 8: tails {tails:?} act at once"));
         }
-        self.found.truncate(20);
+        self.violations.truncate(20);
     }
 }
--- a/crates/simulator/src/engine_work.rs
+++ b/crates/simulator/src/engine_work.rs
@@ -6,85 +6,90 @@
 const FOREIGN_ATTEMPT: &str = "other.1.1";
 
 impl World {
-    pub fn engine_gets(&mut self, number: usize, ask: EngineAsk) {
+    pub fn handle_attempt(&mut self, number: usize, request: EngineRequest) {
         let now = self.now;
-        let answer_at = now + self.net.delay(&mut self.draw);
-        let head = |head, told: &str| AttemptInput::Head { head, detail: told.into() };
+        let answer_at = now + self.net.delay(&mut self.rng);
+        let head = |head, detail: &str| AttemptInput::Head { head, detail: detail.into() };
         let engine = &self.engines[number];
         if !engine.up {
             let input = AttemptInput::SendFault { byte_left: true, reason: "reset".into() };
-            return self.tell_run(&ask.to, answer_at, input);
+            return self.send_to_run(&request.to, answer_at, input);
         }
         if !engine.accepting {
-            return self.tell_run(&ask.to, answer_at, head(ResponseClass::NotStarted, "not_accepting"));
+            return self.send_to_run(&request.to, answer_at, head(ResponseClass::NotStarted, "not_accepting"));
         }
-        if engine.weights != ask.weights {
-            return self.tell_run(&ask.to, answer_at, head(ResponseClass::NotStarted, "other_weights"));
+        if engine.weights != request.weights {
+            return self.send_to_run(&request.to, answer_at, head(ResponseClass::NotStarted, "other_weights"));
         }
-        if !engine.holds(ask.adapter.as_ref()) {
-            return self.tell_run(&ask.to, answer_at, head(ResponseClass::NotStarted, ADAPTER_NOT_RESIDENT));
+        if !engine.holds(request.adapter.as_ref()) {
+            return self.send_to_run(&request.to, answer_at, head(ResponseClass::NotStarted, ADAPTER_NOT_RESIDENT));
         }
-        let (at, manner) = (self.millis(), if engine.manner_until > now { engine.manner } else { Manner::Good });
-        let own_count = engine.memory.overlap(&ask.names);
-        let line = start_line(at, engine, &ask, own_count);
+        let (at, behavior) =
+            (self.millis(), if engine.behavior_until > now { engine.behavior } else { EngineBehavior::Good });
+        let own_count = engine.cache.overlap(&request.names);
+        let line = start_line(at, engine, &request, own_count);
         self.record.engines.push(EngineLogLine::Start(line));
-        self.use_memory(number, &ask, own_count);
-        let lacking = (ask.names.len() - own_count) as u64;
-        let slow_span = if manner == Manner::Late { self.draw.between(2_000, 9_000) } else { 0 };
-        let begins_at = now + Span::millis(self.draw.between(1, 20) + lacking * 4 + slow_span);
+        self.use_blocks(number, &request, own_count);
+        let missing_blocks = (request.names.len() - own_count) as u64;
+        let slow_span = if behavior == EngineBehavior::Late { self.rng.between(2_000, 9_000) } else { 0 };
+        let begins_at = now + Span::millis(self.rng.between(1, 20) + missing_blocks * 4 + slow_span);
         let attempt = EngineAttempt {
-            to: ask.to.clone(),
-            tokens: ask.tokens,
+            to: request.to.clone(),
+            tokens: request.tokens,
             place: 0,
             begins_at,
-            streams: ask.streams,
-            adapter: ask.adapter.clone(),
-            limit: now + ask.limit,
-            manner,
-            told_until: begins_at,
-            headed: false,
+            streams: request.streams,
+            adapter: request.adapter.clone(),
+            limit: now + request.limit,
+            behavior,
+            last_sent_at: begins_at,
+            head_sent: false,
         };
-        let looks_at = begins_at.min(attempt.limit);
+        let next_step_at = begins_at.min(attempt.limit);
         let engine = &mut self.engines[number];
-        let boot = engine.memory.boot;
-        engine.attempts.insert(ask.to.attempt.clone(), attempt);
-        self.at(looks_at, SimEvent::EngineWorks { engine: number, boot, attempt: ask.to.attempt });
+        let boot = engine.cache.boot;
+        engine.attempts.insert(request.to.attempt.clone(), attempt);
+        self.schedule_at(next_step_at, SimEvent::EngineStep { engine: number, boot, attempt: request.to.attempt });
     }
 
     /// In a split pool: prefills and keeps a prompt that another engine is to decode.
-    pub fn engine_prefills(&mut self, number: usize, ask: EngineAsk) {
-        let delay = self.net.delay(&mut self.draw);
+    pub fn handle_prefill(&mut self, number: usize, request: EngineRequest) {
+        let delay = self.net.delay(&mut self.rng);
         let at = self.millis();
         let engine = &self.engines[number];
-        let told = SimEvent::Prefilled { to: ask.to.clone() };
-        if !engine.up || !engine.accepting || engine.weights != ask.weights || !engine.holds(ask.adapter.as_ref()) {
-            return self.later(delay, told);
+        let done = SimEvent::PrefillDone { to: request.to.clone() };
+        if !engine.up
+            || !engine.accepting
+            || engine.weights != request.weights
+            || !engine.holds(request.adapter.as_ref())
+        {
+            return self.schedule_after(delay, done);
         }
-        let own_count = engine.memory.overlap(&ask.names);
-        let line = start_line(at, engine, &ask, own_count);
+        let own_count = engine.cache.overlap(&request.names);
+        let line = start_line(at, engine, &request, own_count);
         self.record.engines.push(EngineLogLine::Prefill(line));
-        self.use_memory(number, &ask, own_count);
-        let lacking = (ask.names.len() - own_count) as u64;
-        let span = Span::millis(self.draw.between(1, 20) + lacking * 4);
-        self.later(span + delay, told);
+        self.use_blocks(number, &request, own_count);
+        let missing_blocks = (request.names.len() - own_count) as u64;
+        let span = Span::millis(self.rng.between(1, 20) + missing_blocks * 4);
+        self.schedule_after(span + delay, done);
     }
 
     /// The blocks an attempt is served from, its own and the fetched, are judged; then all are kept.
-    fn use_memory(&mut self, number: usize, ask: &EngineAsk, own_count: usize) {
-        let mut used: Vec<(BlockHash, Made)> = Vec::new();
+    fn use_blocks(&mut self, number: usize, request: &EngineRequest, own_count: usize) {
+        let mut used: Vec<(BlockHash, BlockOrigin)> = Vec::new();
         let engine = &self.engines[number];
         used.extend(
-            ask.names[..own_count].iter().filter_map(|name| Some((*name, engine.memory.made(name)?.clone()))),
+            request.names[..own_count].iter().filter_map(|name| Some((*name, engine.cache.origin(name)?.clone()))),
         );
-        for run in &ask.fetches {
+        for run in &request.fetches {
             let source = match &run.from {
                 FetchFrom::Store => Some(&self.store),
                 FetchFrom::Peer(peer) => {
-                    self.engines.iter().find(|known| known.name == *peer && known.up).map(|known| &known.memory)
+                    self.engines.iter().find(|known| known.name == *peer && known.up).map(|known| &known.cache)
                 }
             };
             let Some(source) = source else { break };
-            let wanted = &ask.names[used.len()..];
+            let wanted = &request.names[used.len()..];
             if !wanted.starts_with(&run.names) {
                 break;
             }
@@ -92,8 +97,8 @@
                 let (at, engine) = (self.now.0 / 1_000_000, peer.0.clone());
                 self.record.engines.push(EngineLogLine::Asked { at, engine });
             }
-            let fetched: Vec<(BlockHash, Made)> =
-                run.names.iter().map_while(|name| Some((*name, source.made(name)?.clone()))).collect();
+            let fetched: Vec<(BlockHash, BlockOrigin)> =
+                run.names.iter().map_while(|name| Some((*name, source.origin(name)?.clone()))).collect();
             let is_short = fetched.len() < run.names.len();
             used.extend(fetched);
             if is_short {
@@ -101,126 +106,133 @@
             }
         }
         let weights = engine.weights;
-        self.record_foreign_use(weights, ask, &used);
-        let made = || Made { weights, tenant: ask.tenant.clone(), adapter: ask.adapter.clone() };
-        let fresh = ask.names[used.len()..].iter().map(|name| (*name, made()));
-        let kept: Vec<(BlockHash, Made)> = used.iter().cloned().chain(fresh).collect();
-        self.store.keep(kept.clone());
-        self.engines[number].memory.keep(kept);
+        self.record_foreign_use(weights, request, &used);
+        let origin = || BlockOrigin { weights, tenant: request.tenant.clone(), adapter: request.adapter.clone() };
+        let fresh = request.names[used.len()..].iter().map(|name| (*name, origin()));
+        let kept: Vec<(BlockHash, BlockOrigin)> = used.iter().cloned().chain(fresh).collect();
+        self.store.insert(kept.clone());
+        self.engines[number].cache.insert(kept);
     }
 
     /// Records the blocks used that were made on other weights, for another tenant or under another adapter.
-    fn record_foreign_use(&mut self, weights: WeightsEdition, ask: &EngineAsk, used: &[(BlockHash, Made)]) {
+    fn record_foreign_use(
+        &mut self,
+        weights: WeightsEdition,
+        request: &EngineRequest,
+        used: &[(BlockHash, BlockOrigin)],
+    ) {
         let at = self.millis();
-        for (_, made) in used {
-            if made.weights != weights || made.tenant != ask.tenant {
+        for (_, origin) in used {
+            if origin.weights != weights || origin.tenant != request.tenant {
                 self.record.world.push(WorldLine::MemoryUsed {
                     at,
-                    attempt: ask.to.attempt.clone(),
+                    attempt: request.to.attempt.clone(),
                     weights: weights.0,
-                    made_on: made.weights.0,
-                    tenant: ask.tenant.0.clone(),
-                    made_for: made.tenant.0.clone(),
+                    made_on: origin.weights.0,
+                    tenant: request.tenant.0.clone(),
+                    made_for: origin.tenant.0.clone(),
                 });
             }
-            if made.adapter != ask.adapter {
+            if origin.adapter != request.adapter {
                 self.record.world.push(WorldLine::AdapterMemoryUsed {
                     at,
-                    attempt: ask.to.attempt.clone(),
-                    adapter: written(ask.adapter.as_ref()),
-                    made_under: written(made.adapter.as_ref()),
+                    attempt: request.to.attempt.clone(),
+                    adapter: adapter_text(request.adapter.as_ref()),
+                    made_under: adapter_text(origin.adapter.as_ref()),
                 });
             }
         }
     }
 
     /// One step of an engine's work on an attempt.
-    pub fn engine_works(&mut self, number: usize, boot: u64, attempt_name: String) {
+    pub fn step_attempt(&mut self, number: usize, boot: u64, attempt_name: String) {
         let now = self.now;
-        let delay = self.net.delay(&mut self.draw);
-        let pause = Span::millis(self.draw.between(20, 90));
+        let delay = self.net.delay(&mut self.rng);
+        let pause = Span::millis(self.rng.between(20, 90));
         let engine = &mut self.engines[number];
-        if engine.memory.boot != boot || !engine.up {
+        if engine.cache.boot != boot || !engine.up {
             return;
         }
         let Some(mut attempt) = engine.attempts.remove(&attempt_name) else { return };
-        let told_at = attempt.told_until.max(now + delay);
+        let sent_at = attempt.last_sent_at.max(now + delay);
         if now >= attempt.limit {
-            self.tell_run(&attempt.to, told_at, out_of_time(&attempt));
+            self.send_to_run(&attempt.to, sent_at, out_of_time(&attempt));
             return self.end_engine_attempt(number, &attempt, false);
         }
-        if matches!(attempt.manner, Manner::Silent) || now < attempt.begins_at {
+        if matches!(attempt.behavior, EngineBehavior::Silent) || now < attempt.begins_at {
             let begins_at = if now < attempt.begins_at { attempt.begins_at } else { attempt.limit };
-            let looks_at = begins_at.min(attempt.limit);
+            let next_step_at = begins_at.min(attempt.limit);
             engine.attempts.insert(attempt_name.clone(), attempt);
-            return self.at(looks_at, SimEvent::EngineWorks { engine: number, boot, attempt: attempt_name });
+            return self
+                .schedule_at(next_step_at, SimEvent::EngineStep { engine: number, boot, attempt: attempt_name });
         }
-        attempt.told_until = told_at;
-        if self.breaks_off(&mut attempt, told_at) {
+        attempt.last_sent_at = sent_at;
+        if self.ends_early(&mut attempt, sent_at) {
             return self.end_engine_attempt(number, &attempt, false);
         }
         if attempt.place == attempt.tokens {
-            self.tell_end(&attempt, told_at);
-            let is_whole = attempt.manner != Manner::Partial;
+            self.send_end(&attempt, sent_at);
+            let is_whole = attempt.behavior != EngineBehavior::Partial;
             return self.end_engine_attempt(number, &attempt, is_whole);
         }
         if attempt.streams {
-            self.tell_piece(&attempt, told_at);
+            self.send_piece(&attempt, sent_at);
         }
         attempt.place += 1;
         self.engines[number].attempts.insert(attempt_name.clone(), attempt);
-        self.later(pause, SimEvent::EngineWorks { engine: number, boot, attempt: attempt_name });
+        self.schedule_after(pause, SimEvent::EngineStep { engine: number, boot, attempt: attempt_name });
     }
 
     /// Answers with an error, or with a head and then a stream that ends too early, if that is its manner.
-    fn breaks_off(&mut self, attempt: &mut EngineAttempt, told_at: Instant) -> bool {
-        if attempt.manner == Manner::Refuses {
-            let told = "engine answered 500".into();
-            self.tell_run(&attempt.to, told_at, AttemptInput::Head { head: ResponseClass::Failure, detail: told });
+    fn ends_early(&mut self, attempt: &mut EngineAttempt, sent_at: Instant) -> bool {
+        if attempt.behavior == EngineBehavior::Refuses {
+            let detail = "engine answered 500".into();
+            self.send_to_run(&attempt.to, sent_at, AttemptInput::Head { head: ResponseClass::Failure, detail });
             return true;
         }
-        if !attempt.headed && (attempt.streams || attempt.place == attempt.tokens) {
-            attempt.headed = true;
+        if !attempt.head_sent && (attempt.streams || attempt.place == attempt.tokens) {
+            attempt.head_sent = true;
             let input = AttemptInput::Head { head: ResponseClass::Success, detail: String::new() };
-            self.tell_run(&attempt.to, told_at, input);
+            self.send_to_run(&attempt.to, sent_at, input);
         }
-        let early_end = match attempt.manner {
-            Manner::Breaks(after) => (attempt.place >= after).then(|| AttemptInput::Broken("reset".into())),
-            Manner::EndsEarly(after) => (attempt.place >= after).then_some(AttemptInput::Closed),
-            Manner::Partial if attempt.streams => {
+        let early_end = match attempt.behavior {
+            EngineBehavior::Breaks(after) => (attempt.place >= after).then(|| AttemptInput::Broken("reset".into())),
+            EngineBehavior::EndsEarly(after) => (attempt.place >= after).then_some(AttemptInput::Closed),
+            EngineBehavior::Partial if attempt.streams => {
                 (attempt.place >= attempt.tokens / 2).then_some(AttemptInput::Closed)
             }
             _ => None,
         };
         let Some(input) = early_end else { return false };
-        self.tell_run(&attempt.to, told_at, input);
+        self.send_to_run(&attempt.to, sent_at, input);
         true
     }
 
-    fn tell_piece(&mut self, attempt: &EngineAttempt, told_at: Instant) {
-        let is_foreign = attempt.manner == Manner::Foreign || attempt.manner == Manner::ForeignPiece(attempt.place);
+    fn send_piece(&mut self, attempt: &EngineAttempt, sent_at: Instant) {
+        let is_foreign = attempt.behavior == EngineBehavior::Foreign
+            || attempt.behavior == EngineBehavior::ForeignPiece(attempt.place);
         let named = if is_foreign { FOREIGN_ATTEMPT } else { &attempt.to.attempt };
-        self.tell_run(&attempt.to, told_at, piece_of(named, attempt.place, false, attempt.names()));
+        self.send_to_run(&attempt.to, sent_at, piece_of(named, attempt.place, false, attempt.names()));
     }
 
     /// A stream's end mark and end, or the whole answer.
-    fn tell_end(&mut self, attempt: &EngineAttempt, told_at: Instant) {
+    fn send_end(&mut self, attempt: &EngineAttempt, sent_at: Instant) {
         if attempt.streams {
-            self.tell_run(&attempt.to, told_at, AttemptInput::EndMark);
-            if attempt.manner == Manner::GoesOn {
-                self.tell_run(
+            self.send_to_run(&attempt.to, sent_at, AttemptInput::EndMark);
+            if attempt.behavior == EngineBehavior::GoesOn {
+                self.send_to_run(
                     &attempt.to,
-                    told_at,
+                    sent_at,
                     piece_of(&attempt.to.attempt, attempt.place, true, attempt.names()),
                 );
             }
-            return self.tell_run(&attempt.to, told_at, AttemptInput::Closed);
+            return self.send_to_run(&attempt.to, sent_at, AttemptInput::Closed);
         }
-        let finished = attempt.manner != Manner::Partial;
-        let is_foreign = matches!(attempt.manner, Manner::Foreign | Manner::ForeignPiece(_));
+        let finished = attempt.behavior != EngineBehavior::Partial;
+        let is_foreign = matches!(attempt.behavior, EngineBehavior::Foreign | EngineBehavior::ForeignPiece(_));
         let named = if is_foreign { FOREIGN_ATTEMPT } else { &attempt.to.attempt };
         let place = if finished { attempt.tokens } else { attempt.tokens / 2 };
-        self.tell_run(&attempt.to, told_at, piece_of(named, place, finished, attempt.names()));
+        self.send_to_run(&attempt.to, sent_at, piece_of(named, place, finished, attempt.names()));
     }
 
     pub(crate) fn end_engine_attempt(&mut self, number: usize, attempt: &EngineAttempt, whole: bool) {
@@ -235,17 +247,17 @@
         });
     }
 
-    pub(crate) fn tell_run(&mut self, to: &AttemptPlaceName, at: Instant, input: AttemptInput<SimPiece>) {
-        self.at(at, SimEvent::RunInput { to: to.clone(), input });
+    pub(crate) fn send_to_run(&mut self, to: &AttemptAddress, at: Instant, input: AttemptInput<SimPiece>) {
+        self.schedule_at(at, SimEvent::RunInput { to: to.clone(), input });
     }
 }
 
 /// How an attempt is told that its limit has passed.
 fn out_of_time(attempt: &EngineAttempt) -> AttemptInput<SimPiece> {
-    let told = String::from("limit_passed");
-    match attempt.headed {
-        true => AttemptInput::Broken(told),
-        false => AttemptInput::Head { head: ResponseClass::OutOfTime, detail: told },
+    let detail = String::from("limit_passed");
+    match attempt.head_sent {
+        true => AttemptInput::Broken(detail),
+        false => AttemptInput::Head { head: ResponseClass::OutOfTime, detail },
     }
 }
 
@@ -254,15 +266,15 @@
     AttemptInput::Piece { attempt: attempt.into(), finished, piece }
 }
 
-fn start_line(at: u64, engine: &SimEngine, ask: &EngineAsk, own_count: usize) -> StartLine {
+fn start_line(at: u64, engine: &SimEngine, request: &EngineRequest, own_count: usize) -> StartLine {
     StartLine {
         at,
         engine: engine.name.0.clone(),
-        attempt: ask.to.attempt.clone(),
-        salt: ask.salt.0.clone(),
+        attempt: request.to.attempt.clone(),
+        salt: request.salt.0.clone(),
         weights: engine.weights.0,
-        adapter: written(ask.adapter.as_ref()),
-        prompt_blocks: ask.names.len() as u64,
+        adapter: adapter_text(request.adapter.as_ref()),
+        prompt_blocks: request.names.len() as u64,
         cached_blocks: own_count as u64,
     }
 }
--- a/crates/simulator/src/engines.rs
+++ b/crates/simulator/src/engines.rs
@@ -4,7 +4,7 @@
 
 /// How an engine misbehaves for a while; each attempt begun then is served so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum EngineBehavior {
     Good,
     /// The stream breaks after so many pieces.
     Breaks(u64),
@@ -36,14 +36,14 @@
     pub up: bool,
     pub accepting: bool,
     pub highest_term: u64,
-    pub memory: SimMemory,
+    pub cache: SimBlockCache,
     pub attempts: BTreeMap<String, EngineAttempt>,
-    pub manner: Manner,
-    pub manner_until: Instant,
+    pub behavior: EngineBehavior,
+    pub behavior_until: Instant,
     /// Polls for events answer nothing new until then.
-    pub hides_until: Instant,
+    pub events_hidden_until: Instant,
     /// It keeps its blocks over the next load of weights, as it must not.
-    pub keeps_on_load: bool,
+    pub keeps_cache_on_load: bool,
     pub resident: BTreeSet<AdapterId>,
     pub loading: BTreeSet<AdapterId>,
 }
@@ -64,12 +64,12 @@
             up: false,
             accepting: false,
             highest_term: 0,
-            memory: SimMemory::default(),
+            cache: SimBlockCache::default(),
             attempts: BTreeMap::new(),
-            manner: Manner::Good,
-            manner_until: Instant(0),
-            hides_until: Instant(0),
-            keeps_on_load: false,
+            behavior: EngineBehavior::Good,
+            behavior_until: Instant(0),
+            events_hidden_until: Instant(0),
+            keeps_cache_on_load: false,
             resident: BTreeSet::new(),
             loading: BTreeSet::new(),
         }
@@ -78,7 +78,7 @@
 
 #[derive(Clone, Debug)]
 pub struct EngineAttempt {
-    pub to: AttemptPlaceName,
+    pub to: AttemptAddress,
     pub tokens: u64,
     pub(crate) place: u64,
     pub(crate) streams: bool,
@@ -86,10 +86,10 @@
     pub(crate) adapter: Option<AdapterId>,
     pub(crate) begins_at: Instant,
     pub(crate) limit: Instant,
-    pub(crate) manner: Manner,
+    pub(crate) behavior: EngineBehavior,
     /// News to the router come in order.
-    pub(crate) told_until: Instant,
-    pub(crate) headed: bool,
+    pub(crate) last_sent_at: Instant,
+    pub(crate) head_sent: bool,
 }
 
 impl EngineAttempt {
@@ -100,8 +100,8 @@
 
     /// The adapter that its answer names.
     pub(crate) fn names(&self) -> Option<AdapterId> {
-        match self.manner {
-            Manner::NamesForeign => Some(foreign_to(self.runs_on())),
+        match self.behavior {
+            EngineBehavior::NamesForeign => Some(foreign_to(self.runs_on())),
             _ => self.adapter.clone(),
         }
     }
@@ -109,7 +109,7 @@
 
 /// Where an attempt's news go.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AttemptPlaceName {
+pub struct AttemptAddress {
     pub node: usize,
     pub router: NodeId,
     pub run: u64,
@@ -118,8 +118,8 @@
 
 /// A question on its way to an engine.
 #[derive(Clone, Debug)]
-pub struct EngineAsk {
-    pub to: AttemptPlaceName,
+pub struct EngineRequest {
+    pub to: AttemptAddress,
     pub tenant: TenantName,
     pub weights: WeightsEdition,
     pub adapter: Option<AdapterId>,
@@ -138,7 +138,7 @@
             engine.up = true;
             engine.accepting = true;
             engine.highest_term = 0;
-            engine.memory.restart();
+            engine.cache.restart();
             engine.resident.clear();
             engine.loading.clear();
         }
@@ -153,13 +153,13 @@
         engine.up = false;
         let attempts = std::mem::take(&mut engine.attempts);
         for attempt in attempts.into_values().filter(|_| !with_machine) {
-            let at = attempt.told_until.max(self.now + Span::millis(2));
-            self.tell_run(&attempt.to, at, AttemptInput::Broken("reset".into()));
+            let at = attempt.last_sent_at.max(self.now + Span::millis(2));
+            self.send_to_run(&attempt.to, at, AttemptInput::Broken("reset".into()));
         }
     }
 
     /// An order that has reached an engine.
-    pub fn engine_ordered(&mut self, number: usize, order: SimOrder) {
+    pub fn handle_order(&mut self, number: usize, order: SimOrder) {
         let at = self.millis();
         let engine = &mut self.engines[number];
         if !engine.up {
@@ -167,7 +167,7 @@
         }
         engine.highest_term = engine.highest_term.max(order.term.0);
         let taken = order.term.0 >= engine.highest_term;
-        let named = order.wish.name();
+        let named = order.kind.name();
         self.record.engines.push(EngineLogLine::Order {
             at,
             engine: engine.name.0.clone(),
@@ -178,17 +178,17 @@
         });
         self.note(format!("e{number} ordered by {} term {}: {named}", self.record_holder(), order.term));
         let engine = &mut self.engines[number];
-        match order.wish {
+        match order.kind {
             _ if !taken => {}
-            SimWish::LoadAdapter(adapter) => self.begin_adapter_load(number, adapter),
-            SimWish::UnloadAdapter(adapter) => engine.unload(&adapter),
-            SimWish::LoadWeights(weights) => {
+            SimOrderKind::LoadAdapter(adapter) => self.begin_adapter_load(number, adapter),
+            SimOrderKind::UnloadAdapter(adapter) => engine.unload_adapter(&adapter),
+            SimOrderKind::LoadWeights(weights) => {
                 engine.accepting = false;
-                let boot = engine.memory.boot;
-                let span = Span::millis(self.draw.between(100, 600));
-                self.later(span, SimEvent::EngineLoads { engine: number, boot, weights });
+                let boot = engine.cache.boot;
+                let span = Span::millis(self.rng.between(100, 600));
+                self.schedule_after(span, SimEvent::WeightsLoaded { engine: number, boot, weights });
             }
-            SimWish::Open => engine.accepting = true,
+            SimOrderKind::Open => engine.accepting = true,
         }
     }
 
@@ -200,21 +200,21 @@
         }
     }
 
-    pub fn engine_loads(&mut self, number: usize, boot: u64, weights: WeightsEdition) {
+    pub fn finish_weights_load(&mut self, number: usize, boot: u64, weights: WeightsEdition) {
         let engine = &mut self.engines[number];
-        if engine.memory.boot != boot || !engine.up || !engine.attempts.is_empty() {
+        if engine.cache.boot != boot || !engine.up || !engine.attempts.is_empty() {
             return;
         }
         engine.weights = weights;
         engine.accepting = true;
         engine.resident.clear();
         engine.loading.clear();
-        if !std::mem::take(&mut engine.keeps_on_load) {
-            engine.memory.clear();
+        if !std::mem::take(&mut engine.keeps_cache_on_load) {
+            engine.cache.clear();
         }
     }
 
-    pub fn engine_allows(&mut self, number: usize, attempt_name: &str, span: Span) {
+    pub fn extend_attempt_limit(&mut self, number: usize, attempt_name: &str, span: Span) {
         let until = self.now + span;
         if let Some(attempt) = self.engines[number].attempts.get_mut(attempt_name) {
             attempt.limit = attempt.limit.max(until);
@@ -222,7 +222,7 @@
     }
 
     /// The router's end of an attempt's stream is closed.
-    pub fn engine_loses_caller(&mut self, number: usize, attempt_name: &str) {
+    pub fn handle_attempt_closed(&mut self, number: usize, attempt_name: &str) {
         if let Some(attempt) = self.engines[number].attempts.remove(attempt_name) {
             self.end_engine_attempt(number, &attempt, false);
         }
--- a/crates/simulator/src/events.rs
+++ b/crates/simulator/src/events.rs
@@ -4,31 +4,31 @@
 
 #[derive(Clone, Debug)]
 pub enum SimEvent {
-    KeeperPulse {
+    KeeperTick {
         keeper: usize,
-        life: u64,
+        incarnation: u64,
     },
     KeeperInput {
         keeper: usize,
-        life: Option<u64>,
+        incarnation: Option<u64>,
         input: Input,
     },
-    Synced {
+    DiskSynced {
         keeper: usize,
-        life: u64,
+        incarnation: u64,
     },
-    NodePulse {
+    NodeTick {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     NodeInput {
         node: usize,
-        life: u64,
+        incarnation: u64,
         input: SubscriptionInput,
     },
-    RouterDials {
+    RouterConnects {
         node: usize,
-        life: u64,
+        incarnation: u64,
         router: NodeId,
     },
     RouterInput {
@@ -36,144 +36,144 @@
         router: NodeId,
         message: AgentToRouter,
     },
-    Dialled {
+    NodeConnects {
         node: usize,
-        life: u64,
+        incarnation: u64,
         address: String,
     },
-    PumpUp {
+    DeliverToKeeper {
         link: usize,
     },
-    PumpDown {
+    DeliverToNode {
         link: usize,
     },
-    TakesUp {
+    AcceptLink {
         link: usize,
     },
-    LinkEnds {
+    LinkClosed {
         link: usize,
     },
     Traffic {
         node: usize,
     },
-    Enters {
+    RequestArrives {
         node: usize,
         caller: usize,
         request: SimRequest,
     },
     RunInput {
-        to: AttemptPlaceName,
+        to: AttemptAddress,
         input: AttemptInput<SimPiece>,
     },
-    EngineGets {
+    AttemptArrives {
         engine: usize,
-        ask: Box<EngineAsk>,
+        request: Box<EngineRequest>,
     },
-    EngineWorks {
+    EngineStep {
         engine: usize,
         boot: u64,
         attempt: String,
     },
-    EnginePrefills {
+    PrefillArrives {
         engine: usize,
-        ask: Box<EngineAsk>,
+        request: Box<EngineRequest>,
     },
-    Prefilled {
-        to: AttemptPlaceName,
+    PrefillDone {
+        to: AttemptAddress,
     },
-    EngineAllows {
+    ExtendLimit {
         engine: usize,
         attempt: String,
         span: Span,
     },
-    EngineLosesCaller {
+    AttemptClosed {
         engine: usize,
         attempt: String,
     },
-    OrderLeaves {
+    SendOrder {
         keeper: usize,
-        life: u64,
+        incarnation: u64,
         engine: usize,
         order: SimOrder,
     },
-    Ordered {
+    OrderArrives {
         engine: usize,
         order: SimOrder,
     },
-    EngineLoads {
+    WeightsLoaded {
         engine: usize,
         boot: u64,
         weights: WeightsEdition,
     },
-    AdapterLoads {
+    AdapterLoaded {
         engine: usize,
         boot: u64,
         adapter: AdapterId,
     },
-    TellsDemand {
+    ReportDemand {
         node: usize,
     },
     AdapterLoss(Loss),
-    Returns(Returning),
-    RaisesRevision,
+    Restore(RestoreTarget),
+    RaiseRevision,
     /// An operator binds a tenant to another of its adapters.
-    Rebinds,
+    RebindAdapter,
     /// An engine's answers name an adapter of another tenant.
-    NamesForeign {
+    ServeForeignAdapter {
         engine: usize,
         span: Span,
     },
-    Polls {
+    PollSources {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
-    WorkLook {
+    CheckWork {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
-    ClaimAgain {
+    RetrySubmission {
         node: usize,
         router: NodeId,
         ticket: u64,
         submission: Submission,
         until: Instant,
     },
-    PatienceEnds {
+    CallerTimeout {
         caller: usize,
     },
-    CallerLeft(CallerLeft),
-    ComesBack {
+    CallerDisconnected(CallerDisconnect),
+    CallerReconnects {
         node: usize,
         caller: usize,
     },
-    Resumes {
+    ResumeArrives {
         node: usize,
         caller: usize,
         carried: bool,
     },
-    AsksAgain {
+    CallerRetries {
         node: usize,
         request: SimRequest,
     },
-    Loses {
+    KillKeeper {
         keeper: usize,
     },
-    IsolatesHolder {
+    IsolateHolder {
         again: u64,
     },
-    Revives,
-    Heals,
-    WithdrawsBehind {
+    RestartAll,
+    HealNetwork,
+    WithdrawKeyBehind {
         node: usize,
         key_hash: String,
     },
-    Operator,
-    Platform,
+    OperatorChange,
+    ListingChange,
     Fault(Fault),
     /// A keeper that was told to stop ends once it has left the view, at `until` at the latest.
     StopKeeper {
         keeper: usize,
-        life: u64,
+        incarnation: u64,
         until: Instant,
     },
     Sample,
@@ -182,78 +182,84 @@
 impl World {
     pub(crate) fn handle(&mut self, event: SimEvent) {
         match event {
-            SimEvent::KeeperPulse { keeper, life } => {
-                if self.keepers[keeper].life != life || self.keepers[keeper].coordinator.is_none() {
+            SimEvent::KeeperTick { keeper, incarnation } => {
+                if self.keepers[keeper].incarnation != incarnation || self.keepers[keeper].coordinator.is_none() {
                     return;
                 }
-                self.step_keeper(keeper, Some(life), Input::Tick);
-                self.tend_keeper(keeper);
-                self.later(Span::millis(50), SimEvent::KeeperPulse { keeper, life });
+                self.step_keeper(keeper, Some(incarnation), Input::Tick);
+                self.run_duties(keeper);
+                self.schedule_after(Span::millis(50), SimEvent::KeeperTick { keeper, incarnation });
             }
-            SimEvent::KeeperInput { keeper, life, input } => self.step_keeper(keeper, life, input),
-            SimEvent::Synced { keeper, life } => self.end_sync(keeper, life),
-            SimEvent::NodePulse { node, life } => {
-                if self.nodes[node].life == life && self.nodes[node].subscription.is_some() {
-                    self.step_node(node, life, SubscriptionInput::Tick);
-                    self.later(Span::millis(50), SimEvent::NodePulse { node, life });
+            SimEvent::KeeperInput { keeper, incarnation, input } => self.step_keeper(keeper, incarnation, input),
+            SimEvent::DiskSynced { keeper, incarnation } => self.handle_disk_synced(keeper, incarnation),
+            SimEvent::NodeTick { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].subscription.is_some() {
+                    self.step_node(node, incarnation, SubscriptionInput::Tick);
+                    self.schedule_after(Span::millis(50), SimEvent::NodeTick { node, incarnation });
                 }
             }
-            SimEvent::NodeInput { node, life, input } => self.step_node(node, life, input),
-            SimEvent::RouterDials { node, life, router } => self.feed_router(node, life, router),
+            SimEvent::NodeInput { node, incarnation, input } => self.step_node(node, incarnation, input),
+            SimEvent::RouterConnects { node, incarnation, router } => self.connect_router(node, incarnation, router),
             SimEvent::RouterInput { node, router, message } => self.step_router(node, router, message),
-            SimEvent::Dialled { node, life, address } => self.connect(node, life, &address),
-            SimEvent::PumpUp { link } => self.pump(link, true),
-            SimEvent::PumpDown { link } => self.pump(link, false),
-            SimEvent::TakesUp { link } => self.take_up(link),
-            SimEvent::LinkEnds { link } => self.finish_link(link),
+            SimEvent::NodeConnects { node, incarnation, address } => {
+                self.connect_to_keeper(node, incarnation, &address)
+            }
+            SimEvent::DeliverToKeeper { link } => self.deliver_message(link, true),
+            SimEvent::DeliverToNode { link } => self.deliver_message(link, false),
+            SimEvent::AcceptLink { link } => self.accept_link(link),
+            SimEvent::LinkClosed { link } => self.close_link(link),
             SimEvent::Traffic { node } => {
                 match self.scenario {
-                    Some(_) => self.call_adapted(node),
-                    None => self.call(node),
+                    Some(_) => self.send_adapter_request(node),
+                    None => self.send_random_request(node),
                 }
-                let pause = Span::millis(self.draw.between(40, 260));
-                self.later(pause, SimEvent::Traffic { node });
+                let pause = Span::millis(self.rng.between(40, 260));
+                self.schedule_after(pause, SimEvent::Traffic { node });
+            }
+            SimEvent::RequestArrives { node, caller, request } => self.admit_request(node, caller, request),
+            SimEvent::RunInput { to, input } => self.handle_engine_input(to, input),
+            SimEvent::AttemptArrives { engine, request } => self.handle_attempt(engine, *request),
+            SimEvent::EngineStep { engine, boot, attempt } => self.step_attempt(engine, boot, attempt),
+            SimEvent::PrefillArrives { engine, request } => self.handle_prefill(engine, *request),
+            SimEvent::PrefillDone { to } => self.handle_prefill_done(to),
+            SimEvent::ExtendLimit { engine, attempt, span } => self.extend_attempt_limit(engine, &attempt, span),
+            SimEvent::AttemptClosed { engine, attempt } => self.handle_attempt_closed(engine, &attempt),
+            SimEvent::SendOrder { keeper, incarnation, engine, order } => {
+                self.send_order(keeper, incarnation, engine, order)
+            }
+            SimEvent::OrderArrives { engine, order } => self.handle_order(engine, order),
+            SimEvent::WeightsLoaded { engine, boot, weights } => self.finish_weights_load(engine, boot, weights),
+            SimEvent::AdapterLoaded { engine, boot, adapter } => self.finish_adapter_load(engine, boot, adapter),
+            SimEvent::ReportDemand { node } => self.report_demand(node),
+            SimEvent::AdapterLoss(loss) => self.inject_loss(loss),
+            SimEvent::Restore(target) => self.restore_lost(target),
+            SimEvent::RaiseRevision => self.raise_revision(),
+            SimEvent::RebindAdapter => self.rebind(),
+            SimEvent::ServeForeignAdapter { engine, span } => {
+                self.set_behavior(engine, EngineBehavior::NamesForeign, span)
             }
-            SimEvent::Enters { node, caller, request } => self.enter(node, caller, request),
-            SimEvent::RunInput { to, input } => self.hear_engine(to, input),
-            SimEvent::EngineGets { engine, ask } => self.engine_gets(engine, *ask),
-            SimEvent::EngineWorks { engine, boot, attempt } => self.engine_works(engine, boot, attempt),
-            SimEvent::EnginePrefills { engine, ask } => self.engine_prefills(engine, *ask),
-            SimEvent::Prefilled { to } => self.hear_prefilled(to),
-            SimEvent::EngineAllows { engine, attempt, span } => self.engine_allows(engine, &attempt, span),
-            SimEvent::EngineLosesCaller { engine, attempt } => self.engine_loses_caller(engine, &attempt),
-            SimEvent::OrderLeaves { keeper, life, engine, order } => self.order_leaves(keeper, life, engine, order),
-            SimEvent::Ordered { engine, order } => self.engine_ordered(engine, order),
-            SimEvent::EngineLoads { engine, boot, weights } => self.engine_loads(engine, boot, weights),
-            SimEvent::AdapterLoads { engine, boot, adapter } => self.engine_holds(engine, boot, adapter),
-            SimEvent::TellsDemand { node } => self.tell_demand(node),
-            SimEvent::AdapterLoss(loss) => self.lose(loss),
-            SimEvent::Returns(returning) => self.hear_returns(returning),
-            SimEvent::RaisesRevision => self.raise_revision(),
-            SimEvent::Rebinds => self.rebind(),
-            SimEvent::NamesForeign { engine, span } => self.misbehave(engine, Manner::NamesForeign, span),
-            SimEvent::Polls { node, life } => self.poll_sources(node, life),
-            SimEvent::WorkLook { node, life } => self.work_pulse(node, life),
-            SimEvent::ClaimAgain { node, router, ticket, submission, until } => {
-                self.say_submission(node, router, ticket, submission, until);
+            SimEvent::PollSources { node, incarnation } => self.poll_sources(node, incarnation),
+            SimEvent::CheckWork { node, incarnation } => self.check_work_periodically(node, incarnation),
+            SimEvent::RetrySubmission { node, router, ticket, submission, until } => {
+                self.send_submission(node, router, ticket, submission, until);
             }
-            SimEvent::PatienceEnds { caller } => self.lose_patience(caller),
-            SimEvent::CallerLeft(left) => self.hear_caller_left(left),
-            SimEvent::ComesBack { node, caller } => self.hear_comes_back(node, caller),
-            SimEvent::Resumes { node, caller, carried } => self.resume(node, caller, carried),
-            SimEvent::AsksAgain { node, request } => self.ask_again(node, request),
-            SimEvent::IsolatesHolder { again } => self.isolate_holder(again),
-            SimEvent::Loses { keeper } => self.kill_keeper(keeper),
-            SimEvent::Revives => self.revive(),
-            SimEvent::Heals => self.heal_but_held(true),
-            SimEvent::WithdrawsBehind { node, key_hash } => self.hear_withdraws_behind(node, &key_hash),
-            SimEvent::Operator => self.operate(),
-            SimEvent::Platform => self.change_listing(),
-            SimEvent::StopKeeper { keeper, life, until } => self.stop_keeper(keeper, life, until),
-            SimEvent::Fault(fault) => self.cause(fault),
+            SimEvent::CallerTimeout { caller } => self.time_out_caller(caller),
+            SimEvent::CallerDisconnected(left) => self.handle_caller_disconnect(left),
+            SimEvent::CallerReconnects { node, caller } => self.reconnect_caller(node, caller),
+            SimEvent::ResumeArrives { node, caller, carried } => self.resume(node, caller, carried),
+            SimEvent::CallerRetries { node, request } => self.retry_request(node, request),
+            SimEvent::IsolateHolder { again } => self.isolate_holder(again),
+            SimEvent::KillKeeper { keeper } => self.kill_keeper(keeper),
+            SimEvent::RestartAll => self.restart_all(),
+            SimEvent::HealNetwork => self.heal_except_held(true),
+            SimEvent::WithdrawKeyBehind { node, key_hash } => self.withdraw_key_behind(node, &key_hash),
+            SimEvent::OperatorChange => self.operator_change(),
+            SimEvent::ListingChange => self.change_random_listing(),
+            SimEvent::StopKeeper { keeper, incarnation, until } => self.stop_keeper(keeper, incarnation, until),
+            SimEvent::Fault(fault) => self.inject_fault(fault),
             SimEvent::Sample => {
                 self.sample();
-                self.later(Span::millis(100), SimEvent::Sample);
+                self.schedule_after(Span::millis(100), SimEvent::Sample);
             }
         }
     }
--- a/crates/simulator/src/trouble.rs
+++ b/crates/simulator/src/fault_effects.rs
@@ -3,17 +3,17 @@
 use crate::prelude::*;
 
 impl World {
-    pub fn cause(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         self.note(format!("fault {fault:?}"));
         let what = format!("{fault:?}");
         let at = self.millis();
         self.record.world.push(WorldLine::Fault { at, what });
         self.fault_kinds.push(fault.kind());
         // Most faults are undone after a while, so that later ones meet a fleet at work.
-        let span = Span::millis(self.draw.between(500, 6_000));
-        match self.draw.below(10) {
-            0..=3 => self.later(span, SimEvent::Revives),
-            4..=6 => self.later(span, SimEvent::Heals),
+        let span = Span::millis(self.rng.between(500, 6_000));
+        match self.rng.below(10) {
+            0..=3 => self.schedule_after(span, SimEvent::RestartAll),
+            4..=6 => self.schedule_after(span, SimEvent::HealNetwork),
             _ => {}
         }
         let all_keepers: Vec<usize> = (0..KEEPERS).collect();
@@ -22,15 +22,15 @@
         match fault {
             Fault::KillKeeper(keeper) => self.kill_keeper(keeper),
             Fault::StopKeeper(keeper) => {
-                let life = self.keepers[keeper].life;
-                self.step_keeper(keeper, Some(life), Input::Retire);
+                let incarnation = self.keepers[keeper].incarnation;
+                self.step_keeper(keeper, Some(incarnation), Input::Retire);
                 let until = self.now + LEAVE_TIMEOUT;
-                self.later(DRAIN_PERIOD, SimEvent::StopKeeper { keeper, life, until });
+                self.schedule_after(DRAIN_PERIOD, SimEvent::StopKeeper { keeper, incarnation, until });
             }
             Fault::KillKeepers(keepers) => keepers.into_iter().for_each(|keeper| self.kill_keeper(keeper)),
             Fault::StartKeepers => all_keepers.into_iter().for_each(|keeper| self.start_keeper(keeper)),
             Fault::ReplaceKeeper { keeper, moves } => {
-                if self.may_lose(keeper) {
+                if self.tolerates_disk_loss(keeper) {
                     self.replace_keeper(keeper, moves);
                 }
             }
@@ -58,13 +58,13 @@
             Fault::SplitCore(group) => {
                 let others: Vec<usize> = all_keepers.into_iter().filter(|keeper| !group.contains(keeper)).collect();
                 self.net.cut_between(&group, &others, true);
-                if self.draw.chance(50) {
+                if self.rng.chance(50) {
                     self.net.cut_between(&group, &all_nodes, true);
                 }
             }
             Fault::IsolateKeeper { keeper, both_ways } => {
                 let others: Vec<usize> = all_keepers.into_iter().chain(all_nodes).collect();
-                let inward = self.draw.chance(50);
+                let inward = self.rng.chance(50);
                 if inward {
                     self.net.cut_between(&others, &[keeper], both_ways);
                 } else {
@@ -72,7 +72,7 @@
                 }
             }
             Fault::IsolateNode { node, both_ways } => {
-                if self.draw.chance(50) {
+                if self.rng.chance(50) {
                     self.net.cut_between(&all_keepers, &[NODE_BASE + node], both_ways);
                 } else {
                     self.net.cut_between(&[NODE_BASE + node], &all_keepers, both_ways);
@@ -80,26 +80,26 @@
             }
             Fault::CutOffCore => self.net.cut_between(&all_keepers, &all_nodes, true),
             Fault::SlowNet => self.net.slow = true,
-            Fault::Heal => self.heal_but_held(true),
-            Fault::PowerLoss => self.power_fails = true,
+            Fault::Heal => self.heal_except_held(true),
+            Fault::PowerLoss => self.power_loss_pending = true,
             Fault::LoseZone(zone) => self.lose_zone(zone),
             Fault::CrashEngine(engine) => self.crash_engine(engine, false),
             Fault::LoseEngine(engine) => self.crash_engine(engine, true),
             Fault::StartEngines => (0..ENGINES).for_each(|engine| self.start_engine(engine)),
-            Fault::Misbehave { engine, manner, span } => self.misbehave(engine, manner, span),
+            Fault::Misbehave { engine, manner, span } => self.set_behavior(engine, manner, span),
             Fault::MisbehaveAll { manner, span } => {
                 let span = Span(span.0 / 2);
-                (0..ENGINES).for_each(|engine| self.misbehave(engine, manner, span));
+                (0..ENGINES).for_each(|engine| self.set_behavior(engine, manner, span));
             }
-            Fault::HideEvents { engine, span } => self.engines[engine].hides_until = now + span,
-            Fault::KeepOnLoad(engine) => self.engines[engine].keeps_on_load = true,
+            Fault::HideEvents { engine, span } => self.engines[engine].events_hidden_until = now + span,
+            Fault::KeepOnLoad(engine) => self.engines[engine].keeps_cache_on_load = true,
             Fault::LoseStore => self.store.restart(),
             Fault::CutPair { keeper, other, both_ways } => self.net.cut_between(&[keeper], &[other], both_ways),
-            Fault::KillInCampaign => self.campaign_fails = true,
+            Fault::KillInCampaign => self.campaign_loss_pending = true,
             Fault::IsolateHolder => self.isolate_holder(2),
-            Fault::WithdrawBehind(node) => self.withdraw_behind(node),
-            Fault::FreezeInConnect(node) => self.freezing = Some(node),
-            Fault::ListAway => (0..6).for_each(|_| self.change_listing()),
+            Fault::WithdrawBehind(node) => self.stream_then_withdraw_key(node),
+            Fault::FreezeInConnect(node) => self.freeze_on_connect = Some(node),
+            Fault::ListAway => (0..6).for_each(|_| self.change_random_listing()),
         }
     }
 
@@ -116,77 +116,83 @@
         let nodes: Vec<usize> = (0..NODES).map(|node| NODE_BASE + node).collect();
         self.net.cut_between(&[holder], &others, true);
         self.net.cut_between(&[holder], &nodes, true);
-        if self.draw.chance(60) && again > 0 {
-            let span = Span::millis(self.draw.between(5_000, 8_000));
-            self.later(Span(span.0 - 1_000_000_000), SimEvent::Heals);
-            self.later(span, SimEvent::IsolatesHolder { again: again - 1 });
+        if self.rng.chance(60) && again > 0 {
+            let span = Span::millis(self.rng.between(5_000, 8_000));
+            self.schedule_after(Span(span.0 - 1_000_000_000), SimEvent::HealNetwork);
+            self.schedule_after(span, SimEvent::IsolateHolder { again: again - 1 });
         }
         if again < 2 {
             return;
         }
-        self.name_weights(others[0]);
+        self.change_weights(others[0]);
         // Nodes that sleep through it hear of the new weights late, and must not think them new.
-        let sleepers = if self.draw.chance(50) { 3 } else { 0 };
-        for _ in 0..sleepers {
-            let node = self.draw.below(NODES as u64) as usize;
-            let until = self.now + Span::millis(self.draw.between(11_000, 16_000));
+        let frozen_count = if self.rng.chance(50) { 3 } else { 0 };
+        for _ in 0..frozen_count {
+            let node = self.rng.below(NODES as u64) as usize;
+            let until = self.now + Span::millis(self.rng.between(11_000, 16_000));
             self.nodes[node].frozen_until = self.nodes[node].frozen_until.max(until);
         }
     }
 
     /// A caller streams a long answer under a fresh key; then its node is cut off or frozen for longer
     /// than that, or its machine is lost, and the key is withdrawn.
-    fn withdraw_behind(&mut self, node: usize) {
+    fn stream_then_withdraw_key(&mut self, node: usize) {
         let Some((key_hash, tenant, _)) = self.live_keys.last().cloned() else { return };
-        self.call_long(node, TenantName(tenant), key_hash.clone());
-        self.later(Span::millis(400), SimEvent::WithdrawsBehind { node, key_hash });
+        self.send_long_request(node, TenantName(tenant), key_hash.clone());
+        self.schedule_after(Span::millis(400), SimEvent::WithdrawKeyBehind { node, key_hash });
     }
 
-    pub fn hear_withdraws_behind(&mut self, node: usize, key_hash: &str) {
+    pub fn withdraw_key_behind(&mut self, node: usize, key_hash: &str) {
         let Some(place) = self.live_keys.iter().position(|(key, _, _)| key == key_hash) else { return };
         let until = self.now + Span::seconds(9);
-        match self.draw.below(3) {
+        match self.rng.below(3) {
             0 => {
                 self.held_cuts.push((node, until));
-                self.heal_but_held(false);
+                self.heal_except_held(false);
             }
             1 => self.nodes[node].frozen_until = self.nodes[node].frozen_until.max(until),
             _ => {
-                self.lose_runs(node, true);
+                self.drop_runs(node, true);
                 self.kill_node(node);
                 self.start_node(node);
             }
         }
-        self.withdraw(node % KEEPERS, place);
+        self.withdraw_key(node % KEEPERS, place);
     }
 
     /// An attempt connects at a node that is to freeze in this moment: nothing it was chosen on stays.
-    pub fn freeze_in_connect(&mut self, node: usize, key_hash: &str, tenant: &TenantName, engines: Vec<EngineName>) {
-        if self.freezing != Some(node) {
+    pub fn freeze_node_on_connect(
+        &mut self,
+        node: usize,
+        key_hash: &str,
+        tenant: &TenantName,
+        engines: Vec<EngineName>,
+    ) {
+        if self.freeze_on_connect != Some(node) {
             return;
         }
-        self.freezing = None;
-        let until = self.now + Span::millis(self.draw.between(4_000, 9_000));
+        self.freeze_on_connect = None;
+        let until = self.now + Span::millis(self.rng.between(4_000, 9_000));
         self.nodes[node].frozen_until = self.nodes[node].frozen_until.max(until);
-        let keeper = self.draw.below(KEEPERS as u64) as usize;
-        match self.draw.below(4) {
+        let keeper = self.rng.below(KEEPERS as u64) as usize;
+        match self.rng.below(4) {
             0 => self.wall(keeper, tenant.0.clone(), true),
-            1 => self.name_weights(keeper),
+            1 => self.change_weights(keeper),
             _ => {
                 for engine in engines {
                     if let Some(number) = self.engines.iter().position(|known| known.name == engine) {
-                        self.list_away(number);
+                        self.unlist(number);
                     }
                 }
             }
         }
         if let Some(place) = self.live_keys.iter().position(|(key, _, _)| key == key_hash) {
-            self.withdraw(keeper, place);
+            self.withdraw_key(keeper, place);
         }
     }
 
     /// Heals the network, but for cuts that are held for a while.
-    pub fn heal_but_held(&mut self, heals: bool) {
+    pub fn heal_except_held(&mut self, heals: bool) {
         if heals {
             self.net.heal();
         }
@@ -198,9 +204,9 @@
         }
     }
 
-    pub(crate) fn misbehave(&mut self, number: usize, manner: Manner, span: Span) {
+    pub(crate) fn set_behavior(&mut self, number: usize, manner: EngineBehavior, span: Span) {
         let engine = &mut self.engines[number];
-        (engine.manner, engine.manner_until) = (manner, self.now + span);
+        (engine.behavior, engine.behavior_until) = (manner, self.now + span);
     }
 
     fn lose_zone(&mut self, zone: usize) {
@@ -234,13 +240,13 @@
             self.start_keeper(number);
         }
         self.faults_over = true;
-        self.power_fails = false;
-        self.campaign_fails = false;
-        self.freezing = None;
+        self.power_loss_pending = false;
+        self.campaign_loss_pending = false;
+        self.freeze_on_connect = None;
         for number in 0..ENGINES {
             self.start_engine(number);
             let engine = &mut self.engines[number];
-            (engine.manner_until, engine.hides_until) = (now, now);
+            (engine.behavior_until, engine.events_hidden_until) = (now, now);
         }
         for number in 0..NODES {
             self.nodes[number].frozen_until = now;
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -57,12 +57,12 @@
     StartEngines,
     Misbehave {
         engine: usize,
-        manner: Manner,
+        manner: EngineBehavior,
         span: Span,
     },
     /// Every engine misbehaves alike, so that second attempts meet the same.
     MisbehaveAll {
-        manner: Manner,
+        manner: EngineBehavior,
         span: Span,
     },
     HideEvents {
@@ -102,74 +102,74 @@
     }
 
     /// Draws a fault: half of them meet the core, half the edge and the engines.
-    pub fn draw(draw: &mut SeededRng, keepers: usize, nodes: usize, engines: usize) -> Fault {
-        let keeper = draw.below(keepers as u64) as usize;
-        let node = draw.below(nodes as u64) as usize;
-        let engine = draw.below(engines as u64) as usize;
-        let span = Span::millis(draw.between(300, 5_000));
-        let both_ways = draw.chance(60);
-        match draw.below(50) {
+    pub fn random(rng: &mut SeededRng, keepers: usize, nodes: usize, engines: usize) -> Fault {
+        let keeper = rng.below(keepers as u64) as usize;
+        let node = rng.below(nodes as u64) as usize;
+        let engine = rng.below(engines as u64) as usize;
+        let span = Span::millis(rng.between(300, 5_000));
+        let both_ways = rng.chance(60);
+        match rng.below(50) {
             0 => Fault::KillKeeper(keeper),
             1 => Fault::StopKeeper(keeper),
             2 => {
-                let other = (keeper + 1 + draw.below(keepers as u64 - 1) as usize) % keepers;
+                let other = (keeper + 1 + rng.below(keepers as u64 - 1) as usize) % keepers;
                 Fault::KillKeepers(vec![keeper, other])
             }
             3 => Fault::KillKeepers((0..keepers).collect()),
             4 | 5 => Fault::StartKeepers,
             6 => Fault::FreezeKeeper { keeper, span },
-            7 => Fault::SlowDisk { keeper, span: Span::millis(draw.between(20, 200)) },
+            7 => Fault::SlowDisk { keeper, span: Span::millis(rng.between(20, 200)) },
             8 => Fault::StallDisk { keeper, span },
             9 => Fault::KillNode(node),
             10 => Fault::KillRouter(node),
             11 => Fault::FreezeNode { node, span: Span(span.0 * 2) },
             12 => {
                 let other = (keeper + 1) % keepers;
-                Fault::SplitCore(if draw.chance(50) { vec![keeper] } else { vec![keeper, other] })
+                Fault::SplitCore(if rng.chance(50) { vec![keeper] } else { vec![keeper, other] })
             }
             13 => Fault::IsolateKeeper { keeper, both_ways },
             14 | 15 => Fault::IsolateNode { node, both_ways },
-            16 if draw.chance(50) => Fault::CutOffCore,
+            16 if rng.chance(50) => Fault::CutOffCore,
             16 => Fault::SlowNet,
-            17 => Fault::ReplaceKeeper { keeper, moves: draw.chance(50) },
+            17 => Fault::ReplaceKeeper { keeper, moves: rng.chance(50) },
             18 | 19 => Fault::Heal,
             20 => Fault::PowerLoss,
             21 => Fault::LoseZone(keeper),
             22 => Fault::CrashEngine(engine),
             23 => Fault::LoseEngine(engine),
             24 | 25 => Fault::StartEngines,
-            26 | 27 => Fault::Misbehave { engine, manner: Manner::draw(draw), span },
-            28 | 29 => Fault::MisbehaveAll { manner: Manner::draw(draw), span },
+            26 | 27 => Fault::Misbehave { engine, manner: EngineBehavior::random(rng), span },
+            28 | 29 => Fault::MisbehaveAll { manner: EngineBehavior::random(rng), span },
             30 => Fault::HideEvents { engine, span },
             31 => Fault::KeepOnLoad(engine),
             32 => Fault::LoseStore,
             33 => Fault::ListAway,
             34 | 35 => {
-                let other = (keeper + 1 + draw.below(keepers as u64 - 1) as usize) % keepers;
+                let other = (keeper + 1 + rng.below(keepers as u64 - 1) as usize) % keepers;
                 Fault::CutPair { keeper, other, both_ways }
             }
             36 | 37 => Fault::KillInCampaign,
             38 | 39 => Fault::IsolateHolder,
             40..=42 => Fault::WithdrawBehind(node),
             43..=45 => Fault::FreezeInConnect(node),
-            _ => Fault::MisbehaveAll { manner: Manner::draw(draw), span },
+            _ => Fault::MisbehaveAll { manner: EngineBehavior::random(rng), span },
         }
     }
 }
 
-impl Manner {
-    fn draw(draw: &mut SeededRng) -> Manner {
-        let after = draw.below(4);
-        match draw.below(9) {
-            0 => Manner::Breaks(after),
-            1 => Manner::EndsEarly(after),
-            2 => Manner::Foreign,
-            3 => Manner::ForeignPiece(after),
-            4 => Manner::GoesOn,
-            5 => Manner::Partial,
-            6 => Manner::Refuses,
-            7 => Manner::Silent,
-            _ => Manner::Late,
+impl EngineBehavior {
+    fn random(rng: &mut SeededRng) -> EngineBehavior {
+        let after = rng.below(4);
+        match rng.below(9) {
+            0 => EngineBehavior::Breaks(after),
+            1 => EngineBehavior::EndsEarly(after),
+            2 => EngineBehavior::Foreign,
+            3 => EngineBehavior::ForeignPiece(after),
+            4 => EngineBehavior::GoesOn,
+            5 => EngineBehavior::Partial,
+            6 => EngineBehavior::Refuses,
+            7 => EngineBehavior::Silent,
+            _ => EngineBehavior::Late,
         }
     }
 }
--- a/crates/simulator/src/foreign.rs
+++ b/crates/simulator/src/foreign_adapters.rs
@@ -6,29 +6,29 @@
 /// What the first tenant is bound to in turn with its usual adapter.
 const SECOND_ADAPTER: &str = "etcher";
 /// Moves of the binding and foreign answers are drawn apart from all else.
-const FOREIGN_DRAW: u64 = 0xf0e1_6e00;
+const FOREIGN_RNG_SALT: u64 = 0xf0e1_6e00;
 
 /// An adapter that is not the one an attempt runs on, and not of the same tenant.
 pub(crate) fn foreign_to(adapter: Option<&AdapterId>) -> AdapterId {
-    let is_second = adapter.is_some_and(|adapter| adapter.name.as_str() == ADAPTED[1].1);
-    AdapterId::new(if is_second { ADAPTED[0].1 } else { ADAPTED[1].1 }, 1)
+    let is_second = adapter.is_some_and(|adapter| adapter.name.as_str() == ADAPTER_TENANTS[1].1);
+    AdapterId::new(if is_second { ADAPTER_TENANTS[0].1 } else { ADAPTER_TENANTS[1].1 }, 1)
 }
 
 impl World {
     /// Draws when the binding moves, and when engines name foreign adapters, until the trouble ends.
-    pub(crate) fn schedule_foreign(&mut self, seed: u64, trouble_end: Instant) {
-        let mut draw = SeededRng::new(seed ^ FOREIGN_DRAW);
+    pub(crate) fn schedule_foreign(&mut self, seed: u64, faults_end: Instant) {
+        let mut rng = SeededRng::new(seed ^ FOREIGN_RNG_SALT);
         let mut rebound_at = self.now;
-        while rebound_at < trouble_end {
-            rebound_at = rebound_at + Span::millis(draw.between(200, 1200));
-            self.at(rebound_at, SimEvent::Rebinds);
+        while rebound_at < faults_end {
+            rebound_at = rebound_at + Span::millis(rng.between(200, 1200));
+            self.schedule_at(rebound_at, SimEvent::RebindAdapter);
         }
         let mut named_at = self.now;
-        while named_at < trouble_end {
-            named_at = named_at + Span::millis(draw.between(500, 4000));
-            let engine = draw.below(ENGINES as u64) as usize;
-            let span = Span::millis(draw.between(300, 1500));
-            self.at(named_at, SimEvent::NamesForeign { engine, span });
+        while named_at < faults_end {
+            named_at = named_at + Span::millis(rng.between(500, 4000));
+            let engine = rng.below(ENGINES as u64) as usize;
+            let span = Span::millis(rng.between(300, 1500));
+            self.schedule_at(named_at, SimEvent::ServeForeignAdapter { engine, span });
         }
     }
 
@@ -37,7 +37,7 @@
         if self.faults_over {
             return;
         }
-        let (tenant, first) = ADAPTED[0];
+        let (tenant, first) = ADAPTER_TENANTS[0];
         let states = self.keepers.iter().filter_map(|keeper| keeper.coordinator.as_ref()).map(Coordinator::state);
         let Some(newest) = states.max_by_key(|state| state.edition) else { return };
         let bound = newest.desired.adapter_of(&tenant.into(), &MODEL.into());
@@ -46,7 +46,7 @@
             r#"{{"adapters":{{"{SECOND_ADAPTER}":{{"model":"{MODEL}","owners":["{tenant}"]}}}},
                 "tenants":{{"{tenant}":{{"adapters":["{next}"]}}}}}}"#
         );
-        let keeper = self.draw.below(KEEPERS as u64) as usize;
-        self.change(keeper, patch, Meaning::Plain);
+        let keeper = self.rng.below(KEEPERS as u64) as usize;
+        self.change(keeper, patch, ChangeKind::Other);
     }
 }
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -11,55 +11,57 @@
         if keeper.coordinator.is_some() {
             return;
         }
-        keeper.life += 1;
+        keeper.incarnation += 1;
         keeper.busy_until = now;
         keeper.frozen_until = now;
         keeper.conductor = Conductor::default();
         keeper.planner = WarmingPlanner::default();
-        keeper.demand_asked = Instant(0);
-        keeper.submitted.clear();
-        keeper.census_since = None;
-        let wishes = CoordinatorSettings {
+        keeper.last_demand_query = Instant(0);
+        keeper.in_flight.clear();
+        keeper.listing_pending_since = None;
+        let settings = CoordinatorSettings {
             requires_fresh_listing: true,
             core_size: KEEPERS,
             seeds,
             ..CoordinatorSettings::default()
         };
-        let life = keeper.life.wrapping_mul(1_000_003).wrapping_add(keeper.id.0.wrapping_mul(7919));
+        let incarnation = keeper.incarnation.wrapping_mul(1_000_003).wrapping_add(keeper.id.0.wrapping_mul(7919));
         keeper.coordinator =
-            Some(Coordinator::restore(member, keeper.disk.clone(), wishes, life, keeper.clock.read(now)));
-        let life = keeper.life;
-        self.later(Span::millis(1), SimEvent::KeeperPulse { keeper: number, life });
+            Some(Coordinator::restore(member, keeper.disk.clone(), settings, incarnation, keeper.clock.read(now)));
+        let incarnation = keeper.incarnation;
+        self.schedule_after(Span::millis(1), SimEvent::KeeperTick { keeper: number, incarnation });
     }
 
     pub fn kill_keeper(&mut self, number: usize) {
         self.keepers[number].coordinator = None;
-        self.keepers[number].syncing = None;
-        self.keepers[number].life += 1;
+        self.keepers[number].pending_effects = None;
+        self.keepers[number].incarnation += 1;
         for link in 0..self.links.len() {
             if self.links[link].open && self.links[link].keeper == number {
-                self.end_link(link);
+                self.schedule_link_close(link);
             }
         }
     }
 
     /// Ends a keeper that was told to stop, unless it still waits to be let go.
-    pub fn stop_keeper(&mut self, number: usize, life: u64, until: Instant) {
+    pub fn stop_keeper(&mut self, number: usize, incarnation: u64, until: Instant) {
         let keeper = &self.keepers[number];
-        if keeper.life != life {
+        if keeper.incarnation != incarnation {
             return;
         }
         let has_left = keeper.coordinator.as_ref().is_none_or(Coordinator::has_left);
         match has_left || self.now >= until {
             true => self.kill_keeper(number),
-            false => self.later(HEARTBEAT_INTERVAL, SimEvent::StopKeeper { keeper: number, life, until }),
+            false => {
+                self.schedule_after(HEARTBEAT_INTERVAL, SimEvent::StopKeeper { keeper: number, incarnation, until })
+            }
         }
     }
 
     /// An empty machine in the place of a lost one.
     pub fn replace_keeper(&mut self, number: usize, moves: bool) {
         self.kill_keeper(number);
-        let new_id = NodeId(self.draw.next_u64() | 1 << 60);
+        let new_id = NodeId(self.rng.next_u64() | 1 << 60);
         let keeper = &mut self.keepers[number];
         keeper.id = new_id;
         keeper.disk = PersistedState::default();
@@ -69,16 +71,16 @@
         self.start_keeper(number);
     }
 
-    pub fn step_keeper(&mut self, number: usize, life: Option<u64>, input: Input) {
+    pub fn step_keeper(&mut self, number: usize, incarnation: Option<u64>, input: Input) {
         let now = self.now;
-        if life.is_some_and(|life| life != self.keepers[number].life) {
+        if incarnation.is_some_and(|incarnation| incarnation != self.keepers[number].incarnation) {
             return;
         }
-        let free_at = self.await_keeper(number);
+        let free_at = self.finish_sync_if_free(number);
         let keeper = &mut self.keepers[number];
         if free_at > now {
-            let life = Some(keeper.life);
-            self.defer(free_at, SimEvent::KeeperInput { keeper: number, life, input });
+            let incarnation = Some(keeper.incarnation);
+            self.defer(free_at, SimEvent::KeeperInput { keeper: number, incarnation, input });
             return;
         }
         let Some(coordinator) = keeper.coordinator.as_mut() else { return };
@@ -87,51 +89,51 @@
             return;
         }
         let syncs = plan.iter().any(|effect| matches!(effect, Effect::Store(_)));
-        let life = keeper.life;
+        let incarnation = keeper.incarnation;
         if syncs {
             keeper.busy_until = now + keeper.sync_span;
-            keeper.syncing = Some(plan);
+            keeper.pending_effects = Some(plan);
             let synced_at = keeper.busy_until;
-            self.at(synced_at, SimEvent::Synced { keeper: number, life });
+            self.schedule_at(synced_at, SimEvent::DiskSynced { keeper: number, incarnation });
         } else {
-            self.carry_out(number, plan);
+            self.apply_keeper_effects(number, plan);
         }
     }
 
     /// A sync is over, unless the disk stalled or the machine was frozen meanwhile.
-    pub fn end_sync(&mut self, number: usize, life: u64) {
-        if self.keepers[number].life != life {
+    pub fn handle_disk_synced(&mut self, number: usize, incarnation: u64) {
+        if self.keepers[number].incarnation != incarnation {
             return;
         }
-        let free_at = self.await_keeper(number);
+        let free_at = self.finish_sync_if_free(number);
         if free_at > self.now {
-            self.defer(free_at, SimEvent::Synced { keeper: number, life });
+            self.defer(free_at, SimEvent::DiskSynced { keeper: number, incarnation });
         }
     }
 
     /// When a keeper takes something up again. If that is now, what it planned before is carried out first.
-    pub fn await_keeper(&mut self, number: usize) -> Instant {
+    pub fn finish_sync_if_free(&mut self, number: usize) -> Instant {
         while self.keepers[number].free_at() <= self.now
-            && let Some(plan) = self.keepers[number].syncing.take()
+            && let Some(plan) = self.keepers[number].pending_effects.take()
         {
-            self.carry_out(number, plan);
+            self.apply_keeper_effects(number, plan);
         }
         self.keepers[number].free_at()
     }
 
-    fn carry_out(&mut self, number: usize, plan: Vec<Effect>) {
+    fn apply_keeper_effects(&mut self, number: usize, plan: Vec<Effect>) {
         let local_now = self.keepers[number].clock.read(self.now);
         let mut dispatch = Dispatch::default();
         for effect in plan {
             let Some(effect) = dispatch.admit(effect, local_now) else { continue };
             match effect {
-                Effect::Store(stored) => keep(&mut self.keepers[number].disk, stored),
-                Effect::Send { address, envelope, .. } => self.post(number, &address, envelope),
-                Effect::SendToNode { node, message, .. } => self.tell(number, node, message),
-                Effect::Outcome { ticket, outcome } => self.take_outcome(ticket, outcome),
+                Effect::Store(stored) => persist(&mut self.keepers[number].disk, stored),
+                Effect::Send { address, envelope, .. } => self.send_to_keeper(number, &address, envelope),
+                Effect::SendToNode { node, message, .. } => self.send_to_agent(number, node, message),
+                Effect::Outcome { ticket, outcome } => self.handle_outcome(ticket, outcome),
                 Effect::LogEvent { event, detail } => {
-                    if event == "campaign" && std::mem::take(&mut self.campaign_fails) {
-                        self.fail_campaign();
+                    if event == "campaign" && std::mem::take(&mut self.campaign_loss_pending) {
+                        self.kill_keepers_in_campaign();
                     }
                     self.note(format!("k{number} {event} {detail}"));
                 }
@@ -143,38 +145,44 @@
     }
 
     /// Keepers are lost at some moment of the vote, and start again soon.
-    fn fail_campaign(&mut self) {
+    fn kill_keepers_in_campaign(&mut self) {
         for _ in 0..2 {
-            let keeper = self.draw.below(KEEPERS as u64) as usize;
-            let span = Span::micros(self.draw.between(100, 25_000));
-            self.later(span, SimEvent::Loses { keeper });
+            let keeper = self.rng.below(KEEPERS as u64) as usize;
+            let span = Span::micros(self.rng.between(100, 25_000));
+            self.schedule_after(span, SimEvent::KillKeeper { keeper });
         }
-        let span = Span::millis(self.draw.between(30, 900));
-        self.later(span, SimEvent::Revives);
+        let span = Span::millis(self.rng.between(30, 900));
+        self.schedule_after(span, SimEvent::RestartAll);
     }
 
-    pub fn post(&mut self, from: usize, address: &str, envelope: Envelope) {
+    pub fn send_to_keeper(&mut self, from: usize, address: &str, envelope: Envelope) {
         let Some(to) = self.keepers.iter().position(|keeper| keeper.address == address) else { return };
         if self.net.is_cut(from, to) {
             return;
         }
-        let delay = self.net.delay(&mut self.draw);
-        self.later(delay, SimEvent::KeeperInput { keeper: to, life: None, input: Input::Peer(envelope) });
+        let delay = self.net.delay(&mut self.rng);
+        self.schedule_after(
+            delay,
+            SimEvent::KeeperInput { keeper: to, incarnation: None, input: Input::Peer(envelope) },
+        );
     }
 
-    pub fn tell(&mut self, keeper: usize, node_id: NodeId, message: KeeperToAgent) {
-        let life = self.keepers[keeper].life;
+    pub fn send_to_agent(&mut self, keeper: usize, node_id: NodeId, message: KeeperToAgent) {
+        let incarnation = self.keepers[keeper].incarnation;
         let found = self.links.iter().rposition(|link| {
-            link.taken_up && link.keeper == keeper && link.keeper_life == life && self.nodes[link.node].id == node_id
+            link.accepted
+                && link.keeper == keeper
+                && link.keeper_incarnation == incarnation
+                && self.nodes[link.node].id == node_id
         });
         let Some(link) = found.filter(|link| self.links[*link].open) else { return };
         self.links[link].down.push_back(message);
-        let delay = self.net.delay(&mut self.draw);
-        self.later(delay, SimEvent::PumpDown { link });
+        let delay = self.net.delay(&mut self.rng);
+        self.schedule_after(delay, SimEvent::DeliverToNode { link });
     }
 
     /// Census and conductor of one keeper, as the daemon's duties do them.
-    pub fn tend_keeper(&mut self, number: usize) {
+    pub fn run_duties(&mut self, number: usize) {
         let now = self.now;
         let keeper = &mut self.keepers[number];
         if keeper.frozen_until > now || keeper.busy_until > now {
@@ -187,32 +195,35 @@
         }
         let reading =
             Input::ListingRead { read: Some(("p".into(), ListingNumber(self.listing_number))), asked: local_now };
-        let life = keeper.life;
-        let reads_now = now.since(keeper.census_read) >= Span::millis(250);
+        let incarnation = keeper.incarnation;
+        let reads_now = now.since(keeper.last_listing_read) >= Span::millis(250);
         if reads_now {
-            keeper.census_read = now;
+            keeper.last_listing_read = now;
         }
         let state = coordinator.state().clone();
         let census = coordinator.actionable_duty(DutyKind::Census, local_now);
         let conductor_term = coordinator.actionable_duty(DutyKind::Conductor, local_now);
         let named_term = coordinator.leased_duty(DutyKind::Conductor, local_now);
         if reads_now {
-            self.later(Span::millis(3), SimEvent::KeeperInput { keeper: number, life: Some(life), input: reading });
+            self.schedule_after(
+                Span::millis(3),
+                SimEvent::KeeperInput { keeper: number, incarnation: Some(incarnation), input: reading },
+            );
         }
         let keeper = &mut self.keepers[number];
         if state.listing.number.0 < self.listing_number {
-            let since = *keeper.census_since.get_or_insert(now);
+            let since = *keeper.listing_pending_since.get_or_insert(now);
             if census.is_some() || now.since(since) >= Span::millis(500) {
-                keeper.census_since = Some(now);
+                keeper.listing_pending_since = Some(now);
                 let listing = self.listing();
                 let request = RequestId(0xce00_0000 + self.listing_number);
-                self.ask(number, Submission { request, command: Command::List(listing) }, None);
+                self.submit(number, Submission { request, command: Command::List(listing) }, None);
             }
         } else {
-            keeper.census_since = None;
+            keeper.listing_pending_since = None;
         }
         if let Some((term, _)) = conductor_term {
-            self.conduct(number, term, &state, local_now);
+            self.run_conductor(number, term, &state, local_now);
         }
         match named_term {
             Some((term, _)) => {
@@ -244,14 +255,14 @@
         Listing { boot: "p".into(), number: ListingNumber(self.listing_number), engines }
     }
 
-    pub fn conduct(&mut self, number: usize, term: Term, state: &FleetState, local_now: Instant) {
+    pub fn run_conductor(&mut self, number: usize, term: Term, state: &FleetState, local_now: Instant) {
         let observed: BTreeMap<EngineName, EngineObservation> = self
             .engines
             .iter()
             .filter(|engine| engine.up)
             .map(|engine| {
                 let seen = EngineObservation {
-                    boot: engine.memory.boot.to_string(),
+                    boot: engine.cache.boot.to_string(),
                     weights: engine.weights,
                     running: engine.attempts.len() as u64,
                     accepting: engine.accepting,
@@ -261,98 +272,98 @@
             })
             .collect();
         let now = self.now;
-        self.keepers[number].submitted.retain(|_, until| now < *until);
-        let acts = self.keepers[number].conductor.next_actions(state, &observed, local_now);
-        for act in acts {
-            match act {
+        self.keepers[number].in_flight.retain(|_, until| now < *until);
+        let actions = self.keepers[number].conductor.next_actions(state, &observed, local_now);
+        for action in actions {
+            match action {
                 ConductorAction::SetStanding { engine, standing }
                     if standing.closed && !self.may_close(number, state, &engine) => {}
                 ConductorAction::SetStanding { engine, standing } => {
                     let now = self.now;
-                    let waits = self.keepers[number].submitted.get(&engine).is_some_and(|until| now < *until);
+                    let waits = self.keepers[number].in_flight.get(&engine).is_some_and(|until| now < *until);
                     if waits {
                         continue;
                     }
-                    self.keepers[number].submitted.insert(engine.clone(), now + Span::seconds(5));
-                    let means = Meaning::Stands { keeper: number, engine: engine.clone() };
-                    let request = RequestId(self.draw.next_u64());
-                    self.ask(
+                    self.keepers[number].in_flight.insert(engine.clone(), now + Span::seconds(5));
+                    let kind = ChangeKind::ConductorStep { keeper: number, engine: engine.clone() };
+                    let request = RequestId(self.rng.next_u64());
+                    self.submit(
                         number,
                         Submission { request, command: Command::SetEngineStatus { term, engine, status: standing } },
-                        Some(means),
+                        Some(kind),
                     );
                 }
                 ConductorAction::Load { engine, weights, .. } => {
-                    self.order(number, term, engine.clone(), engine, SimWish::LoadWeights(weights));
+                    self.order(number, term, engine.clone(), engine, SimOrderKind::LoadWeights(weights));
                 }
                 ConductorAction::Open { engine, .. } => {
-                    self.order(number, term, engine.clone(), engine, SimWish::Open)
+                    self.order(number, term, engine.clone(), engine, SimOrderKind::Open)
                 }
                 ConductorAction::DoStep { plan, .. } if !self.may_do_step(number, state, plan) => {}
                 ConductorAction::DoStep { plan, step } => {
-                    self.step_plan(number, plan, Command::DoStep { term, plan, step })
+                    self.submit_plan_step(number, plan, Command::DoStep { term, plan, step })
                 }
                 ConductorAction::EndPlan { plan, halted } => {
-                    self.step_plan(number, plan, Command::EndPlan { term, plan, halted });
+                    self.submit_plan_step(number, plan, Command::EndPlan { term, plan, halted });
                 }
             }
         }
     }
 
     /// Gives an order, unless an earlier wish for this engine is under way.
-    pub fn order(&mut self, number: usize, term: Term, engine: EngineName, naming: EngineName, wish: SimWish) {
+    pub fn order(&mut self, number: usize, term: Term, engine: EngineName, key: EngineName, kind: SimOrderKind) {
         let Some(engine) = self.engines.iter().position(|known| known.name == engine) else { return };
-        if self.keepers[number].submitted.contains_key(&naming) {
+        if self.keepers[number].in_flight.contains_key(&key) {
             return;
         }
-        self.keepers[number].submitted.insert(naming, self.now + Span::millis(700));
-        let order = SimOrder { holder: self.keepers[number].id.to_string(), term, wish };
-        let life = self.keepers[number].life;
-        let delay = self.net.delay(&mut self.draw);
-        self.later(delay, SimEvent::OrderLeaves { keeper: number, life, engine, order });
+        self.keepers[number].in_flight.insert(key, self.now + Span::millis(700));
+        let order = SimOrder { holder: self.keepers[number].id.to_string(), term, kind };
+        let incarnation = self.keepers[number].incarnation;
+        let delay = self.net.delay(&mut self.rng);
+        self.schedule_after(delay, SimEvent::SendOrder { keeper: number, incarnation, engine, order });
     }
 
     /// The duty is looked at once more in the write that would give the order.
-    pub fn order_leaves(&mut self, number: usize, life: u64, engine: usize, order: SimOrder) {
+    pub fn send_order(&mut self, number: usize, incarnation: u64, engine: usize, order: SimOrder) {
         let keeper = &self.keepers[number];
-        if keeper.life != life {
+        if keeper.incarnation != incarnation {
             return;
         }
         if keeper.frozen_until > self.now {
             let woken_at = keeper.frozen_until;
-            return self.defer(woken_at, SimEvent::OrderLeaves { keeper: number, life, engine, order });
+            return self.defer(woken_at, SimEvent::SendOrder { keeper: number, incarnation, engine, order });
         }
         let Some(coordinator) = &keeper.coordinator else { return };
         let held = coordinator.actionable_duty(DutyKind::Conductor, keeper.clock.read(self.now));
         if held.is_some_and(|(term, _)| term == order.term) {
-            let delay = self.net.delay(&mut self.draw);
-            self.later(delay, SimEvent::Ordered { engine, order });
+            let delay = self.net.delay(&mut self.rng);
+            self.schedule_after(delay, SimEvent::OrderArrives { engine, order });
         }
     }
 
-    fn step_plan(&mut self, number: usize, plan: Edition, command: Command) {
-        let naming = EngineName(format!("plan {plan}"));
-        if self.keepers[number].submitted.contains_key(&naming) {
+    fn submit_plan_step(&mut self, number: usize, plan: Edition, command: Command) {
+        let key = EngineName(format!("plan {plan}"));
+        if self.keepers[number].in_flight.contains_key(&key) {
             return;
         }
-        self.keepers[number].submitted.insert(naming.clone(), self.now + Span::seconds(5));
-        let request = RequestId(self.draw.next_u64());
-        let means = Meaning::Stands { keeper: number, engine: naming };
-        self.ask(number, Submission { request, command }, Some(means));
+        self.keepers[number].in_flight.insert(key.clone(), self.now + Span::seconds(5));
+        let request = RequestId(self.rng.next_u64());
+        let kind = ChangeKind::ConductorStep { keeper: number, engine: key };
+        self.submit(number, Submission { request, command }, Some(kind));
     }
 
-    pub fn ask(&mut self, keeper: usize, submission: Submission, means: Option<Meaning>) {
+    pub fn submit(&mut self, keeper: usize, submission: Submission, kind: Option<ChangeKind>) {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        self.asked.insert(ticket, AskedChange { request: submission.request, means });
+        self.pending_changes.insert(ticket, PendingChange { request: submission.request, kind });
         let limit = self.keepers[keeper].clock.read(self.now) + Span::seconds(8);
         let input = Input::Query { ticket, question: CoreQuery::Submit(submission), limit };
-        let life = self.keepers[keeper].life;
-        self.later(Span::millis(1), SimEvent::KeeperInput { keeper, life: Some(life), input });
+        let incarnation = self.keepers[keeper].incarnation;
+        self.schedule_after(Span::millis(1), SimEvent::KeeperInput { keeper, incarnation: Some(incarnation), input });
     }
 
     /// A disk may be lost if the promise made for it holds: one at a time, the others whole.
-    pub fn may_lose(&self, keeper: usize) -> bool {
+    pub fn tolerates_disk_loss(&self, keeper: usize) -> bool {
         let id = self.keepers[keeper].id;
         let newest_view =
             self.keepers.iter().filter_map(|other| other.disk.view.as_ref()).max_by_key(|view| view.number);
@@ -368,7 +379,7 @@
 }
 
 /// What a synced store leaves on a simulated disk.
-pub fn keep(disk: &mut PersistedState, stored: Stored) {
+pub fn persist(disk: &mut PersistedState, stored: Stored) {
     match stored {
         Stored::Record(record) => disk.records.push(record),
         Stored::Snapshot { mark, state } => {
--- a/crates/simulator/src/leaving.rs
+++ b/crates/simulator/src/leaving_engines.rs
@@ -24,7 +24,7 @@
             self.note(format!("platform: listing {} {engine} leaving", self.listing_number));
             self.engines[number].listed = Some(Listed::Leaving);
             self.record.world.push(WorldLine::ListedAway { at, engine });
-            self.later(AWAY_SPAN, SimEvent::Returns(Returning::Listing(number)));
+            self.schedule_after(AWAY_SPAN, SimEvent::Restore(RestoreTarget::Listing(number)));
         }
     }
 
@@ -32,8 +32,8 @@
     pub(crate) fn drain_holders(&mut self, adapter: &str) {
         for number in self.holders_of(adapter) {
             let engine = self.engines[number].name.clone();
-            self.intend_plan(Intent::Drain { engine });
-            self.later(AWAY_SPAN, SimEvent::Returns(Returning::Drained(number)));
+            self.state_intent_and_confirm(Intent::Drain { engine });
+            self.schedule_after(AWAY_SPAN, SimEvent::Restore(RestoreTarget::Drained(number)));
         }
     }
 
@@ -49,14 +49,14 @@
     /// An operator ends the drain of an engine.
     pub(crate) fn undrain(&mut self, number: usize) {
         let engine = self.engines[number].name.clone();
-        self.intend_plan(Intent::Undrain { engine });
+        self.state_intent_and_confirm(Intent::Undrain { engine });
     }
 
     /// An operator states an intent at some keeper, and confirms the plan.
-    fn intend_plan(&mut self, intent: Intent) {
-        let keeper = self.draw.below(KEEPERS as u64) as usize;
+    fn state_intent_and_confirm(&mut self, intent: Intent) {
+        let keeper = self.rng.below(KEEPERS as u64) as usize;
         self.note(format!("operator via k{keeper} intends {intent:?}"));
-        let request = RequestId(self.draw.next_u64());
-        self.ask(keeper, Submission { request, command: Command::Intend(intent) }, Some(Meaning::Intended));
+        let request = RequestId(self.rng.next_u64());
+        self.submit(keeper, Submission { request, command: Command::Intend(intent) }, Some(ChangeKind::IntentStated));
     }
 }
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -11,8 +11,8 @@
 }
 
 impl Clock {
-    pub fn drawn(draw: &mut SeededRng) -> Clock {
-        Clock { offset: draw.between(1_000, 1_000_000) * 1_000_000_000, rate: draw.between(99_500, 100_500) }
+    pub fn random(rng: &mut SeededRng) -> Clock {
+        Clock { offset: rng.between(1_000, 1_000_000) * 1_000_000_000, rate: rng.between(99_500, 100_500) }
     }
 
     pub fn read(&self, at: Instant) -> Instant {
@@ -28,21 +28,21 @@
     pub disk: PersistedState,
     pub clock: Clock,
     /// Counts lives; events of an earlier life are void.
-    pub life: u64,
+    pub incarnation: u64,
     pub frozen_until: Instant,
     /// While the disk syncs, inputs wait.
     pub busy_until: Instant,
     pub sync_span: Span,
     /// What was planned and waits for its sync; nothing else is taken up before it is carried out.
-    pub syncing: Option<Vec<Effect>>,
-    pub census_since: Option<Instant>,
+    pub pending_effects: Option<Vec<Effect>>,
+    pub listing_pending_since: Option<Instant>,
     /// When it read the platform's listing last.
-    pub census_read: Instant,
+    pub last_listing_read: Instant,
     pub conductor: Conductor,
     pub planner: WarmingPlanner,
     /// When it asked last where requests on adapters arrive.
-    pub demand_asked: Instant,
-    pub submitted: BTreeMap<EngineName, Instant>,
+    pub last_demand_query: Instant,
+    pub in_flight: BTreeMap<EngineName, Instant>,
 }
 
 impl SimKeeper {
@@ -54,17 +54,17 @@
             address: format!("k{number}"),
             disk: PersistedState::default(),
             clock,
-            life: 0,
+            incarnation: 0,
             frozen_until: Instant(0),
             busy_until: Instant(0),
-            syncing: None,
+            pending_effects: None,
             sync_span: Span::millis(2),
-            census_since: None,
-            census_read: Instant(0),
+            listing_pending_since: None,
+            last_listing_read: Instant(0),
             conductor: Conductor::default(),
             planner: WarmingPlanner::default(),
-            demand_asked: Instant(0),
-            submitted: BTreeMap::new(),
+            last_demand_query: Instant(0),
+            in_flight: BTreeMap::new(),
         }
     }
 
@@ -78,11 +78,11 @@
     pub subscription: Option<Subscription>,
     pub id: NodeId,
     pub clock: Clock,
-    pub life: u64,
+    pub incarnation: u64,
     pub frozen_until: Instant,
     pub router: Option<SimRouter>,
     /// The router whose stream the agent holds.
-    pub fed_router: Option<NodeId>,
+    pub connected_router: Option<NodeId>,
     pub link: Option<usize>,
 }
 
@@ -93,10 +93,10 @@
             subscription: None,
             id: NodeId(1000 + number as u64),
             clock,
-            life: 0,
+            incarnation: 0,
             frozen_until: Instant(0),
             router: None,
-            fed_router: None,
+            connected_router: None,
             link: None,
         }
     }
@@ -105,7 +105,7 @@
 /// The router: what is in force, until when it may start, and what it has under way.
 pub struct SimRouter {
     pub id: NodeId,
-    pub sight: FleetSnapshot,
+    pub snapshot: FleetSnapshot,
     pub lease_until: Instant,
     pub picker: Picker,
     pub budget: RetryBudget,
@@ -122,7 +122,7 @@
     pub fn new(id: NodeId, zone: Zone) -> SimRouter {
         SimRouter {
             id,
-            sight: FleetSnapshot::default(),
+            snapshot: FleetSnapshot::default(),
             lease_until: Instant(0),
             picker: Picker::new(id, zone),
             budget: RetryBudget::default(),
@@ -140,10 +140,10 @@
 pub struct SimLink {
     pub node: usize,
     pub keeper: usize,
-    pub keeper_life: u64,
+    pub keeper_incarnation: u64,
     pub open: bool,
     /// Whether the keeper has taken the stream up; until then it still writes to the one before.
-    pub taken_up: bool,
+    pub accepted: bool,
     pub up: VecDeque<AgentToKeeper>,
     pub down: VecDeque<KeeperToAgent>,
 }
@@ -153,25 +153,25 @@
 pub struct SimOrder {
     pub holder: String,
     pub term: Term,
-    pub wish: SimWish,
+    pub kind: SimOrderKind,
 }
 
 /// What an engine is ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SimWish {
+pub enum SimOrderKind {
     Open,
     LoadWeights(WeightsEdition),
     LoadAdapter(AdapterId),
     UnloadAdapter(AdapterId),
 }
 
-impl SimWish {
+impl SimOrderKind {
     pub fn name(&self) -> &'static str {
         match self {
-            SimWish::Open => "open",
-            SimWish::LoadWeights(_) => "load",
-            SimWish::LoadAdapter(_) => "load adapter",
-            SimWish::UnloadAdapter(_) => "unload adapter",
+            SimOrderKind::Open => "open",
+            SimOrderKind::LoadWeights(_) => "load",
+            SimOrderKind::LoadAdapter(_) => "load adapter",
+            SimOrderKind::UnloadAdapter(_) => "unload adapter",
         }
     }
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use units::prelude::*;
 
-static TRADE: ProgramSpec = ProgramSpec {
+static PROGRAM: ProgramSpec = ProgramSpec {
     program: "simulator",
     about: "Plays the fleet's pure machines under seeded faults in virtual time.",
     settings: &[
@@ -31,7 +31,7 @@
 };
 
 fn main() -> std::process::ExitCode {
-    run_program(&TRADE, |settings| {
+    run_program(&PROGRAM, |settings| {
         let fault_pause_ms = settings.whole("pause_ms")?;
         let lasting = match settings.text("lasting")? {
             "deaf" => Lasting::DeafKeeper,
@@ -39,41 +39,41 @@
             _ => Lasting::Nothing,
         };
         let adapters = match settings.text("adapters")? {
-            "trouble" => AdapterPlay::Trouble,
-            "foreign" => AdapterPlay::Foreign,
-            "shift" => AdapterPlay::Shift,
-            "leave" => AdapterPlay::Leave,
-            _ => AdapterPlay::Nothing,
+            "trouble" => AdapterMode::Trouble,
+            "foreign" => AdapterMode::Foreign,
+            "shift" => AdapterMode::Shift,
+            "leave" => AdapterMode::Leave,
+            _ => AdapterMode::Nothing,
         };
         let disorder = settings.flag("disorder");
         let first_seed = settings.whole("seed")?;
-        let trouble = Span::seconds(settings.whole("trouble_s")?);
+        let fault_span = Span::seconds(settings.whole("trouble_s")?);
         let keeps_notes = settings.flag("notes");
         let plans: Vec<RunPlan> = (first_seed..first_seed + settings.whole("count")?)
             .map(|seed| RunPlan {
-                trouble,
+                fault_span,
                 fault_pause_ms,
                 lasting,
                 keeps_notes,
                 disorder,
                 adapters,
-                ..RunPlan::of(seed)
+                ..RunPlan::for_seed(seed)
             })
             .collect();
-        let mut sums = Sums::default();
+        let mut totals = Totals::default();
         for batch in plans.chunks(64) {
-            for (plan, outcome) in batch.iter().zip(play_many(batch)) {
-                show(plan, &outcome);
-                sums.take(outcome);
+            for (plan, outcome) in batch.iter().zip(run_many(batch)) {
+                print(plan, &outcome);
+                totals.add(outcome);
             }
         }
-        sums.show();
-        let broken_count = sums.broken_count;
+        totals.print();
+        let broken_count = totals.broken_count;
         if broken_count == 0 { Ok(()) } else { Err(miette!("{broken_count} seeds broke a rule")) }
     })
 }
 
-fn show(plan: &RunPlan, outcome: &RunOutcome) {
+fn print(plan: &RunPlan, outcome: &RunOutcome) {
     outcome.notes.iter().for_each(|line| println!("{line}"));
     if !plan.keeps_notes && outcome.violations.is_empty() {
         return;
@@ -94,7 +94,7 @@
 
 /// What many runs came to.
 #[derive(Default)]
-struct Sums {
+struct Totals {
     runs: usize,
     broken_count: usize,
     starts: usize,
@@ -107,8 +107,8 @@
     loads: u64,
 }
 
-impl Sums {
-    fn take(&mut self, outcome: RunOutcome) {
+impl Totals {
+    fn add(&mut self, outcome: RunOutcome) {
         self.runs += 1;
         self.broken_count += usize::from(!outcome.violations.is_empty());
         self.starts += outcome.starts;
@@ -126,14 +126,14 @@
         }
     }
 
-    fn show(&mut self) {
+    fn print(&mut self) {
         self.recoveries.sort();
-        let at = |share: usize| {
+        let percentile = |share: usize| {
             self.recoveries.get(self.recoveries.len() * share / 100).map_or(0, |span| span.as_millis())
         };
         let most = self.recoveries.last().map_or(0, |span| span.as_millis());
         println!("runs {} starts {} recovered {}", self.runs, self.starts, self.recoveries.len());
-        println!("recovery ms: p50 {} p90 {} p99 {} most {most}", at(50), at(90), at(99));
+        println!("recovery ms: p50 {} p90 {} p99 {} most {most}", percentile(50), percentile(90), percentile(99));
         if self.loads > 0 {
             self.warmed.sort();
             let warmed =
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/network.rs
@@ -6,12 +6,12 @@
 pub const NODE_BASE: usize = 100;
 
 #[derive(Default)]
-pub struct Net {
+pub struct SimNetwork {
     pub cuts: BTreeSet<(usize, usize)>,
     pub slow: bool,
 }
 
-impl Net {
+impl SimNetwork {
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cuts.contains(&(from, to))
     }
@@ -32,11 +32,11 @@
         self.slow = false;
     }
 
-    pub fn delay(&self, draw: &mut SeededRng) -> Span {
-        let micros = match (self.slow, draw.chance(2)) {
-            (true, _) => draw.between(20_000, 120_000),
-            (false, true) => draw.between(5_000, 60_000),
-            (false, false) => draw.between(200, 3_000),
+    pub fn delay(&self, rng: &mut SeededRng) -> Span {
+        let micros = match (self.slow, rng.chance(2)) {
+            (true, _) => rng.between(20_000, 120_000),
+            (false, true) => rng.between(5_000, 60_000),
+            (false, false) => rng.between(200, 3_000),
         };
         Span(micros * 1000)
     }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -3,156 +3,158 @@
 use crate::prelude::*;
 
 impl World {
-    pub fn take_outcome(&mut self, ticket: u64, outcome: QueryOutcome) {
-        if self.hear_demand(ticket, &outcome) {
+    pub fn handle_outcome(&mut self, ticket: u64, outcome: QueryOutcome) {
+        if self.handle_demand_answer(ticket, &outcome) {
             return;
         }
-        let Some(asked) = self.asked.remove(&ticket) else { return };
-        if let Some(Meaning::Stands { keeper, engine }) = &asked.means {
-            self.keepers[*keeper].submitted.remove(engine);
+        let Some(pending) = self.pending_changes.remove(&ticket) else { return };
+        if let Some(ChangeKind::ConductorStep { keeper, engine }) = &pending.kind {
+            self.keepers[*keeper].in_flight.remove(engine);
         }
         let QueryOutcome::Settled(CommandOutcome::Applied(edition)) = outcome else { return };
         let at = self.millis();
-        self.acked.insert(asked.request, edition);
-        self.see_committed(edition, asked.request, "an answer");
-        self.note(format!("acked {edition} request {}", asked.request));
-        let Some(meaning) = asked.means else { return };
+        self.acked.insert(pending.request, edition);
+        self.check_committed(edition, pending.request, "an answer");
+        self.note(format!("acked {edition} request {}", pending.request));
+        let Some(kind) = pending.kind else { return };
         self.record.world.push(WorldLine::Acked { at, edition: edition.0 });
-        self.hold_to_ack(edition);
-        match meaning {
-            Meaning::KeyWithdrawn(key) => self.record.world.push(WorldLine::KeyWithdrawn { at, key }),
-            Meaning::KeyAdded { key, tenant, number } => self.live_keys.push((key, tenant, number)),
-            Meaning::Weights(weights) => self.record.world.push(WorldLine::WeightsAcked { at, weights }),
-            Meaning::Walled(tenant) => {
-                let (open_count, last_edition) = self.unwallings.get(&tenant).copied().unwrap_or_default();
+        self.check_ack(edition);
+        match kind {
+            ChangeKind::KeyWithdrawn(key) => self.record.world.push(WorldLine::KeyWithdrawn { at, key }),
+            ChangeKind::KeyAdded { key, tenant, number } => self.live_keys.push((key, tenant, number)),
+            ChangeKind::Weights(weights) => self.record.world.push(WorldLine::WeightsAcked { at, weights }),
+            ChangeKind::Walled(tenant) => {
+                let (open_count, last_edition) = self.pending_unwalls.get(&tenant).copied().unwrap_or_default();
                 if open_count == 0 && last_edition < edition {
                     self.record.world.push(WorldLine::Walled { at, tenant });
                 }
             }
-            Meaning::Unwalled(tenant) => {
-                let (open_count, last_edition) = self.unwallings.entry(tenant).or_default();
+            ChangeKind::Unwalled(tenant) => {
+                let (open_count, last_edition) = self.pending_unwalls.entry(tenant).or_default();
                 *open_count -= 1;
                 *last_edition = edition.max(*last_edition);
             }
-            Meaning::Intended => {
-                let keeper = self.draw.below(KEEPERS as u64) as usize;
-                let request = RequestId(self.draw.next_u64());
+            ChangeKind::IntentStated => {
+                let keeper = self.rng.below(KEEPERS as u64) as usize;
+                let request = RequestId(self.rng.next_u64());
                 let command = Command::Confirm { plan: edition };
-                self.ask(keeper, Submission { request, command }, Some(Meaning::Plain));
+                self.submit(keeper, Submission { request, command }, Some(ChangeKind::Other));
             }
-            Meaning::Raced(race) => {
-                let taken_count = self.raced.entry(race).or_default();
+            ChangeKind::Race(race) => {
+                let taken_count = self.races_taken.entry(race).or_default();
                 *taken_count += 1;
                 if *taken_count > 1 {
-                    self.extra.push(format!("rule 8: two operators' changes on one base were both taken, at {at}"));
+                    self.extra_violations
+                        .push(format!("rule 8: two operators' changes on one base were both taken, at {at}"));
                 }
             }
-            Meaning::Plain | Meaning::Stands { .. } => {}
+            ChangeKind::Other | ChangeKind::ConductorStep { .. } => {}
         }
-        if std::mem::take(&mut self.power_fails) {
+        if std::mem::take(&mut self.power_loss_pending) {
             self.note("power fails in the whole core".into());
             (0..KEEPERS).for_each(|keeper| self.kill_keeper(keeper));
-            self.later(Span::millis(600), SimEvent::Revives);
+            self.schedule_after(Span::millis(600), SimEvent::RestartAll);
         }
     }
 
     /// What is acknowledged is in force now on every router that may start, frozen ones included.
-    fn hold_to_ack(&mut self, edition: Edition) {
+    fn check_ack(&mut self, edition: Edition) {
         for (number, node) in self.nodes.iter().enumerate() {
             let Some(router) = &node.router else { continue };
-            let is_behind = router.sight.state.edition < edition;
+            let is_behind = router.snapshot.state.edition < edition;
             if is_behind && is_leased(router.lease_until, node.clock.read(self.now)) {
-                let seen = router.sight.state.edition;
-                self.extra.push(format!("rule 8: edition {edition} was acknowledged while n{number} served {seen}"));
+                let seen = router.snapshot.state.edition;
+                self.extra_violations
+                    .push(format!("rule 8: edition {edition} was acknowledged while n{number} served {seen}"));
             }
         }
     }
 
     /// What is down starts again: keepers on what their disks had synced, engines empty.
-    pub fn revive(&mut self) {
+    pub fn restart_all(&mut self) {
         (0..ENGINES).for_each(|engine| self.start_engine(engine));
         (0..KEEPERS).for_each(|keeper| self.start_keeper(keeper));
     }
 
     /// An operator changes something through a keeper drawn by lot.
-    pub fn operate(&mut self) {
-        let keeper = self.draw.below(KEEPERS as u64) as usize;
-        let (patch, means) = match self.draw.below(14) {
+    pub fn operator_change(&mut self) {
+        let keeper = self.rng.below(KEEPERS as u64) as usize;
+        let (patch, kind) = match self.rng.below(14) {
             0..=2 => {
                 self.next_key += 1;
-                let tenant = format!("t{}", self.draw.below(TENANTS as u64));
+                let tenant = format!("t{}", self.rng.below(TENANTS as u64));
                 let key = format!("{:064x}", self.next_key);
                 self.keys.push((key.clone(), tenant.clone()));
                 let patch = format!(r#"{{"tenants":{{"{tenant}":{{"keys":{{"k{}":"{key}"}}}}}}}}"#, self.next_key);
-                (patch, Meaning::KeyAdded { key, tenant, number: self.next_key })
+                (patch, ChangeKind::KeyAdded { key, tenant, number: self.next_key })
             }
             3..=5 if !self.live_keys.is_empty() => {
-                let place = self.draw.below(self.live_keys.len() as u64) as usize;
-                return self.withdraw(keeper, place);
+                let place = self.rng.below(self.live_keys.len() as u64) as usize;
+                return self.withdraw_key(keeper, place);
             }
-            6 => return self.name_weights(keeper),
-            7 => return self.intend(keeper),
+            6 => return self.change_weights(keeper),
+            7 => return self.state_intent(keeper),
             8 => return self.race(),
             9 | 10 => {
-                let tenant = format!("t{}", self.draw.below(TENANTS as u64));
-                let walled = self.draw.chance(60);
+                let tenant = format!("t{}", self.rng.below(TENANTS as u64));
+                let walled = self.rng.chance(60);
                 return self.wall(keeper, tenant, walled);
             }
             _ => {
-                let patch = format!(r#"{{"kinds":["k","x{}"]}}"#, self.draw.below(1000));
-                (patch, Meaning::Plain)
+                let patch = format!(r#"{{"kinds":["k","x{}"]}}"#, self.rng.below(1000));
+                (patch, ChangeKind::Other)
             }
         };
-        self.change(keeper, patch, means);
+        self.change(keeper, patch, kind);
     }
 
     pub fn wall(&mut self, keeper: usize, tenant: String, walled: bool) {
         let at = self.millis();
         if !walled {
             self.record.world.push(WorldLine::Unwalled { at, tenant: tenant.clone() });
-            self.unwallings.entry(tenant.clone()).or_default().0 += 1;
+            self.pending_unwalls.entry(tenant.clone()).or_default().0 += 1;
         }
         let patch = format!(r#"{{"tenants":{{"{tenant}":{{"walled":{walled}}}}}}}"#);
-        let means = if walled { Meaning::Walled(tenant) } else { Meaning::Unwalled(tenant) };
-        self.change(keeper, patch, means);
+        let kind = if walled { ChangeKind::Walled(tenant) } else { ChangeKind::Unwalled(tenant) };
+        self.change(keeper, patch, kind);
     }
 
-    pub fn withdraw(&mut self, keeper: usize, place: usize) {
+    pub fn withdraw_key(&mut self, keeper: usize, place: usize) {
         let (key, tenant, number) = self.live_keys.remove(place);
         let patch = format!(r#"{{"tenants":{{"{tenant}":{{"keys":{{"k{number}":null}}}}}}}}"#);
-        self.change(keeper, patch, Meaning::KeyWithdrawn(key));
+        self.change(keeper, patch, ChangeKind::KeyWithdrawn(key));
     }
 
-    pub fn name_weights(&mut self, keeper: usize) {
+    pub fn change_weights(&mut self, keeper: usize) {
         self.wanted_weights += 1;
         let patch = format!(r#"{{"models":{{"model":{{"weights":{}}}}}}}"#, self.wanted_weights);
-        self.change(keeper, patch, Meaning::Weights(self.wanted_weights));
+        self.change(keeper, patch, ChangeKind::Weights(self.wanted_weights));
     }
 
-    pub fn change(&mut self, keeper: usize, patch: String, means: Meaning) {
+    pub fn change(&mut self, keeper: usize, patch: String, kind: ChangeKind) {
         self.note(format!("operator via k{keeper}: {patch}"));
-        let request = RequestId(self.draw.next_u64());
-        self.ask(keeper, Submission { request, command: Command::Merge { base: None, patch } }, Some(means));
+        let request = RequestId(self.rng.next_u64());
+        self.submit(keeper, Submission { request, command: Command::Merge { base: None, patch } }, Some(kind));
     }
 
     /// Two operators change the same edition at once, through two keepers: one of them at most is taken.
     fn race(&mut self) {
         let newest = self.keepers.iter().filter_map(|keeper| keeper.coordinator.as_ref()).map(Coordinator::state);
         let Some(base) = newest.map(|state| state.desired_edition).max() else { return };
-        let race = self.draw.next_u64();
+        let race = self.rng.next_u64();
         for operator in 0..2 {
-            let keeper = self.draw.below(KEEPERS as u64) as usize;
-            let request = RequestId(self.draw.next_u64());
+            let keeper = self.rng.below(KEEPERS as u64) as usize;
+            let request = RequestId(self.rng.next_u64());
             let patch = format!(r#"{{"kinds":["k","race{operator}"]}}"#);
             let command = Command::Merge { base: Some(base), patch };
-            self.ask(keeper, Submission { request, command }, Some(Meaning::Raced(race)));
+            self.submit(keeper, Submission { request, command }, Some(ChangeKind::Race(race)));
         }
     }
 
     /// An operator states an intent; the conductor carries the plan out.
-    fn intend(&mut self, keeper: usize) {
-        let engine = EngineName(format!("e{}", self.draw.below(ENGINES as u64)));
-        let intent = match self.draw.below(4) {
+    fn state_intent(&mut self, keeper: usize) {
+        let engine = EngineName(format!("e{}", self.rng.below(ENGINES as u64)));
+        let intent = match self.rng.below(4) {
             0 => Intent::Drain { engine },
             1 | 2 => Intent::Undrain { engine },
             _ => {
@@ -161,14 +163,14 @@
             }
         };
         self.note(format!("operator via k{keeper} intends {intent:?}"));
-        let request = RequestId(self.draw.next_u64());
-        self.ask(keeper, Submission { request, command: Command::Intend(intent) }, Some(Meaning::Intended));
+        let request = RequestId(self.rng.next_u64());
+        self.submit(keeper, Submission { request, command: Command::Intend(intent) }, Some(ChangeKind::IntentStated));
     }
 
-    pub fn change_listing(&mut self) {
-        let number = self.draw.below(ENGINES as u64) as usize;
+    pub fn change_random_listing(&mut self) {
+        let number = self.rng.below(ENGINES as u64) as usize;
         if self.engines[number].listed == Some(Listed::Open) {
-            return self.list_away(number);
+            return self.unlist(number);
         }
         self.listing_number += 1;
         let (at, engine) = (self.millis(), self.engines[number].name.0.clone());
@@ -178,7 +180,7 @@
     }
 
     /// Lists an engine as leaving or gone, unless many are already or it is.
-    pub fn list_away(&mut self, number: usize) {
+    pub fn unlist(&mut self, number: usize) {
         let away_count = self.engines.iter().filter(|engine| engine.listed != Some(Listed::Open)).count();
         if self.engines[number].listed != Some(Listed::Open) || away_count >= 6 {
             return;
@@ -186,7 +188,7 @@
         self.listing_number += 1;
         let (at, engine) = (self.millis(), self.engines[number].name.0.clone());
         self.note(format!("platform: listing {} {engine} away", self.listing_number));
-        self.engines[number].listed = if self.draw.chance(50) { Some(Listed::Leaving) } else { None };
+        self.engines[number].listed = if self.rng.chance(50) { Some(Listed::Leaving) } else { None };
         self.record.world.push(WorldLine::ListedAway { at, engine });
     }
 }
--- a/crates/simulator/src/prelude.rs
+++ b/crates/simulator/src/prelude.rs
@@ -1,20 +1,20 @@
 //! The one import of this package's files.
 
-pub(crate) use crate::adapted::*;
+pub(crate) use crate::adapter_traffic::*;
+pub(crate) use crate::block_cache::*;
 pub(crate) use crate::callers::*;
 pub(crate) use crate::disorder::*;
 pub(crate) use crate::engines::*;
 pub(crate) use crate::events::*;
 pub use crate::faults::fault_kinds;
 pub(crate) use crate::faults::*;
-pub(crate) use crate::foreign::*;
+pub(crate) use crate::foreign_adapters::*;
 pub(crate) use crate::keepers::*;
 pub(crate) use crate::machines::*;
-pub(crate) use crate::memory::*;
-pub(crate) use crate::net::*;
+pub(crate) use crate::network::*;
 pub(crate) use crate::register_operators::*;
+pub(crate) use crate::router_runs::*;
 pub use crate::run::*;
-pub(crate) use crate::runs::*;
 pub(crate) use crate::shift::*;
 pub(crate) use crate::world::*;
 pub(crate) use adapters::prelude::{AdapterReport, DemandMeter, DemandReport, WarmingAction, WarmingPlanner};
--- a/crates/simulator/src/register_operators.rs
+++ b/crates/simulator/src/register_operators.rs
@@ -10,34 +10,34 @@
 #[derive(Debug, Default)]
 pub(crate) struct RegisterOperators {
     /// Grows with every call and answer.
-    moment: u64,
+    clock: u64,
     calls: Vec<RegisterCall>,
-    open: BTreeMap<u64, usize>,
+    pending_calls: BTreeMap<u64, usize>,
     last_change: u64,
     sent: VecDeque<ConfigurationChange>,
     /// The newest revision that any operator was told of.
-    known: u64,
+    known_revision: u64,
 }
 
 impl RegisterOperators {
     /// A change on the newest revision known, or on one that is not known to be taken.
-    pub(crate) fn draw_change(&mut self, draw: &mut SeededRng) -> ConfigurationChange {
-        let base = match draw.below(10) {
-            0 => self.sent.back().map_or(self.known, |last| last.revision.0),
-            _ => self.known,
+    pub(crate) fn random_change(&mut self, rng: &mut SeededRng) -> ConfigurationChange {
+        let base = match rng.below(10) {
+            0 => self.sent.back().map_or(self.known_revision, |last| last.revision.0),
+            _ => self.known_revision,
         };
-        self.change_on(base, draw)
+        self.change_on(base, rng)
     }
 
     /// Another change on the base of the one sent last.
-    pub(crate) fn draw_rival(&mut self, draw: &mut SeededRng) -> ConfigurationChange {
-        let base = self.sent.back().map_or(self.known, |last| last.base.0);
-        self.change_on(base, draw)
+    pub(crate) fn random_rival(&mut self, rng: &mut SeededRng) -> ConfigurationChange {
+        let base = self.sent.back().map_or(self.known_revision, |last| last.base.0);
+        self.change_on(base, rng)
     }
 
-    fn change_on(&mut self, base: u64, draw: &mut SeededRng) -> ConfigurationChange {
+    fn change_on(&mut self, base: u64, rng: &mut SeededRng) -> ConfigurationChange {
         self.last_change += 1;
-        let revision = base + draw.between(1, 3);
+        let revision = base + rng.between(1, 3);
         let change = ConfigurationChange {
             base: Revision(base),
             revision: Revision(revision),
@@ -53,9 +53,9 @@
     }
 
     /// A change that was sent before, whatever became of it.
-    pub(crate) fn draw_again(&self, draw: &mut SeededRng) -> Option<ConfigurationChange> {
-        let place = draw.below(self.sent.len().max(1) as u64) as usize;
-        self.sent.get(place).cloned()
+    pub(crate) fn random_resend(&self, rng: &mut SeededRng) -> Option<ConfigurationChange> {
+        let index = rng.below(self.sent.len().max(1) as u64) as usize;
+        self.sent.get(index).cloned()
     }
 
     pub(crate) fn call_change(&mut self, ticket: u64, change: &ConfigurationChange) {
@@ -68,29 +68,29 @@
     }
 
     fn call(&mut self, ticket: u64, operation: RegisterOperation) {
-        self.moment += 1;
+        self.clock += 1;
         let answer = RegisterAnswer::Unclear;
-        self.open.insert(ticket, self.calls.len());
-        self.calls.push(RegisterCall { called: self.moment, returned: NEVER, operation, answer });
+        self.pending_calls.insert(ticket, self.calls.len());
+        self.calls.push(RegisterCall { called: self.clock, returned: NEVER, operation, answer });
     }
 
     /// Notes what a keeper answered to one of the calls.
-    pub(crate) fn hear(&mut self, ticket: u64, outcome: &QueryOutcome) {
-        let Some(place) = self.open.remove(&ticket) else { return };
+    pub(crate) fn record_answer(&mut self, ticket: u64, outcome: &QueryOutcome) {
+        let Some(index) = self.pending_calls.remove(&ticket) else { return };
         let answer = match outcome {
             QueryOutcome::Settled(CommandOutcome::Applied(_)) => RegisterAnswer::Taken,
             QueryOutcome::Settled(CommandOutcome::Stale { .. }) => RegisterAnswer::Stale,
             QueryOutcome::Configuration { revision, .. } => RegisterAnswer::Revision(revision.0),
             _ => return,
         };
-        self.moment += 1;
-        let call = &mut self.calls[place];
-        call.returned = self.moment;
+        self.clock += 1;
+        let call = &mut self.calls[index];
+        call.returned = self.clock;
         call.answer = answer;
         match (answer, call.operation) {
-            (RegisterAnswer::Revision(revision), _) => self.known = self.known.max(revision),
+            (RegisterAnswer::Revision(revision), _) => self.known_revision = self.known_revision.max(revision),
             (RegisterAnswer::Taken, RegisterOperation::Change { revision, .. }) => {
-                self.known = self.known.max(revision);
+                self.known_revision = self.known_revision.max(revision);
             }
             _ => {}
         }
@@ -101,7 +101,7 @@
         self.calls.iter().filter(|call| call.answer != RegisterAnswer::Unclear).count()
     }
 
-    pub(crate) fn judge(&self) -> Result<(), String> {
+    pub(crate) fn check(&self) -> Result<(), String> {
         check_register(&self.calls, 0)
     }
 }
--- a/crates/simulator/src/runs.rs
+++ b/crates/simulator/src/router_runs.rs
@@ -15,7 +15,7 @@
 
 pub struct SimRun {
     pub number: u64,
-    pub attempts: AttemptMachine<SimPiece>,
+    pub machine: AttemptMachine<SimPiece>,
     pub request: SimRequest,
     /// The caller whose stream this run feeds now, and which of its streams that is.
     pub caller: Option<(usize, u64)>,
@@ -47,44 +47,44 @@
     pub(crate) engine: usize,
     pub(crate) blocks: BlockCount,
     pub(crate) placement: Box<Placement>,
-    pub(crate) ground: AttemptBasis,
+    pub(crate) basis: AttemptBasis,
     pub(crate) names: Vec<BlockHash>,
     /// When its question reaches the engine; a close of the stream comes after that.
     pub(crate) arrives_at: Option<Instant>,
     /// How long the engine may work on it, as the router last told it.
     pub(crate) allowance: Allowance,
-    pub(crate) prefilled: Prefilled,
+    pub(crate) prefill: PrefillState,
 }
 
 /// In a split pool, how far the prefill elsewhere has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Prefilled {
-    Not,
-    Asked,
-    Over,
+pub(crate) enum PrefillState {
+    NotRequested,
+    Requested,
+    Done,
 }
 
 impl World {
     /// A request has reached a router: it is turned away or becomes a run.
-    pub fn enter(&mut self, node: usize, caller: usize, request: SimRequest) {
+    pub fn admit_request(&mut self, node: usize, caller: usize, request: SimRequest) {
         let now = self.now;
         let woken_at = self.nodes[node].frozen_until;
         if woken_at > now {
-            return self.defer(woken_at, SimEvent::Enters { node, caller, request });
+            return self.defer(woken_at, SimEvent::RequestArrives { node, caller, request });
         }
         let local_now = self.nodes[node].clock.read(now);
         let Some(router) = self.nodes[node].router.as_mut() else {
-            return self.caller_gets(caller, CallerNews::NoAnswer);
+            return self.deliver_to_caller(caller, CallerMessage::NoAnswer);
         };
         self.callers[caller].line.router = format!("n{node}");
         if !is_leased(router.lease_until, local_now) {
-            return self.caller_gets(caller, CallerNews::Final { status: 503, outcome: "not_run" });
+            return self.deliver_to_caller(caller, CallerMessage::Final { status: 503, outcome: "not_run" });
         }
-        let Some(tenant) = router.sight.tenants_by_key.get(&request.key_hash).cloned() else {
-            return self.caller_gets(caller, CallerNews::Final { status: 401, outcome: "not_run" });
+        let Some(tenant) = router.snapshot.tenants_by_key.get(&request.key_hash).cloned() else {
+            return self.deliver_to_caller(caller, CallerMessage::Final { status: 401, outcome: "not_run" });
         };
-        if let Some(adapter) = router.sight.state.adapter_for(&tenant, &ModelName(MODEL.into())) {
-            let span = router.sight.state.desired.warming.demand_window;
+        if let Some(adapter) = router.snapshot.state.adapter_for(&tenant, &ModelName(MODEL.into())) {
+            let span = router.snapshot.state.desired.warming.demand_window;
             router.meter.record(&adapter.name, span, local_now);
         }
         router.next_run += 1;
@@ -105,7 +105,7 @@
         };
         let run = SimRun {
             number,
-            attempts: AttemptMachine::new(terms),
+            machine: AttemptMachine::new(terms),
             limit: local_now + request.limit,
             request: SimRequest { tenant, ..request },
             caller: Some((caller, 0)),
@@ -119,7 +119,7 @@
     }
 
     /// News from an engine for an attempt; void if that attempt is over.
-    pub fn hear_engine(&mut self, to: AttemptPlaceName, input: AttemptInput<SimPiece>) {
+    pub fn handle_engine_input(&mut self, to: AttemptAddress, input: AttemptInput<SimPiece>) {
         let woken_at = self.nodes[to.node].frozen_until;
         if woken_at > self.now {
             return self.defer(woken_at, SimEvent::RunInput { to, input });
@@ -132,15 +132,15 @@
         // A router woken looks at its key and lease before it reads what has come meanwhile.
         let local_now = self.nodes[to.node].clock.read(self.now);
         let (key_hash, tenant) = (&run.request.key_hash, &run.request.tenant);
-        let input = match may_continue(&router.sight, router.lease_until, key_hash, tenant, local_now) {
-            Err(bar) => AttemptInput::WorkStopped(bar),
-            Ok(()) => own_answer(run, input),
+        let input = match may_continue(&router.snapshot, router.lease_until, key_hash, tenant, local_now) {
+            Err(refusal) => AttemptInput::WorkStopped(refusal),
+            Ok(()) => check_named_adapter(run, input),
         };
         let is_cold = matches!(&input, AttemptInput::Head { detail, .. } if detail == ADAPTER_NOT_RESIDENT);
         let adapter = run
             .attempt
             .as_ref()
-            .and_then(|attempt| Some((attempt.ground.engine.clone(), attempt.ground.adapter.clone()?)));
+            .and_then(|attempt| Some((attempt.basis.engine.clone(), attempt.basis.adapter.clone()?)));
         if let (true, Some((engine, adapter)), Some(router)) = (is_cold, adapter, self.nodes[to.node].router.as_mut())
         {
             router.picker.record_cold(&engine, &adapter, local_now);
@@ -150,11 +150,11 @@
 
     /// Steps a run's attempts, and whatever follows from its effects at once.
     pub fn drive(&mut self, node: usize, router_id: NodeId, number: u64, input: AttemptInput<SimPiece>) {
-        self.drive_on(node, router_id, number, Some(input));
+        self.drive_or_write(node, router_id, number, Some(input));
     }
 
     /// With no input, an attempt whose prefill is over goes on to its engine.
-    pub(crate) fn drive_on(
+    pub(crate) fn drive_or_write(
         &mut self,
         node: usize,
         router_id: NodeId,
@@ -170,11 +170,11 @@
             self.write(node, router_id, &mut run, local_now, &mut inputs);
         }
         while let Some(input) = inputs.pop_front() {
-            for effect in run.attempts.step(input) {
-                self.carry(node, router_id, &mut run, effect, &mut inputs);
+            for effect in run.machine.step(input) {
+                self.apply_attempt_effect(node, router_id, &mut run, effect, &mut inputs);
             }
         }
-        let stays = !run.attempts.is_done() || run.held.is_some();
+        let stays = !run.machine.is_done() || run.held.is_some();
         if let Some(router) = self.nodes[node].router.as_mut().filter(|_| stays) {
             router.runs.insert(number, run);
         }
@@ -182,9 +182,9 @@
 }
 
 /// What an engine tells, if it names the adapter that the attempt was to run on.
-fn own_answer(run: &SimRun, input: AttemptInput<SimPiece>) -> AttemptInput<SimPiece> {
+fn check_named_adapter(run: &SimRun, input: AttemptInput<SimPiece>) -> AttemptInput<SimPiece> {
     let AttemptInput::Piece { piece, .. } = &input else { return input };
-    let adapter = run.attempt.as_ref().and_then(|attempt| attempt.ground.adapter.as_ref());
+    let adapter = run.attempt.as_ref().and_then(|attempt| attempt.basis.adapter.as_ref());
     let named = piece.adapter.as_ref().map(AdapterId::to_string);
     match names_expected_adapter(adapter, named.as_deref()) {
         true => input,
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-const FORM_SPAN: Span = Span::seconds(12);
+const FORMATION_SPAN: Span = Span::seconds(12);
 const CALM_SPAN: Span = Span::seconds(20);
 
 /// What is to be played.
@@ -11,7 +11,7 @@
     /// Everything drawn follows from it.
     pub seed: u64,
     /// How long faults go on.
-    pub trouble: Span,
+    pub fault_span: Span,
     /// Mean pause between faults.
     pub fault_pause_ms: u64,
     /// Whether what happens is noted down.
@@ -21,12 +21,12 @@
     /// The core alone, with everything in any order.
     pub disorder: bool,
     /// What is played of adapters.
-    pub adapters: AdapterPlay,
+    pub adapters: AdapterMode,
 }
 
 /// What a run plays of adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdapterPlay {
+pub enum AdapterMode {
     /// No requests on adapters.
     Nothing,
     /// Requests on adapters under all the faults.
@@ -55,15 +55,15 @@
 
 impl RunPlan {
     /// The usual run of a seed.
-    pub fn of(seed: u64) -> RunPlan {
+    pub fn for_seed(seed: u64) -> RunPlan {
         RunPlan {
             seed,
-            trouble: Span::seconds(30),
+            fault_span: Span::seconds(30),
             fault_pause_ms: 1500,
             keeps_notes: false,
             lasting: Lasting::Nothing,
             disorder: false,
-            adapters: AdapterPlay::Nothing,
+            adapters: AdapterMode::Nothing,
         }
     }
 }
@@ -71,7 +71,7 @@
 impl RunOutcome {
     /// The rules that were broken, each once.
     pub fn broken_rules(&self) -> BTreeSet<u8> {
-        let rules = self.violations.iter().filter_map(|told| told.strip_prefix("rule ")?.split(':').next());
+        let rules = self.violations.iter().filter_map(|text| text.strip_prefix("rule ")?.split(':').next());
         rules.filter_map(|number| number.parse().ok()).collect()
     }
 }
@@ -102,70 +102,70 @@
 }
 
 /// Plays many seeds on all of the machine's cores; the outcomes in the order of the plans.
-pub fn play_many(plans: &[RunPlan]) -> Vec<RunOutcome> {
+pub fn run_many(plans: &[RunPlan]) -> Vec<RunOutcome> {
     let threads = std::thread::available_parallelism().map_or(2, |count| count.get());
     let next = std::sync::atomic::AtomicUsize::new(0);
     let outcomes = std::sync::Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
-                while let Some((place, plan)) = {
-                    let place = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-                    plans.get(place).map(|plan| (place, plan))
+                while let Some((index, plan)) = {
+                    let index = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
+                    plans.get(index).map(|plan| (index, plan))
                 } {
-                    let outcome = play(plan);
-                    outcomes.lock().expect("no player panics with the lock").push((place, outcome));
+                    let outcome = run_seed(plan);
+                    outcomes.lock().expect("no player panics with the lock").push((index, outcome));
                 }
             });
         }
     });
     let mut outcomes = outcomes.into_inner().expect("no player panics with the lock");
-    outcomes.sort_by_key(|(place, _)| *place);
+    outcomes.sort_by_key(|(index, _)| *index);
     outcomes.into_iter().map(|(_, outcome)| outcome).collect()
 }
 
 /// Plays one seed.
-pub fn play(plan: &RunPlan) -> RunOutcome {
+pub fn run_seed(plan: &RunPlan) -> RunOutcome {
     if plan.disorder {
-        return play_disorder(plan.seed);
+        return run_disorder(plan.seed);
     }
-    if matches!(plan.adapters, AdapterPlay::Shift | AdapterPlay::Leave) {
-        return play_shift(plan);
+    if matches!(plan.adapters, AdapterMode::Shift | AdapterMode::Leave) {
+        return run_shift(plan);
     }
-    let scenario = matches!(plan.adapters, AdapterPlay::Trouble | AdapterPlay::Foreign)
-        .then(|| Scenario::new(Instant(0) + FORM_SPAN + Span(plan.trouble.0 / 2), Span::seconds(5)));
+    let scenario = matches!(plan.adapters, AdapterMode::Trouble | AdapterMode::Foreign)
+        .then(|| Scenario::new(Instant(0) + FORMATION_SPAN + Span(plan.fault_span.0 / 2), Span::seconds(5)));
     let mut world = World::new(plan.seed, scenario);
     world.keeps_notes = plan.keeps_notes;
-    let formed_at = world.now + FORM_SPAN;
+    let formed_at = world.now + FORMATION_SPAN;
     world.run_until(formed_at);
-    let mut draw = SeededRng::new(plan.seed ^ 0x5eed);
+    let mut rng = SeededRng::new(plan.seed ^ 0x5eed);
     let mut fault_at = world.now;
-    let trouble_end = world.now + plan.trouble;
+    let faults_end = world.now + plan.fault_span;
     loop {
-        fault_at = fault_at + Span::millis(draw.between(1, plan.fault_pause_ms * 2));
-        if fault_at + Span::millis(400) >= trouble_end {
+        fault_at = fault_at + Span::millis(rng.between(1, plan.fault_pause_ms * 2));
+        if fault_at + Span::millis(400) >= faults_end {
             break;
         }
-        world.at(fault_at, SimEvent::Fault(Fault::draw(&mut draw, KEEPERS, NODES, ENGINES)));
+        world.schedule_at(fault_at, SimEvent::Fault(Fault::random(&mut rng, KEEPERS, NODES, ENGINES)));
     }
-    schedule_changes(&mut world, &mut draw, trouble_end, plan.lasting);
-    if plan.adapters == AdapterPlay::Foreign {
-        world.schedule_foreign(plan.seed, trouble_end);
+    schedule_changes(&mut world, &mut rng, faults_end, plan.lasting);
+    if plan.adapters == AdapterMode::Foreign {
+        world.schedule_foreign(plan.seed, faults_end);
     }
-    world.run_until(trouble_end);
+    world.run_until(faults_end);
     // A machine woken before its time would do what waits for it out of order.
     while world.now < world.awake_at() {
         let awake_at = world.awake_at();
         world.run_until(awake_at);
     }
     world.end_faults();
-    cut_lastingly(&mut world, &mut draw, plan.lasting);
+    apply_lasting_cut(&mut world, &mut rng, plan.lasting);
     let over_at = world.now;
     let mut recovery = None;
     while world.now < over_at + CALM_SPAN {
         let next_look = world.now + Span::millis(100);
         world.run_until(next_look);
-        if recovery.is_none() && all_serve(&world) {
+        if recovery.is_none() && all_routers_leased(&world) {
             recovery = Some(world.now.since(over_at));
         }
     }
@@ -174,30 +174,30 @@
     finish(world, recovery)
 }
 
-fn schedule_changes(world: &mut World, draw: &mut SeededRng, trouble_end: Instant, lasting: Lasting) {
+fn schedule_changes(world: &mut World, rng: &mut SeededRng, faults_end: Instant, lasting: Lasting) {
     let filling = if lasting == Lasting::Nothing { Span(0) } else { Span::seconds(16) };
-    let calm_end = trouble_end + filling + CALM_SPAN;
+    let calm_end = faults_end + filling + CALM_SPAN;
     let mut change_at = world.now;
     while change_at < calm_end {
-        change_at = change_at + Span::millis(draw.between(50, 1500));
-        world.at(change_at, SimEvent::Operator);
+        change_at = change_at + Span::millis(rng.between(50, 1500));
+        world.schedule_at(change_at, SimEvent::OperatorChange);
     }
     let mut listing_at = world.now;
     while listing_at < calm_end {
-        listing_at = listing_at + Span::millis(draw.between(500, 6000));
-        world.at(listing_at, SimEvent::Platform);
+        listing_at = listing_at + Span::millis(rng.between(500, 6000));
+        world.schedule_at(listing_at, SimEvent::ListingChange);
     }
 }
 
 /// Once lost seats are filled again, makes the cut that stays.
-fn cut_lastingly(world: &mut World, draw: &mut SeededRng, lasting: Lasting) {
+fn apply_lasting_cut(world: &mut World, rng: &mut SeededRng, lasting: Lasting) {
     if lasting == Lasting::Nothing {
         return;
     }
     let filled_at = world.now + Span::seconds(16);
     world.run_until(filled_at);
-    let keeper = draw.below(KEEPERS as u64) as usize;
-    let other = (keeper + 1 + draw.below(KEEPERS as u64 - 1) as usize) % KEEPERS;
+    let keeper = rng.below(KEEPERS as u64) as usize;
+    let other = (keeper + 1 + rng.below(KEEPERS as u64 - 1) as usize) % KEEPERS;
     let others: Vec<usize> = (0..KEEPERS).filter(|number| *number != keeper).collect();
     match lasting {
         Lasting::Nothing => {}
@@ -209,7 +209,7 @@
     world.record.world.push(WorldLine::LastFaultOver { at });
 }
 
-fn all_serve(world: &World) -> bool {
+fn all_routers_leased(world: &World) -> bool {
     world
         .nodes
         .iter()
@@ -217,7 +217,7 @@
 }
 
 pub(crate) fn finish(mut world: World, recovery: Option<Span>) -> RunOutcome {
-    world.sum_attempts();
+    world.total_attempts();
     if world.keeps_notes {
         let unserved: Vec<String> = world
             .record
@@ -226,7 +226,7 @@
             .filter(|caller| !matches!(caller.outcome.as_str(), "whole" | "cancelled") && caller.status != 401)
             .map(|caller| format!("{caller:?}"))
             .collect();
-        unserved.into_iter().for_each(|told| world.note(told));
+        unserved.into_iter().for_each(|text| world.note(text));
     }
     for number in 0..world.nodes.len() {
         let subscription = format!("n{number} at the end: {:?}", world.nodes[number].subscription);
@@ -234,7 +234,7 @@
     }
     let mut violations: Vec<String> =
         judge(&world.record).into_iter().map(|Violation { rule, what }| format!("rule {rule}: {what}")).collect();
-    violations.extend(world.extra.iter().cloned());
+    violations.extend(world.extra_violations.iter().cloned());
     violations.extend(lost_acks(&world));
     let mut outcomes = BTreeMap::new();
     for caller in &world.record.callers {
@@ -257,7 +257,7 @@
 }
 
 impl World {
-    fn sum_attempts(&mut self) {
+    fn total_attempts(&mut self) {
         let mut last_counts: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         for line in &self.record.world {
             if let WorldLine::Sample { router, attempts, retries, .. } = line {
