--- a/crates/simulator/src/sampling.rs
+++ b/crates/simulator/src/sampling.rs
@@ -8,7 +8,7 @@
         for node in &self.nodes {
             let Some(router) = node.router.as_ref().filter(|_| node.frozen_until <= self.now) else { continue };
             let leased = node.clock.read(self.now) < router.lease_until;
-            let edition = router.sight.state.edition.0;
+            let edition = router.snapshot.state.edition.0;
             self.record.world.push(WorldLine::Sample {
                 at,
                 router: router.id.to_string(),
@@ -28,14 +28,14 @@
             })
             .collect();
         if active_tails.len() > 1 {
-            self.extra.push(format!("rule 8: two active tails at {at}: {active_tails:?}"));
+            self.extra_violations.push(format!("rule 8: two active tails at {at}: {active_tails:?}"));
         }
         if let Some(tail) = active_tails.first()
             && let Some(coordinator) = &self.keepers[*tail].coordinator
         {
             let (edition, last_settled) = (coordinator.state().edition, coordinator.state().last_request());
             if let Some(request) = last_settled {
-                self.see_committed(edition, request, &format!("tail k{tail}"));
+                self.check_committed(edition, request, &format!("tail k{tail}"));
             }
         }
     }
--- a/crates/simulator/src/shift.rs
+++ b/crates/simulator/src/shift.rs
@@ -3,30 +3,30 @@
 
 use crate::prelude::*;
 
-const FORM_SPAN: Span = Span::seconds(24);
+const FORMATION_SPAN: Span = Span::seconds(24);
 const CALM_SPAN: Span = Span::seconds(20);
 
 /// Plays one seed: a shift of the load between the regions, and the losses of the play at drawn moments
 /// around it.
-pub fn play_shift(plan: &RunPlan) -> RunOutcome {
-    let mut draw = SeededRng::new(plan.seed ^ 0xada9_7e55);
+pub fn run_shift(plan: &RunPlan) -> RunOutcome {
+    let mut rng = SeededRng::new(plan.seed ^ 0xada9_7e55);
     let start = Instant(1_000_000_000);
-    let shift_at = start + FORM_SPAN;
-    let shift_span = Span::millis(draw.between(500, 8_000));
+    let shift_at = start + FORMATION_SPAN;
+    let shift_span = Span::millis(rng.between(500, 8_000));
     let mut world = World::new(plan.seed, Some(Scenario::new(shift_at, shift_span)));
     world.keeps_notes = plan.keeps_notes;
-    let with_machine = draw.chance(50);
-    for loss in losses(plan, with_machine, &mut draw) {
-        let at = shift_at + Span::millis(draw.between(0, 12_000));
-        world.at(at, SimEvent::AdapterLoss(loss));
+    let with_machine = rng.chance(50);
+    for loss in losses(plan, with_machine, &mut rng) {
+        let at = shift_at + Span::millis(rng.between(0, 12_000));
+        world.schedule_at(at, SimEvent::AdapterLoss(loss));
     }
-    if draw.chance(50) {
-        let at = shift_at + Span::millis(draw.between(0, 10_000));
-        world.at(at, SimEvent::RaisesRevision);
+    if rng.chance(50) {
+        let at = shift_at + Span::millis(rng.between(0, 10_000));
+        world.schedule_at(at, SimEvent::RaiseRevision);
     }
     // Requests that came before every adapter was warm are not judged.
     world.run_until(shift_at);
-    world.forget_callers();
+    world.discard_questions();
     let over_at = shift_at + Span::seconds(22);
     world.run_until(over_at);
     let at = world.millis();
@@ -39,15 +39,15 @@
 }
 
 /// What is lost around the shift, in the order in which the moments are drawn.
-fn losses(plan: &RunPlan, with_machine: bool, draw: &mut SeededRng) -> Vec<Loss> {
+fn losses(plan: &RunPlan, with_machine: bool, rng: &mut SeededRng) -> Vec<Loss> {
     match plan.adapters {
-        AdapterPlay::Leave => {
-            let first = draw.below(ADAPTED.len() as u64) as usize;
-            let second = (first + 1) % ADAPTED.len();
+        AdapterMode::Leave => {
+            let first = rng.below(ADAPTER_TENANTS.len() as u64) as usize;
+            let second = (first + 1) % ADAPTER_TENANTS.len();
             vec![Loss::Listing(first), Loss::Drain(second)]
         }
         _ => {
-            let node = draw.below(NODES as u64) as usize;
+            let node = rng.below(NODES as u64) as usize;
             vec![Loss::Engine { with_machine }, Loss::Node(node), Loss::Conductor]
         }
     }
@@ -59,29 +59,29 @@
     let loads = world.scenario.as_ref().map_or(0, |scenario| scenario.loads);
     // What was asked too late to be answered within the run is not judged.
     let ends_at = world.millis();
-    let open: BTreeSet<String> = world
+    let unfinished: BTreeSet<String> = world
         .callers
         .iter()
-        .filter(|caller| caller.line.at + QUESTION_SPAN.as_millis() + 500 >= ends_at)
+        .filter(|caller| caller.line.at + QUESTION_TIMEOUT.as_millis() + 500 >= ends_at)
         .map(|caller| caller.line.question.clone())
         .collect();
-    let judged = world.record.callers.iter_mut().filter(|line| open.contains(&line.question));
+    let judged = world.record.callers.iter_mut().filter(|line| unfinished.contains(&line.question));
     judged.for_each(|line| line.question.clear());
-    let unanswered = judge_questions(&world.record, QUESTION_SPAN.as_millis() + 500);
+    let unanswered = judge_questions(&world.record, QUESTION_TIMEOUT.as_millis() + 500);
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
     for line in world.record.callers.iter().filter(|line| !line.question.is_empty()) {
         *ends.entry(line.outcome.clone()).or_default() += 1;
     }
     let mut outcome = finish(world, None);
     outcome.outcomes = ends;
-    outcome.violations.extend(unanswered.into_iter().map(|told| format!("rule 14: {told}")));
+    outcome.violations.extend(unanswered.into_iter().map(|text| format!("rule 14: {text}")));
     (outcome.warmed_after, outcome.loads) = (warmed_after, loads);
     outcome
 }
 
 impl World {
     /// Questions asked up to now are not judged for their answers.
-    fn forget_callers(&mut self) {
+    fn discard_questions(&mut self) {
         for caller in &mut self.callers {
             caller.line.question.clear();
             caller.request.question = None;
@@ -91,9 +91,9 @@
 
     /// An operator names a newer revision of one of the adapters.
     pub fn raise_revision(&mut self) {
-        let (_, adapter) = ADAPTED[self.draw.below(ADAPTED.len() as u64) as usize];
-        let keeper = self.draw.below(KEEPERS as u64) as usize;
+        let (_, adapter) = ADAPTER_TENANTS[self.rng.below(ADAPTER_TENANTS.len() as u64) as usize];
+        let keeper = self.rng.below(KEEPERS as u64) as usize;
         let patch = format!(r#"{{"adapters":{{"{adapter}":{{"revision":2}}}}}}"#);
-        self.change(keeper, patch, Meaning::Plain);
+        self.change(keeper, patch, ChangeKind::Other);
     }
 }
--- a/crates/simulator/src/bounds.rs
+++ b/crates/simulator/src/work_limits.rs
@@ -2,11 +2,11 @@
 
 use crate::prelude::*;
 
-const WORK_LOOK: Span = Span::millis(100);
+const WORK_CHECK_INTERVAL: Span = Span::millis(100);
 
 impl World {
     /// Limits, withdrawn keys and long-lost leases end what a router has under way.
-    pub fn look_at_work(&mut self, node: usize) {
+    pub fn check_work(&mut self, node: usize) {
         if self.nodes[node].frozen_until > self.now {
             return;
         }
@@ -15,10 +15,10 @@
         let router_id = router.id;
         router.runs.retain(|_, run| !run.held.as_ref().is_some_and(|held| held.is_over(local_now)));
         let mut ended = Vec::new();
-        for (number, run) in router.runs.iter().filter(|(_, run)| !run.attempts.is_done()) {
+        for (number, run) in router.runs.iter().filter(|(_, run)| !run.machine.is_done()) {
             let (key_hash, tenant) = (&run.request.key_hash, &run.request.tenant);
-            if let Err(bar) = may_continue(&router.sight, router.lease_until, key_hash, tenant, local_now) {
-                ended.push((*number, AttemptInput::WorkStopped(bar)));
+            if let Err(refusal) = may_continue(&router.snapshot, router.lease_until, key_hash, tenant, local_now) {
+                ended.push((*number, AttemptInput::WorkStopped(refusal)));
             } else if local_now >= run.limit {
                 ended.push((*number, AttemptInput::LimitPassed));
             }
@@ -26,11 +26,11 @@
         for (number, input) in ended {
             self.drive(node, router_id, number, input);
         }
-        self.allow_more(node, local_now);
+        self.extend_allowances(node, local_now);
     }
 
     /// Engines that are at work for long are allowed more time while the lease bears it.
-    pub(crate) fn allow_more(&mut self, node: usize, local_now: Instant) {
+    pub(crate) fn extend_allowances(&mut self, node: usize, local_now: Instant) {
         let Some(router) = self.nodes[node].router.as_mut() else { return };
         let mut allowed = Vec::new();
         for run in router.runs.values_mut() {
@@ -41,29 +41,29 @@
             }
         }
         for (engine, attempt, span) in allowed {
-            let delay = self.net.delay(&mut self.draw);
-            self.later(delay, SimEvent::EngineAllows { engine, attempt, span });
+            let delay = self.net.delay(&mut self.rng);
+            self.schedule_after(delay, SimEvent::ExtendLimit { engine, attempt, span });
         }
     }
 
-    pub fn work_pulse(&mut self, node: usize, life: u64) {
-        if self.nodes[node].life == life {
-            self.look_at_work(node);
-            self.later(WORK_LOOK, SimEvent::WorkLook { node, life });
+    pub fn check_work_periodically(&mut self, node: usize, incarnation: u64) {
+        if self.nodes[node].incarnation == incarnation {
+            self.check_work(node);
+            self.schedule_after(WORK_CHECK_INTERVAL, SimEvent::CheckWork { node, incarnation });
         }
     }
 
     /// A router's runs end with it; engines notice at once, or not if the whole machine is gone.
-    pub fn lose_runs(&mut self, node: usize, with_machine: bool) {
+    pub fn drop_runs(&mut self, node: usize, with_machine: bool) {
         let Some(router) = self.nodes[node].router.take() else { return };
         for run in router.runs.into_values() {
-            if !run.attempts.is_done() {
-                self.feed_caller(&run, CallerNews::Lost);
+            if !run.machine.is_done() {
+                self.send_to_caller(&run, CallerMessage::Lost);
             }
             let Some(attempt) = run.attempt.filter(|_| !with_machine) else { continue };
             if let Some(arrives_at) = attempt.arrives_at {
-                let lost = SimEvent::EngineLosesCaller { engine: attempt.engine, attempt: attempt.name };
-                self.at(arrives_at.max(self.now + Span::millis(3)), lost);
+                let lost = SimEvent::AttemptClosed { engine: attempt.engine, attempt: attempt.name };
+                self.schedule_at(arrives_at.max(self.now + Span::millis(3)), lost);
             }
         }
     }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -10,23 +10,23 @@
 pub const TENANTS: usize = 8;
 
 pub struct World {
-    pub draw: SeededRng,
+    pub rng: SeededRng,
     pub now: Instant,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     events: HashMap<u64, SimEvent>,
     next_event: u64,
     /// The number of what happens now.
-    present: u64,
-    pub net: Net,
+    current_event: u64,
+    pub net: SimNetwork,
     pub keepers: Vec<SimKeeper>,
     pub nodes: Vec<SimNode>,
     pub engines: Vec<SimEngine>,
     pub listing_number: u64,
     pub links: Vec<SimLink>,
     pub record: Record,
-    pub extra: Vec<String>,
+    pub extra_violations: Vec<String>,
     /// What each ticket asked, and what its acknowledgement means.
-    pub asked: BTreeMap<u64, AskedChange>,
+    pub pending_changes: BTreeMap<u64, PendingChange>,
     pub next_ticket: u64,
     pub acked: BTreeMap<RequestId, Edition>,
     /// Which request was committed under each edition, wherever that was seen.
@@ -38,42 +38,42 @@
     pub next_key: u64,
     pub wanted_weights: u64,
     /// Two operators' changes on one base, and whether one of them was taken.
-    pub raced: BTreeMap<u64, u32>,
+    pub races_taken: BTreeMap<u64, u32>,
     /// The next acknowledgement is followed by a loss of power in the whole core.
-    pub power_fails: bool,
+    pub power_loss_pending: bool,
     /// The next campaign for a view loses keepers in its midst.
-    pub campaign_fails: bool,
+    pub campaign_loss_pending: bool,
     /// The node that freezes when it next connects an attempt.
-    pub freezing: Option<usize>,
+    pub freeze_on_connect: Option<usize>,
     pub faults_over: bool,
     /// Nodes that stay cut off from the core for a while, whatever heals.
     pub held_cuts: Vec<(usize, Instant)>,
     pub callers: Vec<SimCaller>,
     /// Claims that routers wait for: node, router, run.
-    pub tickets: BTreeMap<u64, (usize, NodeId, u64)>,
-    pub store: SimMemory,
+    pub claim_tickets: BTreeMap<u64, (usize, NodeId, u64)>,
+    pub store: SimBlockCache,
     pub store_up: bool,
     /// How far the callers are from the routers.
     pub caller_distance: Span,
     pub fault_kinds: Vec<&'static str>,
     /// Unwallings asked for and not answered, and the edition of the last one answered, by tenant.
-    pub unwallings: BTreeMap<String, (u64, Edition)>,
+    pub pending_unwalls: BTreeMap<String, (u64, Edition)>,
     /// Requests run on adapters, and their load moves between regions.
     pub scenario: Option<Scenario>,
     /// Questions about demand: ticket, keeper and its life.
-    pub demand_asks: BTreeMap<u64, (usize, u64)>,
+    pub demand_queries: BTreeMap<u64, (usize, u64)>,
     pub notes: Vec<String>,
     pub keeps_notes: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct AskedChange {
+pub struct PendingChange {
     pub request: RequestId,
-    pub means: Option<Meaning>,
+    pub kind: Option<ChangeKind>,
 }
 
 #[derive(Clone, Debug)]
-pub enum Meaning {
+pub enum ChangeKind {
     KeyAdded {
         key: String,
         tenant: String,
@@ -84,43 +84,43 @@
     Walled(String),
     Unwalled(String),
     /// The conductor's word on an engine: it waits for this before it goes on.
-    Stands {
+    ConductorStep {
         keeper: usize,
         engine: EngineName,
     },
     /// An intent was stated; its plan is confirmed next, through any keeper.
-    Intended,
+    IntentStated,
     /// One of two changes made on one base.
-    Raced(u64),
-    Plain,
+    Race(u64),
+    Other,
 }
 
 impl World {
     /// A world that begins; its tenants run on adapters if there is a scenario for them.
     pub fn new(seed: u64, scenario: Option<Scenario>) -> World {
-        let mut draw = SeededRng::new(seed);
-        let keepers = (0..KEEPERS).map(|number| SimKeeper::new(number, Clock::drawn(&mut draw))).collect();
-        let nodes = (0..NODES).map(|number| SimNode::new(number, Clock::drawn(&mut draw))).collect();
+        let mut rng = SeededRng::new(seed);
+        let keepers = (0..KEEPERS).map(|number| SimKeeper::new(number, Clock::random(&mut rng))).collect();
+        let nodes = (0..NODES).map(|number| SimNode::new(number, Clock::random(&mut rng))).collect();
         let is_split = SeededRng::new(seed ^ 0x0511_7000).chance(25);
         let engines = (0..ENGINES).map(|number| SimEngine::new(number, is_split)).collect();
         let keys = (0..TENANTS).map(|tenant| (format!("{:064x}", tenant + 1), format!("t{tenant}"))).collect();
-        let caller_distance = if draw.chance(50) { Span::millis(25) } else { Span::millis(2) };
+        let caller_distance = if rng.chance(50) { Span::millis(25) } else { Span::millis(2) };
         let mut world = World {
-            draw,
+            rng,
             now: Instant(1_000_000_000),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             next_event: 0,
-            present: 0,
-            net: Net::default(),
+            current_event: 0,
+            net: SimNetwork::default(),
             keepers,
             nodes,
             engines,
             listing_number: 1,
             links: Vec::new(),
             record: Record::default(),
-            extra: Vec::new(),
-            asked: BTreeMap::new(),
+            extra_violations: Vec::new(),
+            pending_changes: BTreeMap::new(),
             next_ticket: 0,
             acked: BTreeMap::new(),
             committed: BTreeMap::new(),
@@ -128,33 +128,33 @@
             keys,
             next_key: TENANTS as u64,
             wanted_weights: 1,
-            raced: BTreeMap::new(),
-            power_fails: false,
-            campaign_fails: false,
-            freezing: None,
+            races_taken: BTreeMap::new(),
+            power_loss_pending: false,
+            campaign_loss_pending: false,
+            freeze_on_connect: None,
             faults_over: false,
             held_cuts: Vec::new(),
             callers: Vec::new(),
-            tickets: BTreeMap::new(),
-            store: SimMemory::default(),
+            claim_tickets: BTreeMap::new(),
+            store: SimBlockCache::default(),
             store_up: true,
             caller_distance,
             fault_kinds: Vec::new(),
-            unwallings: BTreeMap::new(),
+            pending_unwalls: BTreeMap::new(),
             scenario,
-            demand_asks: BTreeMap::new(),
+            demand_queries: BTreeMap::new(),
             notes: Vec::new(),
             keeps_notes: false,
         };
-        world.start_all();
+        world.bootstrap();
         world
     }
 
-    pub fn later(&mut self, span: Span, event: SimEvent) {
-        self.at(self.now + span, event);
+    pub fn schedule_after(&mut self, span: Span, event: SimEvent) {
+        self.schedule_at(self.now + span, event);
     }
 
-    pub fn at(&mut self, instant: Instant, event: SimEvent) {
+    pub fn schedule_at(&mut self, instant: Instant, event: SimEvent) {
         self.next_event += 1;
         self.events.insert(self.next_event, event);
         self.queue.push(Reverse((instant, self.next_event)));
@@ -162,8 +162,8 @@
 
     /// Puts off what happens now until a machine is awake again, in the order in which it came first.
     pub fn defer(&mut self, instant: Instant, event: SimEvent) {
-        self.events.insert(self.present, event);
-        self.queue.push(Reverse((instant, self.present)));
+        self.events.insert(self.current_event, event);
+        self.queue.push(Reverse((instant, self.current_event)));
     }
 
     /// Runs until an instant.
@@ -175,7 +175,7 @@
             self.queue.pop();
             self.now = self.now.max(instant);
             if let Some(event) = self.events.remove(&number) {
-                self.present = number;
+                self.current_event = number;
                 self.handle(event);
             }
         }
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -6,27 +6,29 @@
 use units::prelude::*;
 
 /// Plays the plans and demands that no rule is broken; what they came to.
-fn play_clean(plans: Vec<RunPlan>) -> Vec<RunOutcome> {
-    let outcomes = play_many(&plans);
+fn run_without_violations(plans: Vec<RunPlan>) -> Vec<RunOutcome> {
+    let outcomes = run_many(&plans);
     let complaints: Vec<String> = plans
         .iter()
         .zip(&outcomes)
-        .flat_map(|(plan, outcome)| outcome.violations.iter().map(move |told| format!("seed {}: {told}", plan.seed)))
+        .flat_map(|(plan, outcome)| {
+            outcome.violations.iter().map(move |violation| format!("seed {}: {violation}", plan.seed))
+        })
         .collect();
     assert!(complaints.is_empty(), "{}", complaints.join("\n"));
     outcomes
 }
 
-fn count(outcomes: &[RunOutcome], named: &str) -> usize {
-    outcomes.iter().filter_map(|outcome| outcome.outcomes.get(named)).sum()
+fn count(outcomes: &[RunOutcome], outcome_name: &str) -> usize {
+    outcomes.iter().filter_map(|outcome| outcome.outcomes.get(outcome_name)).sum()
 }
 
 #[test]
 fn no_seed_breaks_a_rule() {
-    let outcomes = play_clean((0..320).map(RunPlan::of).collect());
+    let outcomes = run_without_violations((0..320).map(RunPlan::for_seed).collect());
     let starts: usize = outcomes.iter().map(|outcome| outcome.starts).sum();
     assert!(starts > 400_000, "the runs did little: {starts} starts");
-    for (named, least) in [
+    for (outcome_name, least) in [
         ("whole", 300_000),
         ("unknown", 5_000),
         ("cut", 5_000),
@@ -34,8 +36,8 @@
         ("withdrawn", 200),
         ("cancelled", 20_000),
     ] {
-        let seen = count(&outcomes, named);
-        assert!(seen >= least, "{seen} requests ended {named}");
+        let seen = count(&outcomes, outcome_name);
+        assert!(seen >= least, "{seen} requests ended {outcome_name}");
     }
     let recoveries: Vec<Span> = outcomes.iter().filter_map(|outcome| outcome.recovery).collect();
     assert_eq!(recoveries.len(), outcomes.len(), "every run recovers");
@@ -66,20 +68,24 @@
 
 #[test]
 fn faults_in_quick_succession_break_no_rule() {
-    play_clean((1000..1100).map(|seed| RunPlan { fault_pause_ms: 300, ..RunPlan::of(seed) }).collect());
+    run_without_violations(
+        (1000..1100).map(|seed| RunPlan { fault_pause_ms: 300, ..RunPlan::for_seed(seed) }).collect(),
+    );
 }
 
 #[test]
 fn service_returns_though_a_keeper_stays_deaf_or_a_way_stays_cut() {
     for (first_seed, lasting) in [(2000, Lasting::DeafKeeper), (2100, Lasting::OneWay)] {
-        play_clean((first_seed..first_seed + 50).map(|seed| RunPlan { lasting, ..RunPlan::of(seed) }).collect());
+        run_without_violations(
+            (first_seed..first_seed + 50).map(|seed| RunPlan { lasting, ..RunPlan::for_seed(seed) }).collect(),
+        );
     }
 }
 
 #[test]
 fn the_core_in_any_order_loses_and_changes_nothing_committed() {
-    let plans: Vec<RunPlan> = (0..2000).map(|seed| RunPlan { disorder: true, ..RunPlan::of(seed) }).collect();
-    let acks: usize = play_clean(plans).iter().map(|outcome| outcome.acks).sum();
+    let plans: Vec<RunPlan> = (0..2000).map(|seed| RunPlan { disorder: true, ..RunPlan::for_seed(seed) }).collect();
+    let acks: usize = run_without_violations(plans).iter().map(|outcome| outcome.acks).sum();
     assert!(acks > 50_000, "little was committed: {acks}");
 }
 
@@ -87,8 +93,9 @@
 /// between the regions and an engine, a router's node and the conductor are lost meanwhile.
 #[test]
 fn a_shift_between_regions_with_losses_leaves_no_question_open() {
-    let adapters = AdapterPlay::Shift;
-    let outcomes = play_clean((5000..5200).map(|seed| RunPlan { adapters, ..RunPlan::of(seed) }).collect());
+    let adapters = AdapterMode::Shift;
+    let outcomes =
+        run_without_violations((5000..5200).map(|seed| RunPlan { adapters, ..RunPlan::for_seed(seed) }).collect());
     assert!(count(&outcomes, "whole") > 200_000, "{} answers", count(&outcomes, "whole"));
     assert!(outcomes.iter().all(|outcome| outcome.faults == 3), "each run has its three losses");
     let warmed: Vec<Span> = outcomes.iter().filter_map(|outcome| outcome.warmed_after).collect();
@@ -101,8 +108,9 @@
 /// is answered, and hardly an attempt is refused meanwhile.
 #[test]
 fn engines_that_leave_with_the_last_copies_leave_no_question_open() {
-    let adapters = AdapterPlay::Leave;
-    let outcomes = play_clean((6000..6040).map(|seed| RunPlan { adapters, ..RunPlan::of(seed) }).collect());
+    let adapters = AdapterMode::Leave;
+    let outcomes =
+        run_without_violations((6000..6040).map(|seed| RunPlan { adapters, ..RunPlan::for_seed(seed) }).collect());
     let (answered, refused) = (count(&outcomes, "whole"), count(&outcomes, "not_run"));
     assert!(answered > 60_000, "{answered} answers");
     assert!(refused * 1000 < answered, "{refused} attempts refused of {answered} answered");
@@ -111,24 +119,26 @@
 /// The bindings of a tenant move all the time, and engines name adapters of other tenants.
 #[test]
 fn moving_bindings_and_foreign_answers_break_no_rule() {
-    let adapters = AdapterPlay::Foreign;
-    let outcomes = play_clean((6500..6540).map(|seed| RunPlan { adapters, ..RunPlan::of(seed) }).collect());
+    let adapters = AdapterMode::Foreign;
+    let outcomes =
+        run_without_violations((6500..6540).map(|seed| RunPlan { adapters, ..RunPlan::for_seed(seed) }).collect());
     assert!(count(&outcomes, "whole") > 80_000, "{} answers", count(&outcomes, "whole"));
 }
 
 #[test]
 fn requests_on_adapters_under_all_faults_break_no_rule() {
-    let adapters = AdapterPlay::Trouble;
+    let adapters = AdapterMode::Trouble;
     // Seed 5680: weights were given up while no conductor worked.
     let seeds = (5500..5560).chain([5680]);
-    let outcomes = play_clean(seeds.map(|seed| RunPlan { adapters, ..RunPlan::of(seed) }).collect());
+    let outcomes =
+        run_without_violations(seeds.map(|seed| RunPlan { adapters, ..RunPlan::for_seed(seed) }).collect());
     assert!(count(&outcomes, "whole") > 120_000, "{} answers", count(&outcomes, "whole"));
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let plan = RunPlan { keeps_notes: true, ..RunPlan::of(42) };
-    let (first, second) = (play(&plan), play(&plan));
+    let plan = RunPlan { keeps_notes: true, ..RunPlan::for_seed(42) };
+    let (first, second) = (run_seed(&plan), run_seed(&plan));
     assert_eq!(first.notes, second.notes);
     assert!(first.faults > 5 && first.acks > 10);
 }
