--- a/crates/simulator/src/adapter_traffic.rs
+++ b/crates/simulator/src/adapter_traffic.rs
@@ -1,63 +1,70 @@
-//! Requests that run on adapters, in two regions, while their load moves from one to the other and an
-//! engine, a router's node and the conductor are lost at drawn moments.
+//! Requests for adapters in two regions. Their load shifts from one region to the other while an engine, a router's
+//! node and the conductor are lost at random times.
 
 use crate::prelude::*;
 
-/// How many adapters a simulated engine holds.
+/// How many adapters a simulated engine can hold.
 const ADAPTER_PLACES: usize = 2;
-/// By when a question must be answered, however often it is asked.
+/// A question must be answered within this time, over all its attempts.
 pub(crate) const QUESTION_TIMEOUT: Span = Span::seconds(10);
-/// How long one attempt at it may take.
+/// Time limit of a single request for a question.
 const ATTEMPT_TIMEOUT: Span = Span::millis(3500);
 const MIN_ATTEMPT_TIMEOUT: Span = Span::millis(300);
 const REPORT_INTERVAL: Span = Span::seconds(1);
 const DEMAND_QUERY_INTERVAL: Span = Span::seconds(1);
 
-/// Tenants with an adapter each; the others run on the bare model.
+/// Tenants with one adapter each, as (tenant, adapter); all other tenants use the base model.
 pub(crate) const ADAPTER_TENANTS: [(&str, &str); 3] = [("t1", "engraver"), ("t2", "clinic"), ("t3", "shop")];
 
-/// How requests of adapters are spread over the regions, and how that changes.
+/// Distribution of adapter requests over the two regions, and its shift.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// From when on, and for how long, the load of the first tenant moves south and that of the second north.
+    /// Start and length of the shift: the load of the first tenant moves south and that of the second north.
     pub shift_at: Instant,
     pub shift_span: Span,
     next_question: u64,
-    /// What each tenant's requests run on, as any router saw it first, and in which edition.
-    first_seen: BTreeMap<TenantName, (Edition, AdapterId)>,
-    /// When the first tenant's adapter was warm in the south.
+    /// Latest adapter binding of each tenant that any router has seen, with the edition it was seen in.
+    newest_bindings: BTreeMap<TenantName, (Edition, AdapterId)>,
+    /// When the first tenant's adapter was first loaded in the south after the shift began.
     pub warmed_at: Option<Instant>,
     pub loads: u64,
 }
 
 impl Scenario {
     pub fn new(shift_at: Instant, shift_span: Span) -> Scenario {
-        Scenario { shift_at, shift_span, next_question: 0, first_seen: BTreeMap::new(), warmed_at: None, loads: 0 }
+        Scenario {
+            shift_at,
+            shift_span,
+            next_question: 0,
+            newest_bindings: BTreeMap::new(),
+            warmed_at: None,
+            loads: 0,
+        }
     }
 
-    /// How much of the moving load has moved, in a hundred.
+    /// Share of the shifting load that has moved so far, in percent.
     fn moved_percent(&self, now: Instant) -> u64 {
         (now.since(self.shift_at).0.saturating_mul(100) / self.shift_span.0.max(1)).min(100)
     }
 }
 
-/// What is lost at a drawn moment.
+/// A loss that is scheduled at a random time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// An engine that holds the first tenant's adapter, with its machine or alone.
+    /// An engine that holds the first tenant's adapter, either the process alone or its whole machine.
     Engine {
         with_machine: bool,
     },
     Node(usize),
-    /// The keeper that holds the conductor's duty.
+    /// The keeper that holds the conductor duty.
     Conductor,
-    /// Every engine that holds an adapter, by place, is listed as leaving.
+    /// The platform lists every engine that holds this adapter (index into `ADAPTER_TENANTS`) as leaving.
     Listing(usize),
-    /// An operator drains every engine that holds an adapter, by place.
+    /// An operator drains every engine that holds this adapter (index into `ADAPTER_TENANTS`).
     Drain(usize),
 }
 
-/// An adapter as records write it; empty for the bare model.
+/// The adapter as written to the run's record; empty for the base model.
 pub(crate) fn adapter_text(adapter: Option<&AdapterId>) -> String {
     adapter.map(AdapterId::to_string).unwrap_or_default()
 }
@@ -67,12 +74,12 @@
 }
 
 impl SimEngine {
-    /// Whether a request that runs on this adapter may begin here.
+    /// Whether the engine can serve a request for this adapter; the base model is always served.
     pub fn holds(&self, adapter: Option<&AdapterId>) -> bool {
         adapter.is_none_or(|adapter| self.resident.contains(adapter))
     }
 
-    /// Refused while a request runs on it.
+    /// Unloads an adapter, unless a running request uses it.
     pub fn unload_adapter(&mut self, adapter: &AdapterId) {
         let in_use = self.attempts.values().any(|attempt| attempt.runs_on() == Some(adapter));
         if !in_use {
@@ -82,7 +89,7 @@
 }
 
 impl World {
-    /// Adapters, their owners and the regions of zones, in the first document.
+    /// Adds the adapters, their owners and the regions of the zones to the initial configuration.
     pub fn configure_adapters(&mut self, state: &mut FleetState) {
         if self.scenario.is_none() {
             return;
@@ -108,24 +115,22 @@
         self.record_bindings(state);
     }
 
-    /// Notes what requests run on from now on, when any router sees it first.
+    /// Records a tenant's new adapter binding when the first router applies it.
     pub fn record_bindings(&mut self, state: &FleetState) {
         let at = self.millis();
         let Some(scenario) = self.scenario.as_mut() else { return };
         for (tenant, _) in ADAPTER_TENANTS {
             let Some(adapter) = state.adapter_for(&tenant.into(), &MODEL.into()) else { continue };
-            let known = scenario.first_seen.get(&TenantName::from(tenant));
+            let known = scenario.newest_bindings.get(&TenantName::from(tenant));
             if known.is_none_or(|(edition, known)| *edition < state.edition && *known != adapter) {
-                scenario.first_seen.insert(tenant.into(), (state.edition, adapter.clone()));
+                scenario.newest_bindings.insert(tenant.into(), (state.edition, adapter.clone()));
                 let adapter = adapter.to_string();
                 self.record.world.push(WorldLine::AdapterInForce { at, tenant: tenant.into(), adapter });
             }
         }
     }
 
-    // Requests.
-
-    /// A request as the region of the node and the moment would bring it.
+    /// Sends a request whose tenant is drawn from the current load of the node's region.
     pub fn send_adapter_request(&mut self, node: usize) {
         let Some(moved) = self.scenario.as_ref().map(|scenario| scenario.moved_percent(self.now)) else { return };
         let (stayed, is_in_north) = (100 - moved, is_north(&Zone(ZONES[node % 4].into())));
@@ -154,7 +159,7 @@
         self.send_request(node, request);
     }
 
-    /// A caller asks again what surely did not run, or may be repeated, while there is time.
+    /// Retries a question that certainly did not run or that may be repeated, as long as there is time left.
     pub fn retry_question(&mut self, caller: usize, outcome: &str) {
         let request = self.callers[caller].request.clone();
         let Some((_, answered_by)) = request.question else { return };
@@ -179,14 +184,15 @@
         self.schedule_after(pause, SimEvent::CallerRetries { node, request });
     }
 
-    /// A router tells its agent which adapters' requests arrive; now and then that is lost.
+    /// A router reports its request rate per adapter to its agent; some of the reports are lost.
     pub fn report_demand(&mut self, number: usize) {
         let now = self.now;
         self.schedule_after(REPORT_INTERVAL, SimEvent::ReportDemand { node: number });
         let span = Span::millis(4000);
         let node = &mut self.nodes[number];
-        let (local_now, fed) = (node.clock.read(now), node.connected_router);
-        let Some(router) = node.router.as_mut().filter(|router| node.frozen_until <= now && fed == Some(router.id))
+        let (local_now, connected) = (node.clock.read(now), node.connected_router);
+        let Some(router) =
+            node.router.as_mut().filter(|router| node.frozen_until <= now && connected == Some(router.id))
         else {
             return;
         };
@@ -198,9 +204,7 @@
         self.send_to_subscription(number, SubscriptionInput::Router(RouterToAgent::Demand(report)));
     }
 
-    // The conductor's part.
-
-    /// With the duty named but not held yet, it looks and does nothing.
+    /// Runs the warming planner of the conductor. A keeper that is named conductor but may not act yet only observes.
     pub fn keep_adapters_warm(
         &mut self,
         number: usize,
@@ -227,11 +231,11 @@
                 }
                 WarmingAction::Load { engine, adapter, .. } => {
                     let key = EngineName(format!("order {engine} {adapter}"));
-                    self.order(number, term, engine, key, SimOrderKind::LoadAdapter(adapter));
+                    self.issue_order(number, term, engine, key, SimOrderKind::LoadAdapter(adapter));
                 }
                 WarmingAction::Unload { engine, adapter, .. } => {
                     let key = EngineName(format!("order {engine} {adapter}"));
-                    self.order(number, term, engine, key, SimOrderKind::UnloadAdapter(adapter));
+                    self.issue_order(number, term, engine, key, SimOrderKind::UnloadAdapter(adapter));
                 }
             }
         }
@@ -251,7 +255,7 @@
         reports.collect()
     }
 
-    /// Whether an engine may be closed for new weights for the sake of the adapters it holds.
+    /// Whether an engine may be closed for new weights without losing adapters that are still needed.
     pub fn may_close(&mut self, number: usize, state: &FleetState, engine: &EngineName) -> bool {
         if self.scenario.is_none() {
             return true;
@@ -261,7 +265,7 @@
         self.keepers[number].planner.closings.may_close(state, &reports, engine, local_now)
     }
 
-    /// Whether a plan's next step may be taken for the sake of the adapters its engine holds.
+    /// Whether a plan's next step may be taken without losing adapters that its engine holds.
     pub fn may_do_step(&mut self, number: usize, state: &FleetState, plan: Edition) -> bool {
         if self.scenario.is_none() {
             return true;
@@ -296,7 +300,8 @@
         );
     }
 
-    /// Whether an outcome is one about demand; the planner that asked is told.
+    /// Passes the answer to a demand query on to the planner that asked. Returns whether the ticket was a demand
+    /// query.
     pub fn handle_demand_answer(&mut self, ticket: u64, outcome: &QueryOutcome) -> bool {
         let Some((number, incarnation)) = self.demand_queries.remove(&ticket) else { return false };
         let keeper = &mut self.keepers[number];
@@ -309,8 +314,6 @@
         true
     }
 
-    // Engines.
-
     pub fn begin_adapter_load(&mut self, number: usize, adapter: AdapterId) {
         let engine = &mut self.engines[number];
         let is_known = engine.resident.contains(&adapter) || engine.loading.contains(&adapter);
@@ -340,8 +343,6 @@
         }
     }
 
-    // Losses.
-
     pub fn inject_loss(&mut self, loss: Loss) {
         let span = Span::millis(self.rng.between(4_000, 9_000));
         let at = self.millis();
@@ -393,14 +394,14 @@
     }
 }
 
-/// What comes back after a loss.
+/// What is restored after a loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestoreTarget {
     Engine(usize),
     Node(usize),
     Keeper(usize),
-    /// An engine is listed open again.
+    /// The platform lists the engine as open again.
     Listing(usize),
-    /// An engine's drain ends.
+    /// An operator ends the drain of the engine.
     Drained(usize),
 }
--- a/crates/simulator/src/attempt_effects.rs
+++ b/crates/simulator/src/attempt_effects.rs
@@ -1,4 +1,4 @@
-//! What a run's state machine orders, carried out in the world.
+//! Carries out the effects of a run's attempt machine in the simulated world.
 
 use crate::prelude::*;
 
@@ -28,7 +28,7 @@
                 inputs.push_back(AttemptInput::Picked(self.pick(node, run, tried, is_retry, local_now)));
             }
             AttemptEffect::Connect { attempt } => self.connect_attempt(node, router_id, run, attempt),
-            AttemptEffect::Write => self.write(node, router_id, run, local_now, inputs),
+            AttemptEffect::Write => self.write_request(node, router_id, run, local_now, inputs),
             AttemptEffect::FirstPieceReceived => {
                 if let (Some(router), Some(attempt)) = (self.nodes[node].router.as_mut(), &run.attempt) {
                     router.picker.record_kept(&attempt.basis.engine, &attempt.names, local_now);
@@ -76,10 +76,10 @@
     }
 
     fn connect_attempt(&mut self, node: usize, router_id: NodeId, run: &mut SimRun, attempt: String) {
-        let Some(under_way) = run.attempt.as_mut() else { return };
-        under_way.name = attempt.clone();
+        let Some(current) = run.attempt.as_mut() else { return };
+        current.name = attempt.clone();
         let to = AttemptAddress { node, router: router_id, run: run.number, attempt };
-        let (span, input) = match self.engines[under_way.engine].up {
+        let (span, input) = match self.engines[current.engine].up {
             true if self.net.slow && self.rng.chance(30) => {
                 (Span::millis(self.rng.between(100, 690)), AttemptInput::Connected)
             }
@@ -87,8 +87,8 @@
             false if self.rng.chance(30) => (Span::millis(700), AttemptInput::ConnectFault("late".into())),
             false => (Span::millis(2), AttemptInput::ConnectFault("refused".into())),
         };
-        let prefiller = under_way.placement.prefill.iter().map(|prefill| prefill.engine.clone());
-        let engines = prefiller.chain([under_way.basis.engine.clone()]).collect();
+        let prefiller = current.placement.prefill.iter().map(|prefill| prefill.engine.clone());
+        let engines = prefiller.chain([current.basis.engine.clone()]).collect();
         self.schedule_after(span, SimEvent::RunInput { to, input });
         self.freeze_node_on_connect(node, &run.request.key_hash, &run.request.tenant, engines);
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// The final answer a caller gets for a run that was given up.
+/// The final answer to a caller whose run was given up.
 fn final_message(given_up: &GivenUp) -> CallerMessage {
     let outcome = match (given_up.kind, given_up.ran) {
         (GivenUpKind::Claimed, _) => "claimed",
--- a/crates/simulator/src/attempt_placement.rs
+++ b/crates/simulator/src/attempt_placement.rs
@@ -1,4 +1,5 @@
-//! Attempts of a run: placed, written through the gate, prefilled elsewhere in a split pool, and ended.
+//! Attempts of a run: placement, the start check before the request is written, prefill on another engine in a split
+//! pool, and the end of the attempt.
 
 use crate::prelude::*;
 
@@ -79,7 +80,7 @@
         PickOutcome::Placed(engine_name)
     }
 
-    pub(crate) fn write(
+    pub(crate) fn write_request(
         &mut self,
         node: usize,
         router_id: NodeId,
@@ -122,7 +123,8 @@
         self.schedule_at(arrives_at, SimEvent::AttemptArrives { engine, request: Box::new(request) });
     }
 
-    /// In a split pool, asks the prefilling engine once; whether that is to be waited for.
+    /// In a split pool, sends the prompt to the prefill engine, once per attempt. Returns whether the attempt has to
+    /// wait for it.
     fn request_prefill(&mut self, node: usize, router_id: NodeId, run: &mut SimRun, local_now: Instant) -> bool {
         let (Some(router), Some(attempt)) = (&self.nodes[node].router, run.attempt.as_mut()) else { return false };
         let Some(prefill) =
@@ -155,7 +157,7 @@
         true
     }
 
-    /// A prefill is over, or was waited for long enough: the decoding engine is asked.
+    /// The prefill has ended or its wait has timed out: sends the attempt to the decode engine.
     pub fn handle_prefill_done(&mut self, to: AttemptAddress) {
         let woken_at = self.nodes[to.node].frozen_until;
         if woken_at > self.now {
--- a/crates/simulator/src/block_cache.rs
+++ b/crates/simulator/src/block_cache.rs
@@ -1,20 +1,20 @@
-//! Kept blocks in virtual time, of engines and of the store, with the numbered news of them.
+//! Simulated block cache of an engine or of the store, with its numbered event log.
 
 use crate::prelude::*;
 
 const MAX_BLOCKS: usize = 160;
 const MAX_EVENTS: usize = 256;
 
-/// Who made a kept block, and on which weights.
+/// For whom, and on which weights and adapter, a cached block was computed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockOrigin {
     pub weights: WeightsEdition,
     pub tenant: TenantName,
-    /// The adapter it was made under; none for the bare model.
+    /// The adapter it was computed with; none for the base model.
     pub adapter: Option<AdapterId>,
 }
 
-/// Kept blocks and the numbered news of them.
+/// A bounded cache that evicts the oldest block first, and its numbered events.
 #[derive(Default)]
 pub struct SimBlockCache {
     pub boot: u64,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A new life: nothing is kept, and news are numbered from one on.
+    /// Starts a new boot with an empty cache; event numbers start again at one.
     pub fn restart(&mut self) {
         *self = SimBlockCache { boot: self.boot + 1, first_number: 1, ..SimBlockCache::default() };
     }
--- a/crates/simulator/src/bootstrap.rs
+++ b/crates/simulator/src/bootstrap.rs
@@ -1,9 +1,9 @@
-//! How a world begins: its core is founded with a first state, and every machine starts.
+//! Initial state of a world: bootstraps the core with a first configuration and starts every machine.
 
 use crate::prelude::*;
 
 impl World {
-    /// Founds the core, and starts every machine once.
+    /// Bootstraps the core and starts every machine.
     pub(crate) fn bootstrap(&mut self) {
         self.store.restart();
         self.bootstrap_core();
--- a/crates/simulator/src/callers.rs
+++ b/crates/simulator/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers in virtual time: what they ask, how they leave, come back and ask again, and the check of
-//! every piece they get.
+//! Simulated callers: what they request, how they disconnect, resume and retry, and the check of every piece they
+//! receive.
 
 use crate::prelude::*;
 
@@ -10,17 +10,17 @@
     pub line: CallerLine,
     pub request: SimRequest,
     is_done: bool,
-    /// Its stream is broken; it comes back for the rest.
+    /// Its stream is broken and it will reconnect for the rest.
     is_disconnected: bool,
-    /// Breaks its own stream after so many pieces.
+    /// Closes its stream after this many pieces.
     disconnects_after: Option<u64>,
     resumes: u64,
-    /// Which of its streams this is: the first, or one it resumed on.
+    /// Number of its current stream: 0 for the first, one more for each resume.
     pub stream: u64,
     has_retried: bool,
 }
 
-/// A caller's stream that its caller closed.
+/// A stream that was closed by its caller.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerDisconnect {
     node: usize,
@@ -30,7 +30,7 @@
     stream: u64,
 }
 
-/// What reaches a caller.
+/// A message from a router to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerMessage {
     Piece(SimPiece),
@@ -41,17 +41,17 @@
         status: u16,
         outcome: &'static str,
     },
-    /// The stream broke without a word.
+    /// The stream broke without an end.
     Lost,
     NoAnswer,
-    /// A resume is refused for now.
+    /// A resume is refused for the moment; the caller may try again.
     Refused,
-    /// What was to be resumed is not held any more.
+    /// The run to be resumed is no longer held.
     Gone,
 }
 
 impl SimCaller {
-    /// A new stream takes the place of the one that broke.
+    /// Opens a new stream in place of the broken one and returns its number.
     pub fn attach(&mut self) -> u64 {
         self.is_disconnected = false;
         self.stream += 1;
@@ -60,19 +60,19 @@
 }
 
 impl World {
-    /// Whether a caller still listens on that stream.
+    /// Whether the caller still reads from this stream.
     pub fn is_attached(&self, (caller, stream): (usize, u64)) -> bool {
         let listener = &self.callers[caller];
         !listener.is_disconnected && listener.stream == stream
     }
 
-    /// A new request to a router.
+    /// Sends a new random request to a router.
     pub fn send_random_request(&mut self, node: usize) {
         let request = self.random_request();
         self.send_request(node, request);
     }
 
-    /// A request whose answer takes long.
+    /// Sends a streaming request with a long answer.
     pub fn send_long_request(&mut self, node: usize, tenant: TenantName, key_hash: String) {
         let request = SimRequest { tenant, key_hash, tokens: 172, ..self.random_request() };
         let limit = Span::seconds(10);
@@ -151,29 +151,29 @@
         }
     }
 
-    /// The caller's end of the stream is closed; the run hears of it.
+    /// Closes the caller's end of the stream; the router learns of it after a network delay.
     fn disconnect_caller(&mut self, caller: usize) {
         let Some(named) = EventId::read(&self.callers[caller].line.run) else { return };
-        let holds = |node: &SimNode| node.router.as_ref().is_some_and(|router| router.id == named.router);
-        let Some(node) = self.nodes.iter().position(holds) else { return };
+        let hosts_run = |node: &SimNode| node.router.as_ref().is_some_and(|router| router.id == named.router);
+        let Some(node) = self.nodes.iter().position(hosts_run) else { return };
         let delay = self.net.delay(&mut self.rng);
         let stream = self.callers[caller].stream;
-        let left = CallerDisconnect { node, router: named.router, run: named.run, caller, stream };
-        self.schedule_after(delay, SimEvent::CallerDisconnected(left));
+        let disconnect = CallerDisconnect { node, router: named.router, run: named.run, caller, stream };
+        self.schedule_after(delay, SimEvent::CallerDisconnected(disconnect));
     }
 
-    pub fn handle_caller_disconnect(&mut self, left: CallerDisconnect) {
-        let woken_at = self.nodes[left.node].frozen_until;
+    pub fn handle_caller_disconnect(&mut self, disconnect: CallerDisconnect) {
+        let woken_at = self.nodes[disconnect.node].frozen_until;
         if woken_at > self.now {
-            return self.defer(woken_at, SimEvent::CallerDisconnected(left));
+            return self.defer(woken_at, SimEvent::CallerDisconnected(disconnect));
         }
-        let known = self.nodes[left.node].router.as_mut().filter(|known| known.id == left.router);
-        let Some(left_run) = known.and_then(|known| known.runs.get_mut(&left.run)) else { return };
-        if left_run.caller != Some((left.caller, left.stream)) {
+        let known = self.nodes[disconnect.node].router.as_mut().filter(|known| known.id == disconnect.router);
+        let Some(run) = known.and_then(|known| known.runs.get_mut(&disconnect.run)) else { return };
+        if run.caller != Some((disconnect.caller, disconnect.stream)) {
             return;
         }
-        left_run.caller = None;
-        self.drive(left.node, left.router, left.run, AttemptInput::CallerGone);
+        run.caller = None;
+        self.drive(disconnect.node, disconnect.router, disconnect.run, AttemptInput::CallerGone);
     }
 
     pub fn deliver_to_caller(&mut self, number: usize, message: CallerMessage) {
@@ -184,7 +184,7 @@
         }
         let may_reconnect = caller.request.resumes && caller.line.pieces > 0 && caller.resumes < MAX_RESUMES;
         match message {
-            CallerMessage::Piece(piece) => self.take_piece(number, piece),
+            CallerMessage::Piece(piece) => self.receive_piece(number, piece),
             CallerMessage::Whole(piece) => {
                 caller.line.attempt = piece.attempt.clone();
                 caller.line.last_at = at;
@@ -215,7 +215,7 @@
         }
     }
 
-    fn take_piece(&mut self, number: usize, piece: SimPiece) {
+    fn receive_piece(&mut self, number: usize, piece: SimPiece) {
         let at = self.millis();
         let caller = &mut self.callers[number];
         let line = &mut caller.line;
--- a/crates/simulator/src/claim_submissions.rs
+++ b/crates/simulator/src/claim_submissions.rs
@@ -1,4 +1,5 @@
-//! Claims of idempotency keys, told to the core until they are settled or their time is over.
+//! Submissions of routers to the core (claims of idempotency keys and their release), resent until they are settled
+//! or time out.
 
 use crate::prelude::*;
 
@@ -24,7 +25,7 @@
         self.send_submission(node, router, ticket, submission, until);
     }
 
-    /// Says a submission to the agent, again and again until it is settled or its limit has passed.
+    /// Sends a submission to the agent and resends it until it is settled or its time limit has passed.
     pub fn send_submission(
         &mut self,
         node: usize,
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -1,14 +1,14 @@
-//! The core alone, in disorder: keepers step in any order, streams between them lag, stall and break
-//! at any message, processes end in the midst of what they carry out and start again on what was
-//! synced. Held against what must stand in any order: one view for each number, one acting tail,
-//! nothing committed that is lost or changed, and operators' answers that one register can have given.
+//! The core alone, in arbitrary order: keepers step in any order, streams between them lag, stall and break at any
+//! message, and processes crash halfway through their effects and restart from what was synced. Checks the invariants
+//! that hold in any order: one view per number, at most one active tail, no committed change lost or altered, and
+//! operator answers that are linearizable as a single register.
 
 use crate::prelude::*;
 
 const STEPS: usize = 6_000;
-/// How often each act is drawn: deliver, pulse, a little time, submit, start, break a stream, stall one,
-/// end stalls, end a keeper, much time, stop one in good order, an operator's call, a calm spell, the loss of
-/// a disk.
+/// Weights of the actions in a step, in the order of the match in `step`: deliver a message, tick, advance time a
+/// little, submit, start a keeper, break a stream, stall a stream, end all stalls, crash a keeper, advance time a
+/// lot, retire a keeper, operator call, calm period, loss of a disk.
 const NORMAL_WEIGHTS: [u64; 14] = [240, 60, 60, 12, 6, 4, 6, 6, 2, 3, 1, 10, 1, 2];
 const AGGRESSIVE_WEIGHTS: [u64; 14] = [200, 40, 60, 20, 30, 8, 14, 12, 4, 9, 3, 12, 1, 3];
 
@@ -27,11 +27,11 @@
 
 struct CoreSimulation {
     rng: SeededRng,
-    /// Half of the seeds lose and restart keepers much more often, most of all in a vote.
+    /// Odd seeds crash and restart keepers much more often, most of all during a vote.
     is_aggressive: bool,
     now: Instant,
     keepers: Vec<CoreKeeper>,
-    /// Streams, each in its own order.
+    /// Messages in flight on each stream; a stream delivers in order.
     streams: BTreeMap<(usize, usize), VecDeque<Envelope>>,
     stalled: BTreeSet<(usize, usize)>,
     views: BTreeMap<ViewNumber, View>,
@@ -47,7 +47,7 @@
     Member { id, door: address.clone(), address, zone: Zone(ZONES[number].into()) }
 }
 
-/// Plays one seed; what was broken.
+/// Runs one seed and returns the violations.
 pub fn run_disorder(seed: u64) -> RunOutcome {
     let mut core = CoreSimulation::new(seed);
     core.run_in_order(Span::seconds(12));
@@ -61,14 +61,14 @@
     }
     core.run_in_order(Span::seconds(20));
     if core.active_tails().is_empty() {
-        core.violations.push("rule 12: no tail acts after the disorder".into());
+        core.violations.push("rule 12: no active tail after the end of the disorder".into());
     }
     for number in 0..KEEPERS {
         core.read(number);
     }
     core.run_in_order(Span::seconds(2));
     if let Err(reason) = core.operators.check() {
-        core.violations.push(format!("rule 8: operators' answers are of no single register: {reason}"));
+        core.violations.push(format!("rule 8: the operators' answers are not linearizable: {reason}"));
     }
     let starts = core.operators.answered();
     let acks = (core.last_committed.0 - formed.0) as usize;
@@ -128,7 +128,7 @@
         self.streams.retain(|(_, to), _| *to != number);
     }
 
-    /// Everything in good order for a while, with a change now and then.
+    /// Runs without faults for a while: ticks and delivers everything, with an occasional change.
     fn run_in_order(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
@@ -193,19 +193,19 @@
         }
     }
 
-    /// A keeper's disk is lost and an empty one comes in its place, if the fleet is to bear that now.
+    /// Replaces a keeper by one with an empty disk, if the fleet has to tolerate that now.
     fn lose_disk(&mut self, number: usize) {
         if !self.is_fully_replicated() {
             return;
         }
         self.kill(number);
-        // A life of an empty folder is none that anybody has met.
+        // A keeper that starts on an empty folder has a new id, which no peer knows.
         self.keepers[number] = CoreKeeper::empty(NodeId(self.rng.next_u64() | 1 << 60));
         self.start(number);
     }
 
-    /// Whether the fleet is whole again after the last lost disk: what was put in its place is in the chain and
-    /// has everything. Others may be down or cut off; their disks are kept.
+    /// Whether the fleet has recovered from the last lost disk: the replacement is in the chain and has all data.
+    /// Other keepers may be down or cut off, as their disks are kept.
     fn is_fully_replicated(&self) -> bool {
         let views = self.keepers.iter().filter_map(|keeper| keeper.disk.view.as_ref());
         let Some(view) = views.max_by_key(|view| view.number) else { return false };
@@ -218,7 +218,7 @@
             && self.keepers.iter().all(|keeper| is_first(keeper) || is_complete(keeper))
     }
 
-    /// Streams flow for a while, among the keepers that run, and operators go on.
+    /// Lets messages flow among the running keepers for a while, with operator calls in between.
     fn calm_period(&mut self) {
         self.stalled.clear();
         for _ in 0..self.rng.between(1, 5) {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// An operator calls a keeper, or two call two.
+    /// One operator calls a keeper, or two operators call two keepers at once.
     fn operator_change(&mut self, number: usize, other: usize) {
         match self.rng.below(10) {
             0..=3 => self.read(number),
@@ -265,7 +265,7 @@
         self.query(number, CoreQuery::Submit(submission));
     }
 
-    /// Asks under the ticket drawn last.
+    /// Sends a query under the last ticket issued.
     fn query(&mut self, number: usize, question: CoreQuery) {
         let limit = self.now + Span::seconds(3);
         self.step_keeper(number, Input::Query { ticket: self.next_ticket, question, limit }, false);
@@ -285,12 +285,12 @@
         self.step_keeper(stream.1, Input::Peer(envelope), crashes);
     }
 
-    /// Steps a keeper and carries its plan out; if it ends here, only a part of it.
+    /// Steps a keeper and carries out its effects; with `crashes`, only some of them before the keeper is killed.
     fn step_keeper(&mut self, number: usize, input: Input, crashes: bool) {
         let now = self.now;
         let Some(coordinator) = self.keepers[number].coordinator.as_mut() else { return };
         let plan = coordinator.step(input, now);
-        // What is stored is stored as a whole, before anything is said, or not at all.
+        // Writes are stored all at once, before any message is sent, or not at all.
         let (stores, sends): (Vec<Effect>, Vec<Effect>) =
             plan.into_iter().partition(|effect| matches!(effect, Effect::Store(_)));
         let completed_parts = if crashes { self.rng.below(sends.len() as u64 + 2) as usize } else { sends.len() + 1 };
@@ -339,7 +339,8 @@
                 .push(format!("rule 8: the tail stands at {}, {} was committed", last.edition, self.last_committed));
         }
         self.last_committed = self.last_committed.max(last.edition);
-        // Configurations are judged as a register; one sent again is answered with the record it was taken in.
+        // Configuration changes are checked as a register instead, because a resent change is answered with the
+        // record it was first applied in.
         for (request, settled) in coordinator.state().operator_submissions.iter() {
             let CommandOutcome::Applied(edition) = settled else { continue };
             let known = *self.committed.entry(*edition).or_insert(request);
@@ -349,7 +350,7 @@
         }
         let tails = self.active_tails();
         if tails.len() > 1 {
-            self.violations.push(format!("rule 8: tails {tails:?} act at once"));
+            self.violations.push(format!("rule 8: several active tails: {tails:?}"));
         }
         self.violations.truncate(20);
     }
--- a/crates/simulator/src/engine_work.rs
+++ b/crates/simulator/src/engine_work.rs
@@ -1,8 +1,8 @@
-//! What an engine does with an attempt: it begins, prefills, answers in its manner, and ends.
+//! Work of an engine on an attempt: start, prefill, answer according to its behavior, and end.
 
 use crate::prelude::*;
 
-/// Another attempt, whose pieces a misbehaving engine sends.
+/// Id of an unrelated attempt, whose pieces a misbehaving engine sends.
 const FOREIGN_ATTEMPT: &str = "other.1.1";
 
 impl World {
@@ -52,7 +52,7 @@
         self.schedule_at(next_step_at, SimEvent::EngineStep { engine: number, boot, attempt: request.to.attempt });
     }
 
-    /// In a split pool: prefills and keeps a prompt that another engine is to decode.
+    /// In a split pool, prefills a prompt that another engine will decode and caches its blocks.
     pub fn handle_prefill(&mut self, number: usize, request: EngineRequest) {
         let delay = self.net.delay(&mut self.rng);
         let at = self.millis();
@@ -74,7 +74,8 @@
         self.schedule_after(span + delay, done);
     }
 
-    /// The blocks an attempt is served from, its own and the fetched, are judged; then all are kept.
+    /// Checks the origin of the blocks that an attempt uses, cached and fetched, and then caches all blocks of its
+    /// prompt.
     fn use_blocks(&mut self, number: usize, request: &EngineRequest, own_count: usize) {
         let mut used: Vec<(BlockHash, BlockOrigin)> = Vec::new();
         let engine = &self.engines[number];
@@ -114,7 +115,7 @@
         self.engines[number].cache.insert(kept);
     }
 
-    /// Records the blocks used that were made on other weights, for another tenant or under another adapter.
+    /// Records the used blocks that were computed on other weights, for another tenant or with another adapter.
     fn record_foreign_use(
         &mut self,
         weights: WeightsEdition,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// One step of an engine's work on an attempt.
+    /// Does one step of an engine's work on an attempt.
     pub fn step_attempt(&mut self, number: usize, boot: u64, attempt_name: String) {
         let now = self.now;
         let delay = self.net.delay(&mut self.rng);
@@ -183,7 +184,8 @@
         self.schedule_after(pause, SimEvent::EngineStep { engine: number, boot, attempt: attempt_name });
     }
 
-    /// Answers with an error, or with a head and then a stream that ends too early, if that is its manner.
+    /// Sends the head if it is due, and the error or early end that the engine's behavior calls for. Returns whether
+    /// the attempt has ended.
     fn ends_early(&mut self, attempt: &mut EngineAttempt, sent_at: Instant) -> bool {
         if attempt.behavior == EngineBehavior::Refuses {
             let detail = "engine answered 500".into();
@@ -212,10 +214,10 @@
         let is_foreign = attempt.behavior == EngineBehavior::Foreign
             || attempt.behavior == EngineBehavior::ForeignPiece(attempt.place);
         let named = if is_foreign { FOREIGN_ATTEMPT } else { &attempt.to.attempt };
-        self.send_to_run(&attempt.to, sent_at, piece_of(named, attempt.place, false, attempt.names()));
+        self.send_to_run(&attempt.to, sent_at, piece_of(named, attempt.place, false, attempt.named_adapter()));
     }
 
-    /// A stream's end mark and end, or the whole answer.
+    /// Sends the end mark and the end of a stream, or a whole answer.
     fn send_end(&mut self, attempt: &EngineAttempt, sent_at: Instant) {
         if attempt.streams {
             self.send_to_run(&attempt.to, sent_at, AttemptInput::EndMark);
@@ -223,7 +225,7 @@
                 self.send_to_run(
                     &attempt.to,
                     sent_at,
-                    piece_of(&attempt.to.attempt, attempt.place, true, attempt.names()),
+                    piece_of(&attempt.to.attempt, attempt.place, true, attempt.named_adapter()),
                 );
             }
             return self.send_to_run(&attempt.to, sent_at, AttemptInput::Closed);
@@ -232,7 +234,7 @@
         let is_foreign = matches!(attempt.behavior, EngineBehavior::Foreign | EngineBehavior::ForeignPiece(_));
         let named = if is_foreign { FOREIGN_ATTEMPT } else { &attempt.to.attempt };
         let place = if finished { attempt.tokens } else { attempt.tokens / 2 };
-        self.send_to_run(&attempt.to, sent_at, piece_of(named, place, finished, attempt.names()));
+        self.send_to_run(&attempt.to, sent_at, piece_of(named, place, finished, attempt.named_adapter()));
     }
 
     pub(crate) fn end_engine_attempt(&mut self, number: usize, attempt: &EngineAttempt, whole: bool) {
@@ -252,7 +254,7 @@
     }
 }
 
-/// How an attempt is told that its limit has passed.
+/// The engine's answer to an attempt whose time limit has passed.
 fn out_of_time(attempt: &EngineAttempt) -> AttemptInput<SimPiece> {
     let detail = String::from("limit_passed");
     match attempt.head_sent {
--- a/crates/simulator/src/engines.rs
+++ b/crates/simulator/src/engines.rs
@@ -1,29 +1,29 @@
-//! Engines in virtual time: their lives, the orders they take, and how they misbehave.
+//! Simulated engines: start and crash, conductor orders, and misbehavior.
 
 use crate::prelude::*;
 
-/// How an engine misbehaves for a while; each attempt begun then is served so.
+/// How an engine serves the attempts that start while this behavior is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineBehavior {
     Good,
-    /// The stream breaks after so many pieces.
+    /// The stream breaks after this many pieces.
     Breaks(u64),
-    /// The stream ends cleanly after so many pieces, without its end mark.
+    /// The stream is closed cleanly after this many pieces, without its end mark.
     EndsEarly(u64),
-    /// The whole answer is another attempt's.
+    /// The whole answer belongs to another attempt.
     Foreign,
-    /// A piece of another attempt comes in between.
+    /// The piece at this index belongs to another attempt.
     ForeignPiece(u64),
-    /// A piece comes after the end mark.
+    /// A piece follows the end mark.
     GoesOn,
-    /// A whole answer that is not finished, a stream that stops half-way.
+    /// A whole answer is incomplete; a stream is closed half-way.
     Partial,
-    /// An error after the work was begun.
+    /// The engine answers with an error after it has started the work.
     Refuses,
-    /// Nothing ever comes.
+    /// The engine never answers.
     Silent,
     Late,
-    /// Answers name an adapter of another tenant, drawn in the play of foreign adapters alone.
+    /// Answers name an adapter of another tenant; used only in the mode with foreign adapters.
     NamesForeign,
 }
 
@@ -40,16 +40,17 @@
     pub attempts: BTreeMap<String, EngineAttempt>,
     pub behavior: EngineBehavior,
     pub behavior_until: Instant,
-    /// Polls for events answer nothing new until then.
+    /// Until then, polls for events return nothing new.
     pub events_hidden_until: Instant,
-    /// It keeps its blocks over the next load of weights, as it must not.
+    /// A fault: it keeps its cached blocks over the next load of weights.
     pub keeps_cache_on_load: bool,
     pub resident: BTreeSet<AdapterId>,
     pub loading: BTreeSet<AdapterId>,
 }
 
 impl SimEngine {
-    /// An engine listed open that has not started. In a split pool the first of every three prefills.
+    /// An engine that is listed open but not started. In a split pool every third engine, beginning with the first,
+    /// prefills.
     pub fn new(number: usize, is_split: bool) -> SimEngine {
         SimEngine {
             name: EngineName(format!("e{number}")),
@@ -82,24 +83,24 @@
     pub tokens: u64,
     pub(crate) place: u64,
     pub(crate) streams: bool,
-    /// The adapter it runs on; none for the bare model.
+    /// The adapter it runs on; none for the base model.
     pub(crate) adapter: Option<AdapterId>,
     pub(crate) begins_at: Instant,
     pub(crate) limit: Instant,
     pub(crate) behavior: EngineBehavior,
-    /// News to the router come in order.
+    /// When the last message to the router arrives; later messages arrive no earlier, so that they stay in order.
     pub(crate) last_sent_at: Instant,
     pub(crate) head_sent: bool,
 }
 
 impl EngineAttempt {
-    /// The adapter it runs on; none for the bare model.
+    /// The adapter it runs on; none for the base model.
     pub fn runs_on(&self) -> Option<&AdapterId> {
         self.adapter.as_ref()
     }
 
     /// The adapter that its answer names.
-    pub(crate) fn names(&self) -> Option<AdapterId> {
+    pub(crate) fn named_adapter(&self) -> Option<AdapterId> {
         match self.behavior {
             EngineBehavior::NamesForeign => Some(foreign_to(self.runs_on())),
             _ => self.adapter.clone(),
@@ -107,7 +108,7 @@
     }
 }
 
-/// Where an attempt's news go.
+/// The node, router, run and attempt that an engine's messages are addressed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptAddress {
     pub node: usize,
@@ -116,7 +117,7 @@
     pub attempt: String,
 }
 
-/// A question on its way to an engine.
+/// An attempt's request on its way to an engine.
 #[derive(Clone, Debug)]
 pub struct EngineRequest {
     pub to: AttemptAddress,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The engine ends; streams break at once, or with its machine stay silent.
+    /// Crashes an engine. Its streams break at once, or go silent if the whole machine is lost.
     pub fn crash_engine(&mut self, number: usize, with_machine: bool) {
         let engine = &mut self.engines[number];
         if !engine.up {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// An order that has reached an engine.
+    /// Carries out a conductor's order, unless its term is older than one already seen.
     pub fn handle_order(&mut self, number: usize, order: SimOrder) {
         let at = self.millis();
         let engine = &mut self.engines[number];
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Who gave the latest order.
+    /// The holder that gave the last recorded order.
     fn record_holder(&self) -> &str {
         match self.record.engines.last() {
             Some(EngineLogLine::Order { holder, .. }) => holder,
@@ -221,7 +222,7 @@
         }
     }
 
-    /// The router's end of an attempt's stream is closed.
+    /// The router has closed its end of an attempt's stream.
     pub fn handle_attempt_closed(&mut self, number: usize, attempt_name: &str) {
         if let Some(attempt) = self.engines[number].attempts.remove(attempt_name) {
             self.end_engine_attempt(number, &attempt, false);
--- a/crates/simulator/src/event_polling.rs
+++ b/crates/simulator/src/event_polling.rs
@@ -1,9 +1,9 @@
-//! Routers following the news of engines and of the store.
+//! Routers poll the cache events of the engines and of the store.
 
 use crate::prelude::*;
 
 impl World {
-    /// A router's followers ask every source for its news, and now and then for its count.
+    /// Polls every source for its cache events and every engine for its number of running attempts.
     pub fn poll_sources(&mut self, node: usize, incarnation: u64) {
         let now = self.now;
         let polled_node = &mut self.nodes[node];
--- a/crates/simulator/src/events.rs
+++ b/crates/simulator/src/events.rs
@@ -1,4 +1,4 @@
-//! What can happen in the world, and who it happens to.
+//! Events of the simulated world and their dispatch.
 
 use crate::prelude::*;
 
@@ -149,7 +149,7 @@
     ResumeArrives {
         node: usize,
         caller: usize,
-        carried: bool,
+        forwarded: bool,
     },
     CallerRetries {
         node: usize,
@@ -170,7 +170,7 @@
     OperatorChange,
     ListingChange,
     Fault(Fault),
-    /// A keeper that was told to stop ends once it has left the view, at `until` at the latest.
+    /// Ends a retiring keeper once it has left the view, at `until` at the latest.
     StopKeeper {
         keeper: usize,
         incarnation: u64,
@@ -244,9 +244,9 @@
                 self.send_submission(node, router, ticket, submission, until);
             }
             SimEvent::CallerTimeout { caller } => self.time_out_caller(caller),
-            SimEvent::CallerDisconnected(left) => self.handle_caller_disconnect(left),
+            SimEvent::CallerDisconnected(disconnect) => self.handle_caller_disconnect(disconnect),
             SimEvent::CallerReconnects { node, caller } => self.reconnect_caller(node, caller),
-            SimEvent::ResumeArrives { node, caller, carried } => self.resume(node, caller, carried),
+            SimEvent::ResumeArrives { node, caller, forwarded } => self.resume(node, caller, forwarded),
             SimEvent::CallerRetries { node, request } => self.retry_request(node, request),
             SimEvent::IsolateHolder { again } => self.isolate_holder(again),
             SimEvent::KillKeeper { keeper } => self.kill_keeper(keeper),
@@ -258,7 +258,7 @@
             SimEvent::StopKeeper { keeper, incarnation, until } => self.stop_keeper(keeper, incarnation, until),
             SimEvent::Fault(fault) => self.inject_fault(fault),
             SimEvent::Sample => {
-                self.sample();
+                self.record_samples();
                 self.schedule_after(Span::millis(100), SimEvent::Sample);
             }
         }
--- a/crates/simulator/src/fault_effects.rs
+++ b/crates/simulator/src/fault_effects.rs
@@ -1,4 +1,4 @@
-//! What each fault does to the world, and its undoing.
+//! What each fault does to the world, and how faults end.
 
 use crate::prelude::*;
 
@@ -9,7 +9,7 @@
         let at = self.millis();
         self.record.world.push(WorldLine::Fault { at, what });
         self.fault_kinds.push(fault.kind());
-        // Most faults are undone after a while, so that later ones meet a fleet at work.
+        // Most faults are undone after a while, so that later faults hit a working fleet.
         let span = Span::millis(self.rng.between(500, 6_000));
         match self.rng.below(10) {
             0..=3 => self.schedule_after(span, SimEvent::RestartAll),
@@ -103,7 +103,8 @@
         }
     }
 
-    /// With `again`, whoever holds the duty next is cut off in turn, as soon as it may act.
+    /// Cuts the conductor off from the core and the nodes. With `again`, the next holder of the duty may be cut off
+    /// as well, as soon as it may act.
     pub fn isolate_holder(&mut self, again: u64) {
         if self.faults_over {
             return;
@@ -125,7 +126,7 @@
             return;
         }
         self.change_weights(others[0]);
-        // Nodes that sleep through it hear of the new weights late, and must not think them new.
+        // Nodes that are frozen meanwhile learn of the new weights late and must not treat them as new.
         let frozen_count = if self.rng.chance(50) { 3 } else { 0 };
         for _ in 0..frozen_count {
             let node = self.rng.below(NODES as u64) as usize;
@@ -134,8 +135,8 @@
         }
     }
 
-    /// A caller streams a long answer under a fresh key; then its node is cut off or frozen for longer
-    /// than that, or its machine is lost, and the key is withdrawn.
+    /// Starts a long stream under the newest key. Then its node is cut off or frozen for longer than the stream
+    /// takes, or its machine is lost, and the key is withdrawn.
     fn stream_then_withdraw_key(&mut self, node: usize) {
         let Some((key_hash, tenant, _)) = self.live_keys.last().cloned() else { return };
         self.send_long_request(node, TenantName(tenant), key_hash.clone());
@@ -143,7 +144,7 @@
     }
 
     pub fn withdraw_key_behind(&mut self, node: usize, key_hash: &str) {
-        let Some(place) = self.live_keys.iter().position(|(key, _, _)| key == key_hash) else { return };
+        let Some(index) = self.live_keys.iter().position(|(key, _, _)| key == key_hash) else { return };
         let until = self.now + Span::seconds(9);
         match self.rng.below(3) {
             0 => {
@@ -157,10 +158,10 @@
                 self.start_node(node);
             }
         }
-        self.withdraw_key(node % KEEPERS, place);
+        self.withdraw_key(node % KEEPERS, index);
     }
 
-    /// An attempt connects at a node that is to freeze in this moment: nothing it was chosen on stays.
+    /// Freezes a node in the moment one of its attempts connects, and changes what the attempt was placed on.
     pub fn freeze_node_on_connect(
         &mut self,
         node: usize,
@@ -176,7 +177,7 @@
         self.nodes[node].frozen_until = self.nodes[node].frozen_until.max(until);
         let keeper = self.rng.below(KEEPERS as u64) as usize;
         match self.rng.below(4) {
-            0 => self.wall(keeper, tenant.0.clone(), true),
+            0 => self.set_walled(keeper, tenant.0.clone(), true),
             1 => self.change_weights(keeper),
             _ => {
                 for engine in engines {
@@ -186,12 +187,12 @@
                 }
             }
         }
-        if let Some(place) = self.live_keys.iter().position(|(key, _, _)| key == key_hash) {
-            self.withdraw_key(keeper, place);
+        if let Some(index) = self.live_keys.iter().position(|(key, _, _)| key == key_hash) {
+            self.withdraw_key(keeper, index);
         }
     }
 
-    /// Heals the network, but for cuts that are held for a while.
+    /// Heals the network (if `heals`) except for the cuts that are held for a while.
     pub fn heal_except_held(&mut self, heals: bool) {
         if heals {
             self.net.heal();
@@ -220,15 +221,15 @@
         }
     }
 
-    /// When every frozen machine goes on by itself. A disk that stalls does not matter: what waits for it is
-    /// carried out first, whenever that is.
+    /// When every frozen machine has resumed by itself. Stalled disks need no wait, because the pending effects of a
+    /// keeper are always forwarded out before its next input.
     pub fn awake_at(&self) -> Instant {
         let keepers = self.keepers.iter().map(|keeper| keeper.frozen_until);
         let nodes = self.nodes.iter().map(|node| node.frozen_until);
         keepers.chain(nodes).fold(self.now, Instant::max)
     }
 
-    /// Ends every fault: what is down starts, what is cut or slow is healed, what is frozen wakes.
+    /// Ends every fault: starts what is down, heals the network and wakes frozen machines.
     pub fn end_faults(&mut self) {
         self.held_cuts.clear();
         self.net.heal();
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,17 +1,17 @@
-//! The faults a seed may draw, each with its undoing.
+//! The faults that a run can inject, and their random choice.
 
 use crate::prelude::*;
 
 #[derive(Clone, Debug, PartialEq, strum::IntoStaticStr, strum::VariantNames)]
 pub enum Fault {
-    /// The process ends; the disk stays.
+    /// The process crashes; the disk is kept.
     KillKeeper(usize),
-    /// Several at once, control included.
+    /// Several crash at once, possibly the whole core.
     KillKeepers(Vec<usize>),
     StartKeepers,
-    /// Told to stop: it hands its duties over and ends.
+    /// Told to stop: it hands over its duties and exits.
     StopKeeper(usize),
-    /// The machine is lost and replaced by an empty one, here or at another address.
+    /// The machine is lost and replaced by an empty one, at the same or at another address.
     ReplaceKeeper {
         keeper: usize,
         moves: bool,
@@ -34,7 +34,7 @@
         node: usize,
         span: Span,
     },
-    /// Keepers split into two groups; nodes go with the first.
+    /// Partitions the keepers into two groups; the nodes may be cut off from the listed one.
     SplitCore(Vec<usize>),
     IsolateKeeper {
         keeper: usize,
@@ -47,12 +47,12 @@
     CutOffCore,
     SlowNet,
     Heal,
-    /// Power fails in the whole core right after the next acknowledgement.
+    /// The whole core loses power right after the next acknowledgement.
     PowerLoss,
-    /// A zone is lost whole: its keeper, its nodes, its engines.
+    /// A whole zone is lost: its keeper, nodes and engines.
     LoseZone(usize),
     CrashEngine(usize),
-    /// The machine with its engine is gone without a word.
+    /// The engine's machine is lost; its connections go silent.
     LoseEngine(usize),
     StartEngines,
     Misbehave {
@@ -60,7 +60,7 @@
         manner: EngineBehavior,
         span: Span,
     },
-    /// Every engine misbehaves alike, so that second attempts meet the same.
+    /// All engines misbehave alike, so that retries meet the same behavior.
     MisbehaveAll {
         manner: EngineBehavior,
         span: Span,
@@ -69,29 +69,29 @@
         engine: usize,
         span: Span,
     },
-    /// An engine that keeps its blocks over the next load.
+    /// The engine keeps its cached blocks over the next load of weights.
     KeepOnLoad(usize),
     LoseStore,
-    /// The platform lists many engines away at once.
+    /// The platform lists many engines as leaving or gone at once.
     ListAway,
-    /// One way or both between two keepers alone.
+    /// Cuts one or both directions between two keepers.
     CutPair {
         keeper: usize,
         other: usize,
         both_ways: bool,
     },
-    /// At the next campaign for a view, keepers are lost in the midst of it.
+    /// Keepers crash in the middle of the next view change.
     KillInCampaign,
-    /// The conductor is cut off from core and nodes, not from engines, and new weights are named; at times
-    /// its successor too, and nodes that sleep through it.
+    /// The conductor is cut off from the core and the nodes, but not from the engines, and new weights are set. Its
+    /// successor may be cut off too, and some nodes may be frozen meanwhile.
     IsolateHolder,
-    /// A node is cut off, frozen or lost, and the key of a caller it streams to is withdrawn.
+    /// A node is cut off, frozen or lost, and the key of a caller that it streams to is withdrawn.
     WithdrawBehind(usize),
-    /// A node is frozen just when one of its attempts connects, and what the attempt was chosen on changes.
+    /// A node is frozen just when one of its attempts connects, and what the attempt was placed on changes.
     FreezeInConnect(usize),
 }
 
-/// The names of every kind of fault.
+/// The names of all kinds of faults.
 pub fn fault_kinds() -> &'static [&'static str] {
     <Fault as strum::VariantNames>::VARIANTS
 }
@@ -101,7 +101,7 @@
         self.into()
     }
 
-    /// Draws a fault: half of them meet the core, half the edge and the engines.
+    /// Draws a random fault: about half of them hit the core, the others the nodes and the engines.
     pub fn random(rng: &mut SeededRng, keepers: usize, nodes: usize, engines: usize) -> Fault {
         let keeper = rng.below(keepers as u64) as usize;
         let node = rng.below(nodes as u64) as usize;
--- a/crates/simulator/src/foreign_adapters.rs
+++ b/crates/simulator/src/foreign_adapters.rs
@@ -1,21 +1,21 @@
-//! Requests on adapters while a tenant is bound to one and the other of its adapters, and engines name adapters
-//! of other tenants in their answers.
+//! Requests for adapters while a tenant's binding alternates between two adapters and engines name adapters of other
+//! tenants in their answers.
 
 use crate::prelude::*;
 
-/// What the first tenant is bound to in turn with its usual adapter.
+/// The first tenant's binding alternates between its usual adapter and this one.
 const SECOND_ADAPTER: &str = "etcher";
-/// Moves of the binding and foreign answers are drawn apart from all else.
+/// Seeds a separate generator for rebindings and foreign answers, so that they do not change the other random draws.
 const FOREIGN_RNG_SALT: u64 = 0xf0e1_6e00;
 
-/// An adapter that is not the one an attempt runs on, and not of the same tenant.
+/// Returns an adapter of a tenant other than the one whose adapter an attempt runs on.
 pub(crate) fn foreign_to(adapter: Option<&AdapterId>) -> AdapterId {
     let is_second = adapter.is_some_and(|adapter| adapter.name.as_str() == ADAPTER_TENANTS[1].1);
     AdapterId::new(if is_second { ADAPTER_TENANTS[0].1 } else { ADAPTER_TENANTS[1].1 }, 1)
 }
 
 impl World {
-    /// Draws when the binding moves, and when engines name foreign adapters, until the trouble ends.
+    /// Schedules random rebindings and foreign answers until the faults end.
     pub(crate) fn schedule_foreign(&mut self, seed: u64, faults_end: Instant) {
         let mut rng = SeededRng::new(seed ^ FOREIGN_RNG_SALT);
         let mut rebound_at = self.now;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// An operator binds the first tenant to the one of its two adapters that it is not bound to now.
+    /// An operator binds the first tenant to the one of its two adapters that is not bound now.
     pub(crate) fn rebind(&mut self) {
         if self.faults_over {
             return;
@@ -47,6 +47,6 @@
                 "tenants":{{"{tenant}":{{"adapters":["{next}"]}}}}}}"#
         );
         let keeper = self.rng.below(KEEPERS as u64) as usize;
-        self.change(keeper, patch, ChangeKind::Other);
+        self.submit_patch(keeper, patch, ChangeKind::Other);
     }
 }
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -1,4 +1,4 @@
-//! Keepers in virtual time: their lives, their disks, what they say, and the duties they do.
+//! Simulated keepers: start and crash, disk syncs, messages, and the duties they hold.
 
 use crate::prelude::*;
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Ends a keeper that was told to stop, unless it still waits to be let go.
+    /// Ends a retiring keeper once it has left the view or `until` has passed; otherwise checks again later.
     pub fn stop_keeper(&mut self, number: usize, incarnation: u64, until: Instant) {
         let keeper = &self.keepers[number];
         if keeper.incarnation != incarnation {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An empty machine in the place of a lost one.
+    /// Replaces a lost keeper by an empty machine with a new id.
     pub fn replace_keeper(&mut self, number: usize, moves: bool) {
         self.kill_keeper(number);
         let new_id = NodeId(self.rng.next_u64() | 1 << 60);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A sync is over, unless the disk stalled or the machine was frozen meanwhile.
+    /// A disk sync has ended, unless the disk stalled or the machine was frozen meanwhile.
     pub fn handle_disk_synced(&mut self, number: usize, incarnation: u64) {
         if self.keepers[number].incarnation != incarnation {
             return;
@@ -111,7 +111,8 @@
         }
     }
 
-    /// When a keeper takes something up again. If that is now, what it planned before is carried out first.
+    /// Returns when the keeper can take its next input. If that is now, first carries out the effects that waited for
+    /// the disk sync.
     pub fn finish_sync_if_free(&mut self, number: usize) -> Instant {
         while self.keepers[number].free_at() <= self.now
             && let Some(plan) = self.keepers[number].pending_effects.take()
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Keepers are lost at some moment of the vote, and start again soon.
+    /// Crashes keepers at random moments of a vote; they restart soon.
     fn kill_keepers_in_campaign(&mut self) {
         for _ in 0..2 {
             let keeper = self.rng.below(KEEPERS as u64) as usize;
@@ -181,7 +182,7 @@
         self.schedule_after(delay, SimEvent::DeliverToNode { link });
     }
 
-    /// Census and conductor of one keeper, as the daemon's duties do them.
+    /// Runs the census and conductor duties of one keeper, as the keeper program does.
     pub fn run_duties(&mut self, number: usize) {
         let now = self.now;
         let keeper = &mut self.keepers[number];
@@ -294,10 +295,10 @@
                     );
                 }
                 ConductorAction::Load { engine, weights, .. } => {
-                    self.order(number, term, engine.clone(), engine, SimOrderKind::LoadWeights(weights));
+                    self.issue_order(number, term, engine.clone(), engine, SimOrderKind::LoadWeights(weights));
                 }
                 ConductorAction::Open { engine, .. } => {
-                    self.order(number, term, engine.clone(), engine, SimOrderKind::Open)
+                    self.issue_order(number, term, engine.clone(), engine, SimOrderKind::Open)
                 }
                 ConductorAction::DoStep { plan, .. } if !self.may_do_step(number, state, plan) => {}
                 ConductorAction::DoStep { plan, step } => {
@@ -310,8 +311,15 @@
         }
     }
 
-    /// Gives an order, unless an earlier wish for this engine is under way.
-    pub fn order(&mut self, number: usize, term: Term, engine: EngineName, key: EngineName, kind: SimOrderKind) {
+    /// Sends an order to an engine, unless an earlier one under this key is still in flight.
+    pub fn issue_order(
+        &mut self,
+        number: usize,
+        term: Term,
+        engine: EngineName,
+        key: EngineName,
+        kind: SimOrderKind,
+    ) {
         let Some(engine) = self.engines.iter().position(|known| known.name == engine) else { return };
         if self.keepers[number].in_flight.contains_key(&key) {
             return;
@@ -323,7 +331,7 @@
         self.schedule_after(delay, SimEvent::SendOrder { keeper: number, incarnation, engine, order });
     }
 
-    /// The duty is looked at once more in the write that would give the order.
+    /// Checks once more, just before the order is sent, that the keeper still holds the duty in the order's term.
     pub fn send_order(&mut self, number: usize, incarnation: u64, engine: usize, order: SimOrder) {
         let keeper = &self.keepers[number];
         if keeper.incarnation != incarnation {
@@ -362,7 +370,8 @@
         self.schedule_after(Span::millis(1), SimEvent::KeeperInput { keeper, incarnation: Some(incarnation), input });
     }
 
-    /// A disk may be lost if the promise made for it holds: one at a time, the others whole.
+    /// Whether the fleet must tolerate the loss of this keeper's disk: only one disk is lost at a time, while the
+    /// other keepers are complete.
     pub fn tolerates_disk_loss(&self, keeper: usize) -> bool {
         let id = self.keepers[keeper].id;
         let newest_view =
@@ -378,7 +387,7 @@
     }
 }
 
-/// What a synced store leaves on a simulated disk.
+/// Applies a synced write to a simulated disk.
 pub fn persist(disk: &mut PersistedState, stored: Stored) {
     match stored {
         Stored::Record(record) => disk.records.push(record),
--- a/crates/simulator/src/leaving_engines.rs
+++ b/crates/simulator/src/leaving_engines.rs
@@ -1,13 +1,13 @@
-//! Engines that leave while they hold an adapter: listed as leaving by the platform, every holder at once, or
+//! Engines that leave while they hold an adapter: all holders are listed as leaving by the platform at once, or are
 //! drained by an operator.
 
 use crate::prelude::*;
 
-/// How long leaving engines stay listed as leaving, and drained ones drained.
+/// How long engines stay listed as leaving or drained.
 const AWAY_SPAN: Span = Span::seconds(12);
 
 impl World {
-    /// The engines in use that hold an adapter.
+    /// The running, open engines that hold this adapter.
     fn holders_of(&self, adapter: &str) -> Vec<usize> {
         let holds = |engine: &SimEngine| {
             let is_held = engine.resident.iter().any(|held| held.name.as_str() == adapter);
@@ -52,7 +52,7 @@
         self.state_intent_and_confirm(Intent::Undrain { engine });
     }
 
-    /// An operator states an intent at some keeper, and confirms the plan.
+    /// An operator states an intent at a random keeper; its plan is confirmed once the intent is acknowledged.
     fn state_intent_and_confirm(&mut self, intent: Intent) {
         let keeper = self.rng.below(KEEPERS as u64) as usize;
         self.note(format!("operator via k{keeper} intends {intent:?}"));
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fleet in virtual time, at the size of an office. The same state machines that the daemons drive
-//! (coordinator, subscription, conductor, the router's view of the fleet, picker, attempts) run here on
-//! simulated machines with clocks of their own, disks that take time, a network that delays, reorders and is
-//! cut, engines that crash and misbehave, callers that leave and come back, and a seeded schedule of faults;
-//! the oracles judge what came out. The same seed gives the same run.
+//! Deterministic simulation of a whole fleet in virtual time. The state machines that the programs run (coordinator,
+//! subscription, conductor, fleet snapshot, picker, attempt machine) run here on simulated machines with their own
+//! clocks, disks with sync latency, a network that delays, reorders and partitions, engines that crash and misbehave,
+//! callers that disconnect and resume, and a seeded schedule of faults. The checks of the `verdict` crate judge the
+//! recorded run. The same seed always gives the same run.
 
 #![warn(missing_docs)]
 
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -1,12 +1,13 @@
-//! Who plays: keepers with disks, nodes of subscription and router, engines, the platform's list.
+//! The simulated machines: keepers with disks, nodes with an agent's subscription and a router, and the links and
+//! orders between machines.
 
 use crate::prelude::*;
 
-/// A machine's own clock: an offset and a slightly wrong rate.
+/// A machine's own clock, with an offset and a slightly wrong rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     pub offset: u64,
-    /// Parts in a hundred thousand.
+    /// Rate relative to virtual time, in parts per 100,000.
     pub rate: u64,
 }
 
@@ -24,29 +25,29 @@
     pub coordinator: Option<Coordinator>,
     pub id: NodeId,
     pub address: String,
-    /// What a crash leaves behind.
+    /// What survives a crash.
     pub disk: PersistedState,
     pub clock: Clock,
-    /// Counts lives; events of an earlier life are void.
+    /// Counts restarts; events of an earlier incarnation are ignored.
     pub incarnation: u64,
     pub frozen_until: Instant,
-    /// While the disk syncs, inputs wait.
+    /// Inputs wait until the disk has synced.
     pub busy_until: Instant,
     pub sync_span: Span,
-    /// What was planned and waits for its sync; nothing else is taken up before it is carried out.
+    /// Effects that wait for the disk sync; they are forwarded out before the next input is taken.
     pub pending_effects: Option<Vec<Effect>>,
     pub listing_pending_since: Option<Instant>,
-    /// When it read the platform's listing last.
+    /// When it last read the platform's listing.
     pub last_listing_read: Instant,
     pub conductor: Conductor,
     pub planner: WarmingPlanner,
-    /// When it asked last where requests on adapters arrive.
+    /// When it last queried the demand for adapters.
     pub last_demand_query: Instant,
     pub in_flight: BTreeMap<EngineName, Instant>,
 }
 
 impl SimKeeper {
-    /// A keeper that has not started, with an empty disk.
+    /// A keeper with an empty disk that has not started.
     pub fn new(number: usize, clock: Clock) -> SimKeeper {
         SimKeeper {
             coordinator: None,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// When it takes something up again: it is frozen or its disk syncs until then.
+    /// When it can take its next input: it is frozen or its disk syncs until then.
     pub fn free_at(&self) -> Instant {
         self.frozen_until.max(self.busy_until)
     }
@@ -81,7 +82,7 @@
     pub incarnation: u64,
     pub frozen_until: Instant,
     pub router: Option<SimRouter>,
-    /// The router whose stream the agent holds.
+    /// The router that is connected to the agent.
     pub connected_router: Option<NodeId>,
     pub link: Option<usize>,
 }
@@ -102,7 +103,7 @@
     }
 }
 
-/// The router: what is in force, until when it may start, and what it has under way.
+/// A router: its fleet snapshot, its lease and its running requests.
 pub struct SimRouter {
     pub id: NodeId,
     pub snapshot: FleetSnapshot,
@@ -114,7 +115,7 @@
     pub routers: Vec<RouterAddress>,
     pub attempts: u64,
     pub retries: u64,
-    /// Requests for adapters that arrived here.
+    /// Counts the requests per adapter that arrived here.
     pub meter: DemandMeter,
 }
 
@@ -136,13 +137,13 @@
     }
 }
 
-/// A stream between a node and a keeper.
+/// A connection between a node's agent and a keeper.
 pub struct SimLink {
     pub node: usize,
     pub keeper: usize,
     pub keeper_incarnation: u64,
     pub open: bool,
-    /// Whether the keeper has taken the stream up; until then it still writes to the one before.
+    /// Whether the keeper has accepted the connection; until then it still writes to the previous one.
     pub accepted: bool,
     pub up: VecDeque<AgentToKeeper>,
     pub down: VecDeque<KeeperToAgent>,
@@ -156,7 +157,7 @@
     pub kind: SimOrderKind,
 }
 
-/// What an engine is ordered.
+/// What an engine is ordered to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SimOrderKind {
     Open,
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs seeds, or one seed with its notes.
+//! Command line of the simulator: runs a range of seeds and prints totals, or the notes of each run.
 
 use process::prelude::*;
 use simulator::prelude::*;
@@ -7,7 +7,7 @@
 
 static PROGRAM: ProgramSpec = ProgramSpec {
     program: "simulator",
-    about: "Plays the fleet's pure machines under seeded faults in virtual time.",
+    about: "Simulates the fleet's state machines under seeded faults in virtual time.",
     settings: &[
         setting("seed", SettingKind::Integer(0, 1 << 53), Some("1"), "the first seed"),
         setting("count", SettingKind::Integer(1, 1_000_000), Some("1"), "how many seeds"),
@@ -92,7 +92,7 @@
     }
 }
 
-/// What many runs came to.
+/// Totals over many runs.
 #[derive(Default)]
 struct Totals {
     runs: usize,
@@ -100,7 +100,7 @@
     starts: usize,
     recoveries: Vec<Span>,
     outcomes: BTreeMap<String, usize>,
-    /// By how many runs each rule was broken.
+    /// How many runs broke each rule.
     rules: BTreeMap<u8, usize>,
     kinds: BTreeMap<&'static str, usize>,
     warmed: Vec<Span>,
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,8 +1,8 @@
-//! The network: which machine cannot reach which, and how slow it is.
+//! The simulated network: which machine cannot reach which, and message delays.
 
 use crate::prelude::*;
 
-/// Keepers are numbered from 0, nodes from `NODE_BASE`.
+/// Machine number of the first node; keepers are numbered from 0.
 pub const NODE_BASE: usize = 100;
 
 #[derive(Default)]
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes in virtual time: agents, their streams to keepers, and the routers' sight of the fleet.
+//! Simulated nodes: agents, their connections to keepers, and the fleet snapshots of the routers.
 
 use crate::prelude::*;
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The router's stream to its agent comes up, in the agent's own order of things.
+    /// Connects a router to its agent, once the agent is not frozen, in order with its other inputs.
     pub fn connect_router(&mut self, number: usize, incarnation: u64, router: NodeId) {
         let node = &mut self.nodes[number];
         if node.frozen_until > self.now {
@@ -135,7 +135,7 @@
         self.send_to_subscription(number, SubscriptionInput::CoreConnected);
     }
 
-    /// A keeper that is busy or frozen takes a new stream up afterwards, in its own order of things.
+    /// A keeper accepts a new connection in order with its other inputs: later if it is busy or frozen.
     pub fn accept_link(&mut self, number: usize) {
         let link = &self.links[number];
         let (keeper, keeper_incarnation, node) = (link.keeper, link.keeper_incarnation, link.node);
@@ -152,28 +152,31 @@
         self.step_keeper(keeper, Some(keeper_incarnation), input);
     }
 
-    /// Moves one message along a stream; while the way is cut, or the receiver frozen, it waits.
-    pub fn deliver_message(&mut self, number: usize, is_up: bool) {
+    /// Delivers one message of a connection. It waits while the direction is cut or the receiver is frozen.
+    pub fn deliver_message(&mut self, number: usize, to_keeper: bool) {
         let link = &self.links[number];
         if !link.open {
             return;
         }
         let (node_machine, keeper) = (NODE_BASE + link.node, link.keeper);
         let (node, keeper_incarnation) = (link.node, link.keeper_incarnation);
-        let way = if is_up { (node_machine, keeper) } else { (keeper, node_machine) };
-        let again =
-            if is_up { SimEvent::DeliverToKeeper { link: number } } else { SimEvent::DeliverToNode { link: number } };
-        if self.net.is_cut(way.0, way.1) {
-            self.schedule_after(Span::millis(40), again);
+        let direction = if to_keeper { (node_machine, keeper) } else { (keeper, node_machine) };
+        let deferred = if to_keeper {
+            SimEvent::DeliverToKeeper { link: number }
+        } else {
+            SimEvent::DeliverToNode { link: number }
+        };
+        if self.net.is_cut(direction.0, direction.1) {
+            self.schedule_after(Span::millis(40), deferred);
             return;
         }
-        // What comes first must be taken first, however many wait for the receiver.
-        let free_at = if is_up { self.finish_sync_if_free(keeper) } else { self.nodes[node].frozen_until };
+        // Deferred events keep their order, however many of them wait for the receiver.
+        let free_at = if to_keeper { self.finish_sync_if_free(keeper) } else { self.nodes[node].frozen_until };
         if free_at > self.now {
-            self.defer(free_at, again);
+            self.defer(free_at, deferred);
             return;
         }
-        if is_up {
+        if to_keeper {
             let Some(message) = self.links[number].up.pop_front() else { return };
             let input = Input::Node { node: self.nodes[node].id, message };
             self.step_keeper(keeper, Some(keeper_incarnation), input);
@@ -255,17 +258,18 @@
         self.check_work(node_number);
     }
 
-    /// A change that never came over a live stream is the product's own fault: the tail takes it for pushed.
+    /// A gap on a live connection is a fault of the system under test: the tail counts the missing change as pushed.
     fn record_push_gap(&mut self, node: usize, expected: Edition, pushed: Edition) {
         let at = self.millis();
-        self.extra_violations.push(format!("push gap: n{node} was pushed {pushed} before {expected}, at {at}"));
+        self.extra_violations.push(format!("push gap: n{node} received edition {pushed} before {expected}, at {at}"));
     }
 
-    /// Two different records under one edition would be a lost or forked change.
+    /// Reports two different requests committed under one edition, which means a lost or forked change.
     pub fn check_committed(&mut self, edition: Edition, request: RequestId, seen_at: &str) {
         let known = *self.committed.entry(edition).or_insert(request);
         if known != request {
-            self.extra_violations.push(format!("rule 8: edition {edition} is {known} and, at {seen_at}, {request}"));
+            self.extra_violations
+                .push(format!("rule 8: edition {edition} is request {known}, but {request} at {seen_at}"));
         }
     }
 }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators and the platform: what they change, and what they were told.
+//! Operators and the platform: the changes they make and the outcomes they receive.
 
 use crate::prelude::*;
 
@@ -45,7 +45,7 @@
                 *taken_count += 1;
                 if *taken_count > 1 {
                     self.extra_violations
-                        .push(format!("rule 8: two operators' changes on one base were both taken, at {at}"));
+                        .push(format!("rule 8: two operators' changes on the same base were both applied, at {at}"));
                 }
             }
             ChangeKind::Other | ChangeKind::ConductorStep { .. } => {}
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What is acknowledged is in force now on every router that may start, frozen ones included.
+    /// Checks that an acknowledged change is applied on every router that holds a lease, even if it is frozen.
     fn check_ack(&mut self, edition: Edition) {
         for (number, node) in self.nodes.iter().enumerate() {
             let Some(router) = &node.router else { continue };
@@ -70,13 +70,13 @@
         }
     }
 
-    /// What is down starts again: keepers on what their disks had synced, engines empty.
+    /// Restarts what is down: keepers from what their disks had synced, engines empty.
     pub fn restart_all(&mut self) {
         (0..ENGINES).for_each(|engine| self.start_engine(engine));
         (0..KEEPERS).for_each(|keeper| self.start_keeper(keeper));
     }
 
-    /// An operator changes something through a keeper drawn by lot.
+    /// An operator makes a random change through a random keeper.
     pub fn operator_change(&mut self) {
         let keeper = self.rng.below(KEEPERS as u64) as usize;
         let (patch, kind) = match self.rng.below(14) {
@@ -89,26 +89,26 @@
                 (patch, ChangeKind::KeyAdded { key, tenant, number: self.next_key })
             }
             3..=5 if !self.live_keys.is_empty() => {
-                let place = self.rng.below(self.live_keys.len() as u64) as usize;
-                return self.withdraw_key(keeper, place);
+                let index = self.rng.below(self.live_keys.len() as u64) as usize;
+                return self.withdraw_key(keeper, index);
             }
             6 => return self.change_weights(keeper),
             7 => return self.state_intent(keeper),
-            8 => return self.race(),
+            8 => return self.race_changes(),
             9 | 10 => {
                 let tenant = format!("t{}", self.rng.below(TENANTS as u64));
                 let walled = self.rng.chance(60);
-                return self.wall(keeper, tenant, walled);
+                return self.set_walled(keeper, tenant, walled);
             }
             _ => {
                 let patch = format!(r#"{{"kinds":["k","x{}"]}}"#, self.rng.below(1000));
                 (patch, ChangeKind::Other)
             }
         };
-        self.change(keeper, patch, kind);
+        self.submit_patch(keeper, patch, kind);
     }
 
-    pub fn wall(&mut self, keeper: usize, tenant: String, walled: bool) {
+    pub fn set_walled(&mut self, keeper: usize, tenant: String, walled: bool) {
         let at = self.millis();
         if !walled {
             self.record.world.push(WorldLine::Unwalled { at, tenant: tenant.clone() });
@@ -116,29 +116,29 @@
         }
         let patch = format!(r#"{{"tenants":{{"{tenant}":{{"walled":{walled}}}}}}}"#);
         let kind = if walled { ChangeKind::Walled(tenant) } else { ChangeKind::Unwalled(tenant) };
-        self.change(keeper, patch, kind);
+        self.submit_patch(keeper, patch, kind);
     }
 
-    pub fn withdraw_key(&mut self, keeper: usize, place: usize) {
-        let (key, tenant, number) = self.live_keys.remove(place);
+    pub fn withdraw_key(&mut self, keeper: usize, index: usize) {
+        let (key, tenant, number) = self.live_keys.remove(index);
         let patch = format!(r#"{{"tenants":{{"{tenant}":{{"keys":{{"k{number}":null}}}}}}}}"#);
-        self.change(keeper, patch, ChangeKind::KeyWithdrawn(key));
+        self.submit_patch(keeper, patch, ChangeKind::KeyWithdrawn(key));
     }
 
     pub fn change_weights(&mut self, keeper: usize) {
         self.wanted_weights += 1;
         let patch = format!(r#"{{"models":{{"model":{{"weights":{}}}}}}}"#, self.wanted_weights);
-        self.change(keeper, patch, ChangeKind::Weights(self.wanted_weights));
+        self.submit_patch(keeper, patch, ChangeKind::Weights(self.wanted_weights));
     }
 
-    pub fn change(&mut self, keeper: usize, patch: String, kind: ChangeKind) {
+    pub fn submit_patch(&mut self, keeper: usize, patch: String, kind: ChangeKind) {
         self.note(format!("operator via k{keeper}: {patch}"));
         let request = RequestId(self.rng.next_u64());
         self.submit(keeper, Submission { request, command: Command::Merge { base: None, patch } }, Some(kind));
     }
 
-    /// Two operators change the same edition at once, through two keepers: one of them at most is taken.
-    fn race(&mut self) {
+    /// Two operators change the same edition at once through two keepers; at most one change may be applied.
+    fn race_changes(&mut self) {
         let newest = self.keepers.iter().filter_map(|keeper| keeper.coordinator.as_ref()).map(Coordinator::state);
         let Some(base) = newest.map(|state| state.desired_edition).max() else { return };
         let race = self.rng.next_u64();
@@ -151,7 +151,7 @@
         }
     }
 
-    /// An operator states an intent; the conductor carries the plan out.
+    /// An operator states an intent; the conductor carries out its plan.
     fn state_intent(&mut self, keeper: usize) {
         let engine = EngineName(format!("e{}", self.rng.below(ENGINES as u64)));
         let intent = match self.rng.below(4) {
@@ -179,7 +179,7 @@
         self.record.world.push(WorldLine::ListedOpen { at, engine });
     }
 
-    /// Lists an engine as leaving or gone, unless many are already or it is.
+    /// Lists an engine as leaving or gone, unless it already is or too many are.
     pub fn unlist(&mut self, number: usize) {
         let away_count = self.engines.iter().filter(|engine| engine.listed != Some(Listed::Open)).count();
         if self.engines[number].listed != Some(Listed::Open) || away_count >= 6 {
--- a/crates/simulator/src/prelude.rs
+++ b/crates/simulator/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files.
+//! Re-exports everything that this package's files use, so that each needs one import.
 
 pub(crate) use crate::adapter_traffic::*;
 pub(crate) use crate::block_cache::*;
--- a/crates/simulator/src/register_operators.rs
+++ b/crates/simulator/src/register_operators.rs
@@ -1,26 +1,26 @@
-//! Operators of a core in disorder, as calls on one register: conditional changes, two at once on one base, the
-//! same sent again to any keeper, and reads at any keeper. What they are answered is judged as a whole.
+//! Operators of the core simulation, modelled as calls on a single register: conditional changes, two at once on one
+//! base, resends to any keeper, and reads at any keeper. All answers together are checked for linearizability.
 
 use crate::prelude::*;
 
-/// Of the changes sent, so many are remembered to be sent again.
+/// How many of the last changes are kept to be resent.
 const MAX_REMEMBERED_CHANGES: usize = 12;
 
-/// Operators and what they were answered.
+/// Calls of the operators and the answers they got.
 #[derive(Debug, Default)]
 pub(crate) struct RegisterOperators {
-    /// Grows with every call and answer.
+    /// Logical time; advances with every call and answer.
     clock: u64,
     calls: Vec<RegisterCall>,
     pending_calls: BTreeMap<u64, usize>,
     last_change: u64,
     sent: VecDeque<ConfigurationChange>,
-    /// The newest revision that any operator was told of.
+    /// The newest revision that any operator knows of.
     known_revision: u64,
 }
 
 impl RegisterOperators {
-    /// A change on the newest revision known, or on one that is not known to be taken.
+    /// A change based on the newest known revision, or sometimes on the last one sent, which may not be applied.
     pub(crate) fn random_change(&mut self, rng: &mut SeededRng) -> ConfigurationChange {
         let base = match rng.below(10) {
             0 => self.sent.back().map_or(self.known_revision, |last| last.revision.0),
@@ -29,7 +29,7 @@
         self.change_on(base, rng)
     }
 
-    /// Another change on the base of the one sent last.
+    /// Another change with the same base as the last one sent.
     pub(crate) fn random_rival(&mut self, rng: &mut SeededRng) -> ConfigurationChange {
         let base = self.sent.back().map_or(self.known_revision, |last| last.base.0);
         self.change_on(base, rng)
@@ -52,7 +52,7 @@
         change
     }
 
-    /// A change that was sent before, whatever became of it.
+    /// A change that was sent before, whatever its outcome.
     pub(crate) fn random_resend(&self, rng: &mut SeededRng) -> Option<ConfigurationChange> {
         let index = rng.below(self.sent.len().max(1) as u64) as usize;
         self.sent.get(index).cloned()
@@ -74,7 +74,7 @@
         self.calls.push(RegisterCall { called: self.clock, returned: NEVER, operation, answer });
     }
 
-    /// Notes what a keeper answered to one of the calls.
+    /// Records a keeper's answer to a call.
     pub(crate) fn record_answer(&mut self, ticket: u64, outcome: &QueryOutcome) {
         let Some(index) = self.pending_calls.remove(&ticket) else { return };
         let answer = match outcome {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// How many calls had a clear answer.
+    /// How many calls got a definite answer.
     pub(crate) fn answered(&self) -> usize {
         self.calls.iter().filter(|call| call.answer != RegisterAnswer::Unclear).count()
     }
--- a/crates/simulator/src/router_runs.rs
+++ b/crates/simulator/src/router_runs.rs
@@ -1,10 +1,9 @@
-//! Requests at routers in virtual time: each is driven by the same state machine, gate, picker and budget
-//! as in the router, and its effects reach the modelled engines and callers.
+//! Requests at simulated routers. Each is driven by the same attempt machine, admission checks, picker and retry
+//! budget as in the router program; its effects reach the simulated engines and callers.
 
 use crate::prelude::*;
 
-/// A piece as an engine made it: of which attempt, and which in order. A whole answer's place is how many
-/// pieces long it is.
+/// A piece of an engine's answer: its attempt and its index. For a whole answer the index is the number of pieces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SimPiece {
     pub attempt: String,
@@ -17,7 +16,7 @@
     pub number: u64,
     pub machine: AttemptMachine<SimPiece>,
     pub request: SimRequest,
-    /// The caller whose stream this run feeds now, and which of its streams that is.
+    /// The caller that this run streams to now, and the number of that caller's stream.
     pub caller: Option<(usize, u64)>,
     pub limit: Instant,
     pub claim: Option<BlockHash>,
@@ -26,7 +25,7 @@
     pub cut_kind: &'static str,
 }
 
-/// What a caller asks for.
+/// A caller's request.
 #[derive(Clone, Debug)]
 pub struct SimRequest {
     pub tenant: TenantName,
@@ -38,7 +37,7 @@
     pub resumes: bool,
     pub idempotency_key: Option<u64>,
     pub limit: Span,
-    /// What is asked, however often, and by when it must be answered.
+    /// The question's number, shared by all its attempts, and its deadline.
     pub question: Option<(u64, Instant)>,
 }
 
@@ -49,14 +48,14 @@
     pub(crate) placement: Box<Placement>,
     pub(crate) basis: AttemptBasis,
     pub(crate) names: Vec<BlockHash>,
-    /// When its question reaches the engine; a close of the stream comes after that.
+    /// When its request reaches the engine; a close of the stream arrives no earlier.
     pub(crate) arrives_at: Option<Instant>,
-    /// How long the engine may work on it, as the router last told it.
+    /// How long the engine may work on it, as last granted by the router.
     pub(crate) allowance: Allowance,
     pub(crate) prefill: PrefillState,
 }
 
-/// In a split pool, how far the prefill elsewhere has come.
+/// Progress of the prefill on another engine in a split pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PrefillState {
     NotRequested,
@@ -65,7 +64,7 @@
 }
 
 impl World {
-    /// A request has reached a router: it is turned away or becomes a run.
+    /// Admits a request that has reached a router: it is rejected or becomes a run.
     pub fn admit_request(&mut self, node: usize, caller: usize, request: SimRequest) {
         let now = self.now;
         let woken_at = self.nodes[node].frozen_until;
@@ -118,7 +117,7 @@
         self.drive(node, router_id, number, AttemptInput::Begin);
     }
 
-    /// News from an engine for an attempt; void if that attempt is over.
+    /// Handles a message from an engine to an attempt; ignored if that attempt has ended.
     pub fn handle_engine_input(&mut self, to: AttemptAddress, input: AttemptInput<SimPiece>) {
         let woken_at = self.nodes[to.node].frozen_until;
         if woken_at > self.now {
@@ -129,7 +128,7 @@
         if run.attempt.as_ref().is_none_or(|attempt| attempt.name != to.attempt) {
             return;
         }
-        // A router woken looks at its key and lease before it reads what has come meanwhile.
+        // A router that wakes up checks the key and its lease before it reads what arrived meanwhile.
         let local_now = self.nodes[to.node].clock.read(self.now);
         let (key_hash, tenant) = (&run.request.key_hash, &run.request.tenant);
         let input = match may_continue(&router.snapshot, router.lease_until, key_hash, tenant, local_now) {
@@ -148,12 +147,12 @@
         self.drive(to.node, to.router, to.run, input);
     }
 
-    /// Steps a run's attempts, and whatever follows from its effects at once.
+    /// Steps a run's attempt machine and carries out its effects and the inputs that follow from them.
     pub fn drive(&mut self, node: usize, router_id: NodeId, number: u64, input: AttemptInput<SimPiece>) {
         self.drive_or_write(node, router_id, number, Some(input));
     }
 
-    /// With no input, an attempt whose prefill is over goes on to its engine.
+    /// Steps a run. Without an input, sends an attempt whose prefill is done to its decode engine.
     pub(crate) fn drive_or_write(
         &mut self,
         node: usize,
@@ -167,7 +166,7 @@
         let mut inputs: VecDeque<AttemptInput<SimPiece>> = input.into_iter().collect();
         if writes {
             let local_now = self.nodes[node].clock.read(self.now);
-            self.write(node, router_id, &mut run, local_now, &mut inputs);
+            self.write_request(node, router_id, &mut run, local_now, &mut inputs);
         }
         while let Some(input) = inputs.pop_front() {
             for effect in run.machine.step(input) {
@@ -181,7 +180,7 @@
     }
 }
 
-/// What an engine tells, if it names the adapter that the attempt was to run on.
+/// Turns an answer that names another adapter than the attempt's into a broken stream.
 fn check_named_adapter(run: &SimRun, input: AttemptInput<SimPiece>) -> AttemptInput<SimPiece> {
     let AttemptInput::Piece { piece, .. } = &input else { return input };
     let adapter = run.attempt.as_ref().and_then(|attempt| attempt.basis.adapter.as_ref());
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,60 +1,60 @@
-//! One seeded run: form, trouble, recovery, verdict.
+//! One seeded run: formation, faults, recovery and verdict.
 
 use crate::prelude::*;
 
 const FORMATION_SPAN: Span = Span::seconds(12);
 const CALM_SPAN: Span = Span::seconds(20);
 
-/// What is to be played.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
-    /// Everything drawn follows from it.
+    /// Seeds all random choices.
     pub seed: u64,
-    /// How long faults go on.
+    /// How long faults are injected.
     pub fault_span: Span,
     /// Mean pause between faults.
     pub fault_pause_ms: u64,
-    /// Whether what happens is noted down.
+    /// Whether to keep notes of what happens.
     pub keeps_notes: bool,
-    /// A cut that stays after the other faults are over; service must return all the same.
+    /// A network cut that stays after the other faults end; service must recover regardless.
     pub lasting: Lasting,
-    /// The core alone, with everything in any order.
+    /// Simulates the core alone, with events in arbitrary order.
     pub disorder: bool,
-    /// What is played of adapters.
+    /// Which scenario with adapters to run.
     pub adapters: AdapterMode,
 }
 
-/// What a run plays of adapters.
+/// Scenarios with requests for adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdapterMode {
-    /// No requests on adapters.
+    /// No requests for adapters.
     Nothing,
-    /// Requests on adapters under all the faults.
+    /// Requests for adapters under all faults.
     Trouble,
-    /// The same, while a tenant is bound to one and the other of its adapters, and engines name adapters of
-    /// other tenants.
+    /// As `Trouble`, while a tenant's binding alternates between two adapters and engines name adapters of other
+    /// tenants.
     Foreign,
-    /// A shift of the load between regions, with the loss of an engine, a node and the conductor; every
-    /// question must be answered.
+    /// The load shifts between regions while an engine, a node and the conductor are lost; every question must be
+    /// answered.
     Shift,
-    /// The same shift; every engine that holds an adapter is listed as leaving, and every one that holds
-    /// another is drained.
+    /// The same shift, while all engines that hold one adapter are listed as leaving and all that hold another are
+    /// drained.
     Leave,
 }
 
-/// What stays cut.
+/// A network cut that stays to the end of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lasting {
     /// All cuts heal.
     Nothing,
-    /// One keeper hears none of the others, but is heard.
+    /// One keeper receives nothing from the others, but can send to them.
     DeafKeeper,
-    /// One keeper hears another no more; nothing else is cut.
+    /// One keeper receives nothing from one other keeper; nothing else is cut.
     OneWay,
 }
 
 impl RunPlan {
-    /// The usual run of a seed.
+    /// The default run of a seed.
     pub fn for_seed(seed: u64) -> RunPlan {
         RunPlan {
             seed,
@@ -69,39 +69,39 @@
 }
 
 impl RunOutcome {
-    /// The rules that were broken, each once.
+    /// The numbers of the rules that were broken.
     pub fn broken_rules(&self) -> BTreeSet<u8> {
         let rules = self.violations.iter().filter_map(|text| text.strip_prefix("rule ")?.split(':').next());
         rules.filter_map(|number| number.parse().ok()).collect()
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct RunOutcome {
-    /// What broke a rule, as `rule N: what`.
+    /// Violations of rules, as `rule N: what`.
     pub violations: Vec<String>,
-    /// Attempts that engines began.
+    /// Attempts that engines started.
     pub starts: usize,
     /// Changes that were acknowledged.
     pub acks: usize,
-    /// Faults that were caused.
+    /// Faults that were injected.
     pub faults: usize,
-    /// The kinds of the faults caused, in order.
+    /// The kinds of the injected faults, in order.
     pub fault_kinds: Vec<&'static str>,
-    /// How requests ended, by outcome.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, usize>,
-    /// What happened, if notes were kept.
+    /// Notes of what happened, if they were kept.
     pub notes: Vec<String>,
-    /// From the end of the last fault until every node served again.
+    /// Time from the end of the last fault until every router held a lease again.
     pub recovery: Option<Span>,
-    /// From the beginning of a shift of the load until the adapter was warm where it went.
+    /// Time from the start of the load shift until the adapter was loaded in the new region.
     pub warmed_after: Option<Span>,
-    /// Loads of adapters that engines finished.
+    /// Adapter loads that engines completed.
     pub loads: u64,
 }
 
-/// Plays many seeds on all of the machine's cores; the outcomes in the order of the plans.
+/// Runs many plans on all CPU cores and returns the outcomes in the order of the plans.
 pub fn run_many(plans: &[RunPlan]) -> Vec<RunOutcome> {
     let threads = std::thread::available_parallelism().map_or(2, |count| count.get());
     let next = std::sync::atomic::AtomicUsize::new(0);
@@ -114,17 +114,17 @@
                     plans.get(index).map(|plan| (index, plan))
                 } {
                     let outcome = run_seed(plan);
-                    outcomes.lock().expect("no player panics with the lock").push((index, outcome));
+                    outcomes.lock().expect("no run panics while holding the lock").push((index, outcome));
                 }
             });
         }
     });
-    let mut outcomes = outcomes.into_inner().expect("no player panics with the lock");
+    let mut outcomes = outcomes.into_inner().expect("no run panics while holding the lock");
     outcomes.sort_by_key(|(index, _)| *index);
     outcomes.into_iter().map(|(_, outcome)| outcome).collect()
 }
 
-/// Plays one seed.
+/// Runs one plan.
 pub fn run_seed(plan: &RunPlan) -> RunOutcome {
     if plan.disorder {
         return run_disorder(plan.seed);
@@ -153,7 +153,7 @@
         world.schedule_foreign(plan.seed, faults_end);
     }
     world.run_until(faults_end);
-    // A machine woken before its time would do what waits for it out of order.
+    // Waking a frozen machine early would process its deferred events out of order.
     while world.now < world.awake_at() {
         let awake_at = world.awake_at();
         world.run_until(awake_at);
@@ -163,8 +163,8 @@
     let over_at = world.now;
     let mut recovery = None;
     while world.now < over_at + CALM_SPAN {
-        let next_look = world.now + Span::millis(100);
-        world.run_until(next_look);
+        let next_check = world.now + Span::millis(100);
+        world.run_until(next_check);
         if recovery.is_none() && all_routers_leased(&world) {
             recovery = Some(world.now.since(over_at));
         }
@@ -189,7 +189,7 @@
     }
 }
 
-/// Once lost seats are filled again, makes the cut that stays.
+/// Applies the lasting cut, after the chain has had time to fill up again.
 fn apply_lasting_cut(world: &mut World, rng: &mut SeededRng, lasting: Lasting) {
     if lasting == Lasting::Nothing {
         return;
@@ -269,15 +269,16 @@
     }
 }
 
-/// Every acknowledged change must be in the state of the tail that acts at the end, as it was acked.
+/// Every acknowledged change must be in the state of the tail that is active at the end, under its acknowledged
+/// edition.
 fn lost_acks(world: &World) -> Vec<String> {
     let tail = world.keepers.iter().find_map(|keeper| {
         let coordinator = keeper.coordinator.as_ref()?;
         coordinator.tail_is_active(keeper.clock.read(world.now)).then_some(coordinator)
     });
-    let Some(tail) = tail else { return vec!["rule 12: no tail acts at the end".into()] };
+    let Some(tail) = tail else { return vec!["rule 12: no active tail at the end".into()] };
     if world.net.cuts.is_empty() && tail.view().chain.len() != KEEPERS {
-        return vec![format!("rule 12: the chain did not fill up again: {}", join_ids(&tail.view().chain))];
+        return vec![format!("rule 12: the chain was not restored to full length: {}", join_ids(&tail.view().chain))];
     }
     world
         .acked
@@ -286,6 +287,6 @@
             let is_recent = tail.state().edition.0 < edition.0 + 400;
             is_recent && tail.state().previous_outcome(**request) != Some(CommandOutcome::Applied(**edition))
         })
-        .map(|(request, edition)| format!("rule 8: acked edition {edition} of request {request} is lost"))
+        .map(|(request, edition)| format!("rule 8: acknowledged edition {edition} of request {request} is lost"))
         .collect()
 }
--- a/crates/simulator/src/sampling.rs
+++ b/crates/simulator/src/sampling.rs
@@ -1,9 +1,9 @@
-//! Looks at every router and tail for the record.
+//! Periodic samples of every router and active tail for the record.
 
 use crate::prelude::*;
 
 impl World {
-    pub fn sample(&mut self) {
+    pub fn record_samples(&mut self) {
         let at = self.millis();
         for node in &self.nodes {
             let Some(router) = node.router.as_ref().filter(|_| node.frozen_until <= self.now) else { continue };
@@ -28,7 +28,7 @@
             })
             .collect();
         if active_tails.len() > 1 {
-            self.extra_violations.push(format!("rule 8: two active tails at {at}: {active_tails:?}"));
+            self.extra_violations.push(format!("rule 8: several active tails at {at}: {active_tails:?}"));
         }
         if let Some(tail) = active_tails.first()
             && let Some(coordinator) = &self.keepers[*tail].coordinator
--- a/crates/simulator/src/shift.rs
+++ b/crates/simulator/src/shift.rs
@@ -1,13 +1,12 @@
-//! One seed of a shift: the load moves between the regions, an engine, a node and the conductor are lost
-//! around it, and every question must have been answered.
+//! One run of a load shift: the load moves between regions while an engine, a node and the conductor are lost, and
+//! every question must be answered.
 
 use crate::prelude::*;
 
 const FORMATION_SPAN: Span = Span::seconds(24);
 const CALM_SPAN: Span = Span::seconds(20);
 
-/// Plays one seed: a shift of the load between the regions, and the losses of the play at drawn moments
-/// around it.
+/// Runs one seed of a load shift between the regions, with the plan's losses at random times around it.
 pub fn run_shift(plan: &RunPlan) -> RunOutcome {
     let mut rng = SeededRng::new(plan.seed ^ 0xada9_7e55);
     let start = Instant(1_000_000_000);
@@ -24,7 +23,7 @@
         let at = shift_at + Span::millis(rng.between(0, 10_000));
         world.schedule_at(at, SimEvent::RaiseRevision);
     }
-    // Requests that came before every adapter was warm are not judged.
+    // Requests that arrived before every adapter was loaded are not judged.
     world.run_until(shift_at);
     world.discard_questions();
     let over_at = shift_at + Span::seconds(22);
@@ -38,7 +37,7 @@
     finish_shift(world)
 }
 
-/// What is lost around the shift, in the order in which the moments are drawn.
+/// The losses around the shift, in the order in which their times are drawn.
 fn losses(plan: &RunPlan, with_machine: bool, rng: &mut SeededRng) -> Vec<Loss> {
     match plan.adapters {
         AdapterMode::Leave => {
@@ -57,7 +56,7 @@
     let warmed_after =
         world.scenario.as_ref().and_then(|scenario| Some(scenario.warmed_at?.since(scenario.shift_at)));
     let loads = world.scenario.as_ref().map_or(0, |scenario| scenario.loads);
-    // What was asked too late to be answered within the run is not judged.
+    // Questions asked too late to be answered within the run are not judged.
     let ends_at = world.millis();
     let unfinished: BTreeSet<String> = world
         .callers
@@ -80,7 +79,7 @@
 }
 
 impl World {
-    /// Questions asked up to now are not judged for their answers.
+    /// Excludes all questions asked so far from the verdict.
     fn discard_questions(&mut self) {
         for caller in &mut self.callers {
             caller.line.question.clear();
@@ -89,11 +88,11 @@
         self.record.callers.iter_mut().for_each(|line| line.question.clear());
     }
 
-    /// An operator names a newer revision of one of the adapters.
+    /// An operator sets a newer revision of one of the adapters.
     pub fn raise_revision(&mut self) {
         let (_, adapter) = ADAPTER_TENANTS[self.rng.below(ADAPTER_TENANTS.len() as u64) as usize];
         let keeper = self.rng.below(KEEPERS as u64) as usize;
         let patch = format!(r#"{{"adapters":{{"{adapter}":{{"revision":2}}}}}}"#);
-        self.change(keeper, patch, ChangeKind::Other);
+        self.submit_patch(keeper, patch, ChangeKind::Other);
     }
 }
--- a/crates/simulator/src/work_limits.rs
+++ b/crates/simulator/src/work_limits.rs
@@ -1,11 +1,12 @@
-//! What ends or bounds work under way: limits, withdrawn keys, lost leases, routers that are gone.
+//! What ends or limits running work: time limits, withdrawn keys, lost leases and lost routers.
 
 use crate::prelude::*;
 
 const WORK_CHECK_INTERVAL: Span = Span::millis(100);
 
 impl World {
-    /// Limits, withdrawn keys and long-lost leases end what a router has under way.
+    /// Ends a router's runs whose time limit has passed, whose key was withdrawn or whose lease was lost too long
+    /// ago.
     pub fn check_work(&mut self, node: usize) {
         if self.nodes[node].frozen_until > self.now {
             return;
@@ -29,7 +30,7 @@
         self.extend_allowances(node, local_now);
     }
 
-    /// Engines that are at work for long are allowed more time while the lease bears it.
+    /// Extends the time limits of long-running attempts at their engines as far as the lease allows.
     pub(crate) fn extend_allowances(&mut self, node: usize, local_now: Instant) {
         let Some(router) = self.nodes[node].router.as_mut() else { return };
         let mut allowed = Vec::new();
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A router's runs end with it; engines notice at once, or not if the whole machine is gone.
+    /// Ends a router and its runs. Engines notice at once, or not at all if the whole machine is lost.
     pub fn drop_runs(&mut self, node: usize, with_machine: bool) {
         let Some(router) = self.nodes[node].router.take() else { return };
         for run in router.runs.into_values() {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,4 +1,4 @@
-//! The world: machines, network, disk, and the queue of what happens when.
+//! The simulated world: machines, network and the event queue.
 
 use crate::prelude::*;
 
@@ -15,7 +15,7 @@
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     events: HashMap<u64, SimEvent>,
     next_event: u64,
-    /// The number of what happens now.
+    /// Number of the event that is being handled.
     current_event: u64,
     pub net: SimNetwork,
     pub keepers: Vec<SimKeeper>,
@@ -25,42 +25,42 @@
     pub links: Vec<SimLink>,
     pub record: Record,
     pub extra_violations: Vec<String>,
-    /// What each ticket asked, and what its acknowledgement means.
+    /// Submitted changes by ticket, until their outcome is known.
     pub pending_changes: BTreeMap<u64, PendingChange>,
     pub next_ticket: u64,
     pub acked: BTreeMap<RequestId, Edition>,
-    /// Which request was committed under each edition, wherever that was seen.
+    /// The request committed under each edition, as first seen on any machine.
     pub committed: BTreeMap<Edition, RequestId>,
-    /// Keys whose adding was acknowledged: hash, tenant, number.
+    /// Keys whose addition was acknowledged: hash, tenant, number.
     pub live_keys: Vec<(String, String, u64)>,
-    /// Every key there ever was, with its tenant, in force or not.
+    /// Every key ever created with its tenant, whether valid or not.
     pub keys: Vec<(String, String)>,
     pub next_key: u64,
     pub wanted_weights: u64,
-    /// Two operators' changes on one base, and whether one of them was taken.
+    /// How many changes of each race between two operators were applied.
     pub races_taken: BTreeMap<u64, u32>,
-    /// The next acknowledgement is followed by a loss of power in the whole core.
+    /// The whole core loses power right after the next acknowledgement.
     pub power_loss_pending: bool,
-    /// The next campaign for a view loses keepers in its midst.
+    /// Keepers crash in the middle of the next view change.
     pub campaign_loss_pending: bool,
     /// The node that freezes when it next connects an attempt.
     pub freeze_on_connect: Option<usize>,
     pub faults_over: bool,
-    /// Nodes that stay cut off from the core for a while, whatever heals.
+    /// Nodes that stay cut off from the core until the given time, even if the network heals.
     pub held_cuts: Vec<(usize, Instant)>,
     pub callers: Vec<SimCaller>,
-    /// Claims that routers wait for: node, router, run.
+    /// Claims that routers wait for, by ticket: node, router, run.
     pub claim_tickets: BTreeMap<u64, (usize, NodeId, u64)>,
     pub store: SimBlockCache,
     pub store_up: bool,
-    /// How far the callers are from the routers.
+    /// Network latency between callers and routers.
     pub caller_distance: Span,
     pub fault_kinds: Vec<&'static str>,
-    /// Unwallings asked for and not answered, and the edition of the last one answered, by tenant.
+    /// By tenant: the number of unanswered requests to unwall it, and the edition of the last answered one.
     pub pending_unwalls: BTreeMap<String, (u64, Edition)>,
-    /// Requests run on adapters, and their load moves between regions.
+    /// Requests for adapters and their shift between regions, if the run has them.
     pub scenario: Option<Scenario>,
-    /// Questions about demand: ticket, keeper and its life.
+    /// Demand queries by ticket: keeper and its incarnation.
     pub demand_queries: BTreeMap<u64, (usize, u64)>,
     pub notes: Vec<String>,
     pub keeps_notes: bool,
@@ -83,20 +83,20 @@
     Weights(u64),
     Walled(String),
     Unwalled(String),
-    /// The conductor's word on an engine: it waits for this before it goes on.
+    /// A conductor's change to an engine or plan; the conductor waits for it before its next one.
     ConductorStep {
         keeper: usize,
         engine: EngineName,
     },
-    /// An intent was stated; its plan is confirmed next, through any keeper.
+    /// A stated intent; its plan is confirmed next, through a random keeper.
     IntentStated,
-    /// One of two changes made on one base.
+    /// One of two changes made on the same base; holds the number of the race.
     Race(u64),
     Other,
 }
 
 impl World {
-    /// A world that begins; its tenants run on adapters if there is a scenario for them.
+    /// Creates a world and starts its machines; tenants use adapters if there is a scenario for them.
     pub fn new(seed: u64, scenario: Option<Scenario>) -> World {
         let mut rng = SeededRng::new(seed);
         let keepers = (0..KEEPERS).map(|number| SimKeeper::new(number, Clock::random(&mut rng))).collect();
@@ -160,13 +160,13 @@
         self.queue.push(Reverse((instant, self.next_event)));
     }
 
-    /// Puts off what happens now until a machine is awake again, in the order in which it came first.
+    /// Puts the current event off until a machine is free again; deferred events keep their original order.
     pub fn defer(&mut self, instant: Instant, event: SimEvent) {
         self.events.insert(self.current_event, event);
         self.queue.push(Reverse((instant, self.current_event)));
     }
 
-    /// Runs until an instant.
+    /// Runs all events up to an instant.
     pub fn run_until(&mut self, end: Instant) {
         while let Some(Reverse((instant, number))) = self.queue.peek().copied() {
             if instant > end {
