--- a/crates/simulator/src/attempt_effects.rs
+++ b/crates/simulator/src/attempt_effects.rs
@@ -3,6 +3,7 @@
 use crate::prelude::*;
 
 impl World {
+    /// Carries out one effect of an attempt machine; inputs that follow at once are queued.
     pub(crate) fn apply_attempt_effect(
         &mut self,
         node: usize,
--- a/crates/simulator/src/attempt_placement.rs
+++ b/crates/simulator/src/attempt_placement.rs
@@ -4,6 +4,7 @@
 use crate::prelude::*;
 
 impl World {
+    /// Picks an engine for an attempt and draws on the retry budget if it is a retry.
     pub(crate) fn pick(
         &mut self,
         node: usize,
@@ -80,6 +81,7 @@
         PickOutcome::Placed(engine_name)
     }
 
+    /// Sends an attempt's request to its engine, after the prefill and the start check.
     pub(crate) fn write_request(
         &mut self,
         node: usize,
@@ -170,6 +172,7 @@
         }
     }
 
+    /// Ends a run's current attempt; its engine learns of the closed stream later.
     pub(crate) fn end_attempt(&mut self, node: usize, run: &mut SimRun) {
         let Some(attempt) = run.attempt.take() else { return };
         if let Some(router) = self.nodes[node].router.as_mut() {
--- a/crates/simulator/src/block_cache.rs
+++ b/crates/simulator/src/block_cache.rs
@@ -25,6 +25,7 @@
 }
 
 impl SimBlockCache {
+    /// How many leading blocks of a prompt are cached.
     pub fn overlap(&self, hashes: &[BlockHash]) -> usize {
         hashes.iter().take_while(|hash| self.blocks.contains_key(hash)).count()
     }
@@ -33,6 +34,7 @@
         self.blocks.get(hash)
     }
 
+    /// Caches blocks, evicts the oldest ones over the limit, and publishes both as events.
     pub fn insert(&mut self, blocks: Vec<(BlockHash, BlockOrigin)>) {
         let mut stored = Vec::new();
         for (hash, origin) in blocks {
@@ -54,6 +56,7 @@
         }
     }
 
+    /// Drops all blocks.
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.insertion_order.clear();
@@ -77,6 +80,7 @@
         self.first_number + self.events.len() as u64
     }
 
+    /// The events from a number on, or from the oldest one that is still kept, with the first one's number.
     pub fn events_from(&self, number: u64) -> (u64, Vec<CacheEvent>) {
         let first = number.clamp(self.first_number, self.next_number());
         (first, self.events.iter().skip((first - self.first_number) as usize).cloned().collect())
--- a/crates/simulator/src/callers.rs
+++ b/crates/simulator/src/callers.rs
@@ -6,6 +6,7 @@
 const CALLER_TIMEOUT: Span = Span::seconds(13);
 const MAX_RESUMES: u64 = 6;
 
+/// A caller with its request and its line in the record.
 pub struct SimCaller {
     pub line: CallerLine,
     pub request: SimRequest,
@@ -80,6 +81,7 @@
         self.send_request(node, request);
     }
 
+    /// Draws a random request without a question.
     pub fn random_request(&mut self) -> SimRequest {
         let is_long = self.rng.chance(8);
         let place = match self.rng.chance(if is_long { 30 } else { 70 }) {
@@ -110,6 +112,7 @@
         }
     }
 
+    /// Creates a caller and sends its request to a router.
     pub fn send_request(&mut self, node: usize, request: SimRequest) {
         let at = self.millis();
         let disconnects_after = (request.streams && self.rng.chance(if request.resumes { 60 } else { 5 }))
@@ -144,6 +147,7 @@
         self.schedule_after(CALLER_TIMEOUT, SimEvent::CallerTimeout { caller });
     }
 
+    /// Ends a call that has had no final answer within `CALLER_TIMEOUT`.
     pub fn time_out_caller(&mut self, caller: usize) {
         if !self.callers[caller].is_done {
             self.disconnect_caller(caller);
@@ -215,6 +219,7 @@
         }
     }
 
+    /// Checks a piece of a stream against those before it, and may close the stream.
     fn receive_piece(&mut self, number: usize, piece: SimPiece) {
         let at = self.millis();
         let caller = &mut self.callers[number];
@@ -251,6 +256,7 @@
         }
     }
 
+    /// Lets a caller reconnect to a random node after a pause.
     fn schedule_reconnect(&mut self, number: usize) {
         let node = self.rng.below(self.nodes.len() as u64) as usize;
         let caller = &mut self.callers[number];
@@ -267,6 +273,7 @@
         self.resume(node, number, false);
     }
 
+    /// Writes the caller's line to the record and schedules a retry where the caller wants one.
     fn end_call(&mut self, number: usize, status: u16, outcome: &str) {
         let at = self.millis();
         let caller = &mut self.callers[number];
--- a/crates/simulator/src/claim_submissions.rs
+++ b/crates/simulator/src/claim_submissions.rs
@@ -35,9 +35,9 @@
         until: Instant,
     ) {
         let woken_at = self.nodes[node].frozen_until;
-        let again = |submission| SimEvent::RetrySubmission { node, router, ticket, submission, until };
+        let retry = |submission| SimEvent::RetrySubmission { node, router, ticket, submission, until };
         if woken_at > self.now {
-            return self.defer(woken_at, again(submission));
+            return self.defer(woken_at, retry(submission));
         }
         let is_here = self.nodes[node].router.as_ref().is_some_and(|known| known.id == router);
         if !is_here {
@@ -53,9 +53,10 @@
             let input = SubscriptionInput::Router(RouterToAgent::Submit { ticket, submission: submission.clone() });
             self.send_to_subscription(node, input);
         }
-        self.schedule_after(CLAIM_RETRY_INTERVAL, again(submission));
+        self.schedule_after(CLAIM_RETRY_INTERVAL, retry(submission));
     }
 
+    /// Passes the outcome of a claim on to its run.
     pub fn settle_claim(&mut self, node: usize, ticket: u64, outcome: CommandOutcome) {
         let Some((_, router, run)) = self.claim_tickets.remove(&ticket) else { return };
         self.drive(node, router, run, AttemptInput::ClaimSettled(ClaimOutcome::of(Some(outcome))));
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -5,6 +5,7 @@
 
 use crate::prelude::*;
 
+/// Number of random steps of a run.
 const STEPS: usize = 6_000;
 /// Weights of the actions in a step, in the order of the match in `step`: deliver a message, tick, advance time a
 /// little, submit, start a keeper, break a stream, stall a stream, end all stalls, crash a keeper, advance time a
@@ -12,6 +13,7 @@
 const NORMAL_WEIGHTS: [u64; 14] = [240, 60, 60, 12, 6, 4, 6, 6, 2, 3, 1, 10, 1, 2];
 const AGGRESSIVE_WEIGHTS: [u64; 14] = [200, 40, 60, 20, 30, 8, 14, 12, 4, 9, 3, 12, 1, 3];
 
+/// A keeper of the core simulation with its disk.
 struct CoreKeeper {
     id: NodeId,
     coordinator: Option<Coordinator>,
@@ -25,6 +27,7 @@
     }
 }
 
+/// The keepers, the messages between them, and what has been observed of the committed state.
 struct CoreSimulation {
     rng: SeededRng,
     /// Odd seeds crash and restart keepers much more often, most of all during a vote.
@@ -289,10 +292,10 @@
     fn step_keeper(&mut self, number: usize, input: Input, crashes: bool) {
         let now = self.now;
         let Some(coordinator) = self.keepers[number].coordinator.as_mut() else { return };
-        let plan = coordinator.step(input, now);
+        let effects = coordinator.step(input, now);
         // Writes are stored all at once, before any message is sent, or not at all.
         let (stores, sends): (Vec<Effect>, Vec<Effect>) =
-            plan.into_iter().partition(|effect| matches!(effect, Effect::Store(_)));
+            effects.into_iter().partition(|effect| matches!(effect, Effect::Store(_)));
         let completed_parts = if crashes { self.rng.below(sends.len() as u64 + 2) as usize } else { sends.len() + 1 };
         if completed_parts > 0 {
             for stored in stores {
@@ -323,6 +326,7 @@
         (0..KEEPERS).filter(is_active).collect()
     }
 
+    /// Checks a keeper's view and, on an active tail, the committed changes.
     fn check_invariants(&mut self, number: usize) {
         let Some(coordinator) = &self.keepers[number].coordinator else { return };
         let view = coordinator.view();
--- a/crates/simulator/src/engines.rs
+++ b/crates/simulator/src/engines.rs
@@ -27,6 +27,7 @@
     NamesForeign,
 }
 
+/// An engine machine and the attempts it works on.
 pub struct SimEngine {
     pub name: EngineName,
     pub zone: Zone,
@@ -77,6 +78,7 @@
     }
 }
 
+/// An attempt that an engine works on.
 #[derive(Clone, Debug)]
 pub struct EngineAttempt {
     pub to: AttemptAddress,
@@ -133,6 +135,7 @@
 }
 
 impl World {
+    /// Starts an engine with an empty cache, unless it is up.
     pub fn start_engine(&mut self, number: usize) {
         let engine = &mut self.engines[number];
         if !engine.up {
@@ -201,6 +204,7 @@
         }
     }
 
+    /// Completes a load of weights, unless the engine restarted or still has running attempts.
     pub fn finish_weights_load(&mut self, number: usize, boot: u64, weights: WeightsEdition) {
         let engine = &mut self.engines[number];
         if engine.cache.boot != boot || !engine.up || !engine.attempts.is_empty() {
@@ -215,6 +219,7 @@
         }
     }
 
+    /// Extends the time limit of an attempt; it is never shortened.
     pub fn extend_attempt_limit(&mut self, number: usize, attempt_name: &str, span: Span) {
         let until = self.now + span;
         if let Some(attempt) = self.engines[number].attempts.get_mut(attempt_name) {
--- a/crates/simulator/src/events.rs
+++ b/crates/simulator/src/events.rs
@@ -2,6 +2,7 @@
 
 use crate::prelude::*;
 
+/// An event in the simulated world.
 #[derive(Clone, Debug)]
 pub enum SimEvent {
     KeeperTick {
@@ -159,7 +160,7 @@
         keeper: usize,
     },
     IsolateHolder {
-        again: u64,
+        repeats: u64,
     },
     RestartAll,
     HealNetwork,
@@ -180,6 +181,7 @@
 }
 
 impl World {
+    /// Dispatches an event to the machine it happens to.
     pub(crate) fn handle(&mut self, event: SimEvent) {
         match event {
             SimEvent::KeeperTick { keeper, incarnation } => {
@@ -248,7 +250,7 @@
             SimEvent::CallerReconnects { node, caller } => self.reconnect_caller(node, caller),
             SimEvent::ResumeArrives { node, caller, forwarded } => self.resume(node, caller, forwarded),
             SimEvent::CallerRetries { node, request } => self.retry_request(node, request),
-            SimEvent::IsolateHolder { again } => self.isolate_holder(again),
+            SimEvent::IsolateHolder { repeats } => self.isolate_holder(repeats),
             SimEvent::KillKeeper { keeper } => self.kill_keeper(keeper),
             SimEvent::RestartAll => self.restart_all(),
             SimEvent::HealNetwork => self.heal_except_held(true),
--- a/crates/simulator/src/fault_effects.rs
+++ b/crates/simulator/src/fault_effects.rs
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Cuts the conductor off from the core and the nodes. With `again`, the next holder of the duty may be cut off
-    /// as well, as soon as it may act.
-    pub fn isolate_holder(&mut self, again: u64) {
+    /// Cuts the conductor off from the core and the nodes. Up to `repeats` further holders of the duty may be cut off
+    /// in turn, as soon as they may act.
+    pub fn isolate_holder(&mut self, repeats: u64) {
         if self.faults_over {
             return;
         }
@@ -117,12 +117,12 @@
         let nodes: Vec<usize> = (0..NODES).map(|node| NODE_BASE + node).collect();
         self.net.cut_between(&[holder], &others, true);
         self.net.cut_between(&[holder], &nodes, true);
-        if self.rng.chance(60) && again > 0 {
+        if self.rng.chance(60) && repeats > 0 {
             let span = Span::millis(self.rng.between(5_000, 8_000));
             self.schedule_after(Span(span.0 - 1_000_000_000), SimEvent::HealNetwork);
-            self.schedule_after(span, SimEvent::IsolateHolder { again: again - 1 });
+            self.schedule_after(span, SimEvent::IsolateHolder { repeats: repeats - 1 });
         }
-        if again < 2 {
+        if repeats < 2 {
             return;
         }
         self.change_weights(others[0]);
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Starts a long stream under the newest key. Then its node is cut off or frozen for longer than the stream
-    /// takes, or its machine is lost, and the key is withdrawn.
+    /// Starts a long stream under the newest key. Then its node is cut off or frozen for about as long
+    /// as the stream takes, or its machine is lost, and the key is withdrawn.
     fn stream_then_withdraw_key(&mut self, node: usize) {
         let Some((key_hash, tenant, _)) = self.live_keys.last().cloned() else { return };
         self.send_long_request(node, TenantName(tenant), key_hash.clone());
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -2,6 +2,7 @@
 
 use crate::prelude::*;
 
+/// A fault that a run can inject.
 #[derive(Clone, Debug, PartialEq, strum::IntoStaticStr, strum::VariantNames)]
 pub enum Fault {
     /// The process crashes; the disk is kept.
@@ -97,6 +98,7 @@
 }
 
 impl Fault {
+    /// The name of the fault's kind.
     pub fn kind(&self) -> &'static str {
         self.into()
     }
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -3,6 +3,7 @@
 use crate::prelude::*;
 
 impl World {
+    /// Starts a keeper from what its disk holds, unless it is up.
     pub fn start_keeper(&mut self, number: usize) {
         let member = self.member(number);
         let seeds = (0..3).map(|seed| format!("k{seed}")).collect();
@@ -32,6 +33,7 @@
         self.schedule_after(Span::millis(1), SimEvent::KeeperTick { keeper: number, incarnation });
     }
 
+    /// Crashes a keeper; its disk is kept.
     pub fn kill_keeper(&mut self, number: usize) {
         self.keepers[number].coordinator = None;
         self.keepers[number].pending_effects = None;
@@ -71,6 +73,7 @@
         self.start_keeper(number);
     }
 
+    /// Steps a keeper's coordinator. Effects that write to the disk are carried out after the sync.
     pub fn step_keeper(&mut self, number: usize, incarnation: Option<u64>, input: Input) {
         let now = self.now;
         if incarnation.is_some_and(|incarnation| incarnation != self.keepers[number].incarnation) {
@@ -84,19 +87,19 @@
             return;
         }
         let Some(coordinator) = keeper.coordinator.as_mut() else { return };
-        let plan = coordinator.step(input, keeper.clock.read(now));
-        if plan.is_empty() {
+        let effects = coordinator.step(input, keeper.clock.read(now));
+        if effects.is_empty() {
             return;
         }
-        let syncs = plan.iter().any(|effect| matches!(effect, Effect::Store(_)));
+        let syncs = effects.iter().any(|effect| matches!(effect, Effect::Store(_)));
         let incarnation = keeper.incarnation;
         if syncs {
             keeper.busy_until = now + keeper.sync_span;
-            keeper.pending_effects = Some(plan);
+            keeper.pending_effects = Some(effects);
             let synced_at = keeper.busy_until;
             self.schedule_at(synced_at, SimEvent::DiskSynced { keeper: number, incarnation });
         } else {
-            self.apply_keeper_effects(number, plan);
+            self.apply_keeper_effects(number, effects);
         }
     }
 
@@ -115,17 +118,17 @@
     /// the disk sync.
     pub fn finish_sync_if_free(&mut self, number: usize) -> Instant {
         while self.keepers[number].free_at() <= self.now
-            && let Some(plan) = self.keepers[number].pending_effects.take()
+            && let Some(effects) = self.keepers[number].pending_effects.take()
         {
-            self.apply_keeper_effects(number, plan);
+            self.apply_keeper_effects(number, effects);
         }
         self.keepers[number].free_at()
     }
 
-    fn apply_keeper_effects(&mut self, number: usize, plan: Vec<Effect>) {
+    fn apply_keeper_effects(&mut self, number: usize, effects: Vec<Effect>) {
         let local_now = self.keepers[number].clock.read(self.now);
         let mut dispatch = Dispatch::default();
-        for effect in plan {
+        for effect in effects {
             let Some(effect) = dispatch.admit(effect, local_now) else { continue };
             match effect {
                 Effect::Store(stored) => persist(&mut self.keepers[number].disk, stored),
@@ -177,7 +180,7 @@
                 && self.nodes[link.node].id == node_id
         });
         let Some(link) = found.filter(|link| self.links[*link].open) else { return };
-        self.links[link].down.push_back(message);
+        self.links[link].to_node.push_back(message);
         let delay = self.net.delay(&mut self.rng);
         self.schedule_after(delay, SimEvent::DeliverToNode { link });
     }
@@ -204,7 +207,7 @@
         let state = coordinator.state().clone();
         let census = coordinator.actionable_duty(DutyKind::Census, local_now);
         let conductor_term = coordinator.actionable_duty(DutyKind::Conductor, local_now);
-        let named_term = coordinator.leased_duty(DutyKind::Conductor, local_now);
+        let leased_term = coordinator.leased_duty(DutyKind::Conductor, local_now);
         if reads_now {
             self.schedule_after(
                 Span::millis(3),
@@ -226,7 +229,7 @@
         if let Some((term, _)) = conductor_term {
             self.run_conductor(number, term, &state, local_now);
         }
-        match named_term {
+        match leased_term {
             Some((term, _)) => {
                 self.keep_adapters_warm(number, term, conductor_term.is_some(), &state, local_now);
             }
@@ -360,6 +363,7 @@
         self.submit(number, Submission { request, command }, Some(kind));
     }
 
+    /// Submits a change through a keeper and remembers its kind for the outcome.
     pub fn submit(&mut self, keeper: usize, submission: Submission, kind: Option<ChangeKind>) {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -12,15 +12,18 @@
 }
 
 impl Clock {
+    /// A clock with a random offset of up to 1,000,000 s and a rate within 0.5 % of virtual time.
     pub fn random(rng: &mut SeededRng) -> Clock {
         Clock { offset: rng.between(1_000, 1_000_000) * 1_000_000_000, rate: rng.between(99_500, 100_500) }
     }
 
+    /// The clock's reading at an instant of virtual time.
     pub fn read(&self, at: Instant) -> Instant {
         Instant(self.offset + at.0 / 100_000 * self.rate)
     }
 }
 
+/// A keeper machine with its disk and the state of its duties.
 pub struct SimKeeper {
     pub coordinator: Option<Coordinator>,
     pub id: NodeId,
@@ -75,6 +78,7 @@
     }
 }
 
+/// A node with an agent's subscription and a router.
 pub struct SimNode {
     pub subscription: Option<Subscription>,
     pub id: NodeId,
@@ -145,8 +149,8 @@
     pub open: bool,
     /// Whether the keeper has accepted the connection; until then it still writes to the previous one.
     pub accepted: bool,
-    pub up: VecDeque<AgentToKeeper>,
-    pub down: VecDeque<KeeperToAgent>,
+    pub to_keeper: VecDeque<AgentToKeeper>,
+    pub to_node: VecDeque<KeeperToAgent>,
 }
 
 /// A conductor's order on its way to an engine.
@@ -167,6 +171,7 @@
 }
 
 impl SimOrderKind {
+    /// The order's name in the record and the notes.
     pub fn name(&self) -> &'static str {
         match self {
             SimOrderKind::Open => "open",
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -11,22 +11,22 @@
     settings: &[
         setting("seed", SettingKind::Integer(0, 1 << 53), Some("1"), "the first seed"),
         setting("count", SettingKind::Integer(1, 1_000_000), Some("1"), "how many seeds"),
-        setting("trouble_s", SettingKind::Integer(1, 600), Some("30"), "how long faults go on"),
+        setting("trouble_s", SettingKind::Integer(1, 600), Some("30"), "how long faults are injected"),
         setting("pause_ms", SettingKind::Integer(1, 60_000), Some("1500"), "mean pause between faults"),
         setting(
             "lasting",
             SettingKind::Choice(&["nothing", "deaf", "one-way"]),
             Some("nothing"),
-            "a cut that stays to the end",
+            "a network cut that stays to the end",
         ),
-        setting("disorder", SettingKind::Flag, None, "the core alone, with everything in any order"),
+        setting("disorder", SettingKind::Flag, None, "the core alone, with events in any order"),
         setting(
             "adapters",
             SettingKind::Choice(&["nothing", "trouble", "foreign", "shift", "leave"]),
             Some("nothing"),
-            "requests on adapters: under all faults, also with foreign answers and moving bindings, or in a shift between regions with losses or engines that leave",
+            "requests for adapters: under all faults, also with foreign answers and changing bindings, or in a shift between regions with losses or leaving engines",
         ),
-        setting("notes", SettingKind::Flag, None, "print what happened"),
+        setting("notes", SettingKind::Flag, None, "print notes of what happened"),
     ],
 };
 
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -5,6 +5,7 @@
 /// Machine number of the first node; keepers are numbered from 0.
 pub const NODE_BASE: usize = 100;
 
+/// The cuts between machines, by direction, and whether messages are slow.
 #[derive(Default)]
 pub struct SimNetwork {
     pub cuts: BTreeSet<(usize, usize)>,
@@ -12,10 +13,12 @@
 }
 
 impl SimNetwork {
+    /// Whether messages from one machine to the other are lost or held up.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cuts.contains(&(from, to))
     }
 
+    /// Cuts all machines on the left off from those on the right, in one or both directions.
     pub fn cut_between(&mut self, left: &[usize], right: &[usize], both_ways: bool) {
         for from in left {
             for to in right.iter().filter(|to| *to != from) {
@@ -27,11 +30,13 @@
         }
     }
 
+    /// Removes all cuts and ends the slowness.
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.slow = false;
     }
 
+    /// A random message delay.
     pub fn delay(&self, rng: &mut SeededRng) -> Span {
         let micros = match (self.slow, rng.chance(2)) {
             (true, _) => rng.between(20_000, 120_000),
--- a/crates/simulator/src/nodes.rs
+++ b/crates/simulator/src/nodes.rs
@@ -3,6 +3,7 @@
 use crate::prelude::*;
 
 impl World {
+    /// Starts a node's agent and its router, where they are down.
     pub fn start_node(&mut self, number: usize) {
         let spread = self.rng.below(64) as usize;
         let node = &mut self.nodes[number];
@@ -18,6 +19,7 @@
         self.start_router(number);
     }
 
+    /// Starts a node's router under a new id, unless it is up.
     pub fn start_router(&mut self, number: usize) {
         if self.nodes[number].router.is_some() {
             return;
@@ -34,6 +36,7 @@
         self.send_to_subscription(number, SubscriptionInput::RouterDisconnected);
     }
 
+    /// Crashes a node's agent and router, half of the times as a loss of the whole machine.
     pub fn kill_node(&mut self, number: usize) {
         self.nodes[number].subscription = None;
         let with_machine = self.rng.chance(50);
@@ -54,6 +57,7 @@
         self.schedule_after(Span::millis(2), SimEvent::LinkClosed { link });
     }
 
+    /// Steps a node's subscription and carries out its effects.
     pub fn step_node(&mut self, number: usize, incarnation: u64, input: SubscriptionInput) {
         let now = self.now;
         let node = &mut self.nodes[number];
@@ -66,8 +70,8 @@
             return;
         }
         let Some(subscription) = node.subscription.as_mut() else { return };
-        let plan = subscription.step(input, node.clock.read(now));
-        for effect in plan {
+        let effects = subscription.step(input, node.clock.read(now));
+        for effect in effects {
             match effect {
                 SubscriptionEffect::Dial(address) => {
                     if let Some(link) = self.nodes[number].link.take() {
@@ -78,7 +82,7 @@
                 }
                 SubscriptionEffect::SendToCore(message) => {
                     let Some(link) = self.nodes[number].link else { continue };
-                    self.links[link].up.push_back(message);
+                    self.links[link].to_keeper.push_back(message);
                     let delay = self.net.delay(&mut self.rng);
                     self.schedule_after(delay, SimEvent::DeliverToKeeper { link });
                 }
@@ -105,6 +109,7 @@
         }
     }
 
+    /// Connects an agent to the keeper at an address, if it can be reached.
     pub fn connect_to_keeper(&mut self, number: usize, incarnation: u64, address: &str) {
         if self.nodes[number].incarnation != incarnation || self.nodes[number].subscription.is_none() {
             return;
@@ -126,8 +131,8 @@
             keeper_incarnation,
             open: true,
             accepted: false,
-            up: VecDeque::new(),
-            down: VecDeque::new(),
+            to_keeper: VecDeque::new(),
+            to_node: VecDeque::new(),
         });
         let link = self.links.len() - 1;
         self.nodes[number].link = Some(link);
@@ -177,10 +182,10 @@
             return;
         }
         if to_keeper {
-            let Some(message) = self.links[number].up.pop_front() else { return };
+            let Some(message) = self.links[number].to_keeper.pop_front() else { return };
             let input = Input::Node { node: self.nodes[node].id, message };
             self.step_keeper(keeper, Some(keeper_incarnation), input);
-        } else if let Some(message) = self.links[number].down.pop_front() {
+        } else if let Some(message) = self.links[number].to_node.pop_front() {
             let incarnation = self.nodes[node].incarnation;
             if self.nodes[node].link == Some(number) {
                 self.step_node(node, incarnation, SubscriptionInput::Core(message));
@@ -201,10 +206,11 @@
             self.nodes[node].link = None;
             self.send_to_subscription(node, SubscriptionInput::CoreDisconnected);
         }
-        self.links[number].up.clear();
-        self.links[number].down.clear();
+        self.links[number].to_keeper.clear();
+        self.links[number].to_node.clear();
     }
 
+    /// Applies a message of the agent to the router's fleet snapshot.
     pub fn step_router(&mut self, node_number: usize, router_id: NodeId, message: AgentToRouter) {
         let now = self.now;
         let node = &mut self.nodes[node_number];
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -3,6 +3,7 @@
 use crate::prelude::*;
 
 impl World {
+    /// Records the outcome of a change and does what follows from its acknowledgement.
     pub fn handle_outcome(&mut self, ticket: u64, outcome: QueryOutcome) {
         if self.handle_demand_answer(ticket, &outcome) {
             return;
@@ -167,6 +168,7 @@
         self.submit(keeper, Submission { request, command: Command::Intend(intent) }, Some(ChangeKind::IntentStated));
     }
 
+    /// The platform lists a random engine away, or open again if it was.
     pub fn change_random_listing(&mut self) {
         let number = self.rng.below(ENGINES as u64) as usize;
         if self.engines[number].listed == Some(Listed::Open) {
--- a/crates/simulator/src/router_runs.rs
+++ b/crates/simulator/src/router_runs.rs
@@ -12,6 +12,7 @@
     pub adapter: Option<AdapterId>,
 }
 
+/// A request under way at a router.
 pub struct SimRun {
     pub number: u64,
     pub machine: AttemptMachine<SimPiece>,
@@ -41,6 +42,7 @@
     pub question: Option<(u64, Instant)>,
 }
 
+/// The current attempt of a run.
 pub(crate) struct SimAttempt {
     pub(crate) name: String,
     pub(crate) engine: usize,
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -175,8 +175,8 @@
 }
 
 fn schedule_changes(world: &mut World, rng: &mut SeededRng, faults_end: Instant, lasting: Lasting) {
-    let filling = if lasting == Lasting::Nothing { Span(0) } else { Span::seconds(16) };
-    let calm_end = faults_end + filling + CALM_SPAN;
+    let refill_span = if lasting == Lasting::Nothing { Span(0) } else { Span::seconds(16) };
+    let calm_end = faults_end + refill_span + CALM_SPAN;
     let mut change_at = world.now;
     while change_at < calm_end {
         change_at = change_at + Span::millis(rng.between(50, 1500));
@@ -194,8 +194,8 @@
     if lasting == Lasting::Nothing {
         return;
     }
-    let filled_at = world.now + Span::seconds(16);
-    world.run_until(filled_at);
+    let refilled_at = world.now + Span::seconds(16);
+    world.run_until(refilled_at);
     let keeper = rng.below(KEEPERS as u64) as usize;
     let other = (keeper + 1 + rng.below(KEEPERS as u64 - 1) as usize) % KEEPERS;
     let others: Vec<usize> = (0..KEEPERS).filter(|number| *number != keeper).collect();
@@ -216,6 +216,7 @@
         .all(|node| node.router.as_ref().is_some_and(|router| node.clock.read(world.now) < router.lease_until))
 }
 
+/// Checks the record of a finished run and sums up its outcome.
 pub(crate) fn finish(mut world: World, recovery: Option<Span>) -> RunOutcome {
     world.total_attempts();
     if world.keeps_notes {
--- a/crates/simulator/src/sampling.rs
+++ b/crates/simulator/src/sampling.rs
@@ -3,6 +3,7 @@
 use crate::prelude::*;
 
 impl World {
+    /// Records the state of every router and checks that at most one tail is active.
     pub fn record_samples(&mut self) {
         let at = self.millis();
         for node in &self.nodes {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -2,13 +2,20 @@
 
 use crate::prelude::*;
 
+/// Number of keepers, one in each zone.
 pub const KEEPERS: usize = 4;
+/// Number of nodes, each with an agent and a router.
 pub const NODES: usize = 9;
+/// Number of engines.
 pub const ENGINES: usize = 20;
+/// Zones; machines are assigned to them in turn.
 pub const ZONES: [&str; 4] = ["a", "b", "c", "d"];
+/// The only model of the fleet.
 pub const MODEL: &str = "model";
+/// Number of tenants, named `t0`, `t1` and so on.
 pub const TENANTS: usize = 8;
 
+/// The whole simulated fleet, its event queue and the record of the run.
 pub struct World {
     pub rng: SeededRng,
     pub now: Instant,
@@ -66,12 +73,14 @@
     pub keeps_notes: bool,
 }
 
+/// A submitted change whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub struct PendingChange {
     pub request: RequestId,
     pub kind: Option<ChangeKind>,
 }
 
+/// What a submitted change was, which decides what follows its acknowledgement.
 #[derive(Clone, Debug)]
 pub enum ChangeKind {
     KeyAdded {
@@ -150,10 +159,12 @@
         world
     }
 
+    /// Schedules an event after a span of virtual time.
     pub fn schedule_after(&mut self, span: Span, event: SimEvent) {
         self.schedule_at(self.now + span, event);
     }
 
+    /// Schedules an event at an instant of virtual time.
     pub fn schedule_at(&mut self, instant: Instant, event: SimEvent) {
         self.next_event += 1;
         self.events.insert(self.next_event, event);
@@ -182,10 +193,12 @@
         self.now = end;
     }
 
+    /// The current virtual time in milliseconds.
     pub fn millis(&self) -> u64 {
         self.now.0 / 1_000_000
     }
 
+    /// Adds a note with a timestamp, if notes are kept.
     pub fn note(&mut self, text: String) {
         if self.keeps_notes {
             self.notes.push(format!("{:>7} {text}", self.millis()));
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -1,21 +1,21 @@
-//! Some hundred fixed seeds of a whole office's coordination under faults. A seed that fails is printed
-//! and can be run alone: `simulator --seed N --notes`.
+//! Runs several hundred fixed seeds of a whole fleet under faults. A failing seed is printed and can be run alone
+//! with `simulator --seed N --notes`.
 
 use simulator::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use units::prelude::*;
 
-/// Plays the plans and demands that no rule is broken; what they came to.
+/// Runs the plans, asserts that no rule is broken, and returns the outcomes.
 fn run_without_violations(plans: Vec<RunPlan>) -> Vec<RunOutcome> {
     let outcomes = run_many(&plans);
-    let complaints: Vec<String> = plans
+    let violations: Vec<String> = plans
         .iter()
         .zip(&outcomes)
         .flat_map(|(plan, outcome)| {
             outcome.violations.iter().map(move |violation| format!("seed {}: {violation}", plan.seed))
         })
         .collect();
-    assert!(complaints.is_empty(), "{}", complaints.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
     outcomes
 }
 
@@ -46,7 +46,7 @@
     assert_coverage(&outcomes);
 }
 
-/// Every kind of fault was caused, and most pairs of kinds one after the other.
+/// Every kind of fault was injected, and most pairs of kinds directly after each other.
 fn assert_coverage(outcomes: &[RunOutcome]) {
     let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
     let mut pairs: BTreeSet<(&str, &str)> = BTreeSet::new();
@@ -58,7 +58,7 @@
     }
     let all_kinds = fault_kinds();
     let missing: Vec<&&str> = all_kinds.iter().filter(|kind| !kinds.contains_key(**kind)).collect();
-    assert!(missing.is_empty(), "never caused: {missing:?}");
+    assert!(missing.is_empty(), "never injected: {missing:?}");
     let least = kinds.values().min().copied().unwrap_or_default();
     assert!(least >= 40, "{kinds:?}");
     let possible = all_kinds.len() * all_kinds.len();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn service_returns_though_a_keeper_stays_deaf_or_a_way_stays_cut() {
+fn service_recovers_while_a_keeper_receives_nothing_or_one_direction_stays_cut() {
     for (first_seed, lasting) in [(2000, Lasting::DeafKeeper), (2100, Lasting::OneWay)] {
         run_without_violations(
             (first_seed..first_seed + 50).map(|seed| RunPlan { lasting, ..RunPlan::for_seed(seed) }).collect(),
@@ -83,31 +83,31 @@
 }
 
 #[test]
-fn the_core_in_any_order_loses_and_changes_nothing_committed() {
+fn the_core_in_any_event_order_neither_loses_nor_alters_a_committed_change() {
     let plans: Vec<RunPlan> = (0..2000).map(|seed| RunPlan { disorder: true, ..RunPlan::for_seed(seed) }).collect();
     let acks: usize = run_without_violations(plans).iter().map(|outcome| outcome.acks).sum();
     assert!(acks > 50_000, "little was committed: {acks}");
 }
 
-/// Every question is answered whole, once, within ten seconds and by its own adapter, though the load moves
-/// between the regions and an engine, a router's node and the conductor are lost meanwhile.
+/// Every question is answered completely, once, within ten seconds and by its own adapter, while the load shifts
+/// between the regions and an engine, a router's node and the conductor are lost.
 #[test]
-fn a_shift_between_regions_with_losses_leaves_no_question_open() {
+fn a_shift_between_regions_with_losses_leaves_no_question_unanswered() {
     let adapters = AdapterMode::Shift;
     let outcomes =
         run_without_violations((5000..5200).map(|seed| RunPlan { adapters, ..RunPlan::for_seed(seed) }).collect());
     assert!(count(&outcomes, "whole") > 200_000, "{} answers", count(&outcomes, "whole"));
-    assert!(outcomes.iter().all(|outcome| outcome.faults == 3), "each run has its three losses");
+    assert!(outcomes.iter().all(|outcome| outcome.faults == 3), "every run has three losses");
     let warmed: Vec<Span> = outcomes.iter().filter_map(|outcome| outcome.warmed_after).collect();
     assert!(warmed.len() >= 195, "the new region was warmed in {} runs", warmed.len());
     let longest = warmed.iter().max().copied().unwrap_or_default();
     assert!(longest < Span::seconds(20), "warming took {} ms", longest.as_millis());
 }
 
-/// Every engine that holds an adapter is listed leaving, every one that holds another is drained: each question
-/// is answered, and hardly an attempt is refused meanwhile.
+/// All engines that hold one adapter are listed as leaving and all that hold another are drained: every question is
+/// answered, and fewer than one attempt is refused per thousand answers.
 #[test]
-fn engines_that_leave_with_the_last_copies_leave_no_question_open() {
+fn engines_that_leave_with_the_last_copies_leave_no_question_unanswered() {
     let adapters = AdapterMode::Leave;
     let outcomes =
         run_without_violations((6000..6040).map(|seed| RunPlan { adapters, ..RunPlan::for_seed(seed) }).collect());
@@ -116,9 +116,9 @@
     assert!(refused * 1000 < answered, "{refused} attempts refused of {answered} answered");
 }
 
-/// The bindings of a tenant move all the time, and engines name adapters of other tenants.
+/// The adapter binding of a tenant keeps changing, and engines name adapters of other tenants.
 #[test]
-fn moving_bindings_and_foreign_answers_break_no_rule() {
+fn changing_bindings_and_foreign_answers_break_no_rule() {
     let adapters = AdapterMode::Foreign;
     let outcomes =
         run_without_violations((6500..6540).map(|seed| RunPlan { adapters, ..RunPlan::for_seed(seed) }).collect());
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn requests_on_adapters_under_all_faults_break_no_rule() {
+fn adapter_requests_under_all_faults_break_no_rule() {
     let adapters = AdapterMode::Trouble;
-    // Seed 5680: weights were given up while no conductor worked.
+    // Seed 5680: weights were abandoned while no conductor was active.
     let seeds = (5500..5560).chain([5680]);
     let outcomes =
         run_without_violations(seeds.map(|seed| RunPlan { adapters, ..RunPlan::for_seed(seed) }).collect());
