--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -11,6 +11,7 @@
 /// little, submit, start a keeper, break a stream, stall a stream, end all stalls, crash a keeper, advance time a
 /// lot, retire a keeper, operator call, calm period, loss of a disk.
 const NORMAL_WEIGHTS: [u64; 14] = [240, 60, 60, 12, 6, 4, 6, 6, 2, 3, 1, 10, 1, 2];
+/// Weights of the same actions in aggressive runs.
 const AGGRESSIVE_WEIGHTS: [u64; 14] = [200, 40, 60, 20, 30, 8, 14, 12, 4, 9, 3, 12, 1, 3];
 
 /// A keeper of the core simulation with its disk.
