--- a/crates/simulator/src/attempt_placement.rs
+++ b/crates/simulator/src/attempt_placement.rs
@@ -180,8 +180,8 @@
         }
         if let Some(arrives_at) = attempt.arrives_at {
             let closed_at = self.now + Span::millis(3) + self.net.delay(&mut self.rng);
-            let lost = SimEvent::AttemptClosed { engine: attempt.engine, attempt: attempt.name };
-            self.schedule_at(closed_at.max(arrives_at), lost);
+            let closed = SimEvent::AttemptClosed { engine: attempt.engine, attempt: attempt.name };
+            self.schedule_at(closed_at.max(arrives_at), closed);
         }
     }
 }
--- a/crates/simulator/src/callers.rs
+++ b/crates/simulator/src/callers.rs
@@ -287,10 +287,10 @@
         self.record.callers.push(line);
         self.retry_question(number, outcome);
         let caller = &mut self.callers[number];
-        let asks_again = caller.request.idempotency_key.is_some()
+        let will_retry = caller.request.idempotency_key.is_some()
             && matches!(outcome, "unknown" | "no_answer" | "cut" | "not_run")
             && !std::mem::replace(&mut caller.has_retried, true);
-        if asks_again && self.rng.chance(70) {
+        if will_retry && self.rng.chance(70) {
             let request = caller.request.clone();
             let node = self.rng.below(self.nodes.len() as u64) as usize;
             let pause = Span::millis(self.rng.between(1, 800));
--- a/crates/simulator/src/engine_work.rs
+++ b/crates/simulator/src/engine_work.rs
@@ -26,11 +26,11 @@
         }
         let (at, behavior) =
             (self.millis(), if engine.behavior_until > now { engine.behavior } else { EngineBehavior::Good });
-        let own_count = engine.cache.overlap(&request.names);
-        let line = start_line(at, engine, &request, own_count);
+        let cached_count = engine.cache.overlap(&request.names);
+        let line = start_line(at, engine, &request, cached_count);
         self.record.engines.push(EngineLogLine::Start(line));
-        self.use_blocks(number, &request, own_count);
-        let missing_blocks = (request.names.len() - own_count) as u64;
+        self.use_blocks(number, &request, cached_count);
+        let missing_blocks = (request.names.len() - cached_count) as u64;
         let slow_span = if behavior == EngineBehavior::Late { self.rng.between(2_000, 9_000) } else { 0 };
         let begins_at = now + Span::millis(self.rng.between(1, 20) + missing_blocks * 4 + slow_span);
         let attempt = EngineAttempt {
@@ -65,22 +65,22 @@
         {
             return self.schedule_after(delay, done);
         }
-        let own_count = engine.cache.overlap(&request.names);
-        let line = start_line(at, engine, &request, own_count);
+        let cached_count = engine.cache.overlap(&request.names);
+        let line = start_line(at, engine, &request, cached_count);
         self.record.engines.push(EngineLogLine::Prefill(line));
-        self.use_blocks(number, &request, own_count);
-        let missing_blocks = (request.names.len() - own_count) as u64;
+        self.use_blocks(number, &request, cached_count);
+        let missing_blocks = (request.names.len() - cached_count) as u64;
         let span = Span::millis(self.rng.between(1, 20) + missing_blocks * 4);
         self.schedule_after(span + delay, done);
     }
 
     /// Checks the origin of the blocks that an attempt uses, cached and fetched, and then caches all blocks of its
     /// prompt.
-    fn use_blocks(&mut self, number: usize, request: &EngineRequest, own_count: usize) {
+    fn use_blocks(&mut self, number: usize, request: &EngineRequest, cached_count: usize) {
         let mut used: Vec<(BlockHash, BlockOrigin)> = Vec::new();
         let engine = &self.engines[number];
         used.extend(
-            request.names[..own_count].iter().filter_map(|name| Some((*name, engine.cache.origin(name)?.clone()))),
+            request.names[..cached_count].iter().filter_map(|name| Some((*name, engine.cache.origin(name)?.clone()))),
         );
         for run in &request.fetches {
             let source = match &run.from {
@@ -268,7 +268,7 @@
     AttemptInput::Piece { attempt: attempt.into(), finished, piece }
 }
 
-fn start_line(at: u64, engine: &SimEngine, request: &EngineRequest, own_count: usize) -> StartLine {
+fn start_line(at: u64, engine: &SimEngine, request: &EngineRequest, cached_count: usize) -> StartLine {
     StartLine {
         at,
         engine: engine.name.0.clone(),
@@ -277,6 +277,6 @@
         weights: engine.weights.0,
         adapter: adapter_text(request.adapter.as_ref()),
         prompt_blocks: request.names.len() as u64,
-        cached_blocks: own_count as u64,
+        cached_blocks: cached_count as u64,
     }
 }
--- a/crates/simulator/src/work_limits.rs
+++ b/crates/simulator/src/work_limits.rs
@@ -63,8 +63,8 @@
             }
             let Some(attempt) = run.attempt.filter(|_| !with_machine) else { continue };
             if let Some(arrives_at) = attempt.arrives_at {
-                let lost = SimEvent::AttemptClosed { engine: attempt.engine, attempt: attempt.name };
-                self.schedule_at(arrives_at.max(self.now + Span::millis(3)), lost);
+                let closed = SimEvent::AttemptClosed { engine: attempt.engine, attempt: attempt.name };
+                self.schedule_at(arrives_at.max(self.now + Span::millis(3)), closed);
             }
         }
     }
