--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,39 +1,39 @@
-//! The fleet in virtual time, at the size of an office. The same state machines that the daemons drive
-//! (coordinator, subscription, conductor, the router's view of the fleet, picker, attempts) run here on
-//! simulated machines with clocks of their own, disks that take time, a network that delays, reorders and is
-//! cut, engines that crash and misbehave, callers that leave and come back, and a seeded schedule of faults;
-//! the oracles judge what came out. The same seed gives the same run.
+//! Deterministic simulation of a whole fleet in virtual time. The state machines that the programs run (coordinator,
+//! subscription, conductor, fleet snapshot, picker, attempt machine) run here on simulated machines with their own
+//! clocks, disks with sync latency, a network that delays, reorders and partitions, engines that crash and misbehave,
+//! callers that disconnect and resume, and a seeded schedule of faults. The checks of the `verdict` crate judge the
+//! recorded run. The same seed always gives the same run.
 
 #![warn(missing_docs)]
 
 pub mod prelude;
 
-mod adapted;
-mod bounds;
+mod adapter_traffic;
+mod attempt_effects;
+mod attempt_placement;
+mod block_cache;
+mod bootstrap;
 mod callers;
-mod claims;
+mod claim_submissions;
 mod disorder;
-mod effects;
 mod engine_work;
 mod engines;
+mod event_polling;
 mod events;
+mod fault_effects;
 mod faults;
-mod foreign;
-mod founding;
+mod foreign_adapters;
 mod keepers;
-mod leaving;
+mod leaving_engines;
 mod machines;
-mod memory;
-mod net;
+mod network;
 mod nodes;
 mod operators;
-mod placing;
-mod polling;
 mod register_operators;
 mod resuming;
+mod router_runs;
 mod run;
-mod runs;
 mod sampling;
 mod shift;
-mod trouble;
+mod work_limits;
 mod world;
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -1,52 +1,56 @@
-//! Who plays: keepers with disks, nodes of subscription and router, engines, the platform's list.
+//! The simulated machines: keepers with disks, nodes with an agent's subscription and a router, and the links and
+//! orders between machines.
 
 use crate::prelude::*;
 
-/// A machine's own clock: an offset and a slightly wrong rate.
+/// A machine's own clock, with an offset and a slightly wrong rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     pub offset: u64,
-    /// Parts in a hundred thousand.
+    /// Rate relative to virtual time, in parts per 100,000.
     pub rate: u64,
 }
 
 impl Clock {
-    pub fn drawn(draw: &mut SeededRng) -> Clock {
-        Clock { offset: draw.between(1_000, 1_000_000) * 1_000_000_000, rate: draw.between(99_500, 100_500) }
+    /// A clock with a random offset of up to 1,000,000 s and a rate within 0.5 % of virtual time.
+    pub fn random(rng: &mut SeededRng) -> Clock {
+        Clock { offset: rng.between(1_000, 1_000_000) * 1_000_000_000, rate: rng.between(99_500, 100_500) }
     }
 
+    /// The clock's reading at an instant of virtual time.
     pub fn read(&self, at: Instant) -> Instant {
         Instant(self.offset + at.0 / 100_000 * self.rate)
     }
 }
 
+/// A keeper machine with its disk and the state of its duties.
 pub struct SimKeeper {
     pub coordinator: Option<Coordinator>,
     pub id: NodeId,
     pub address: String,
-    /// What a crash leaves behind.
+    /// What survives a crash.
     pub disk: PersistedState,
     pub clock: Clock,
-    /// Counts lives; events of an earlier life are void.
-    pub life: u64,
+    /// Counts restarts; events of an earlier incarnation are ignored.
+    pub incarnation: u64,
     pub frozen_until: Instant,
-    /// While the disk syncs, inputs wait.
+    /// Inputs wait until the disk has synced.
     pub busy_until: Instant,
     pub sync_span: Span,
-    /// What was planned and waits for its sync; nothing else is taken up before it is carried out.
-    pub syncing: Option<Vec<Effect>>,
-    pub census_since: Option<Instant>,
-    /// When it read the platform's listing last.
-    pub census_read: Instant,
+    /// Effects that wait for the disk sync; they are forwarded out before the next input is taken.
+    pub pending_effects: Option<Vec<Effect>>,
+    pub listing_pending_since: Option<Instant>,
+    /// When it last read the platform's listing.
+    pub last_listing_read: Instant,
     pub conductor: Conductor,
     pub planner: WarmingPlanner,
-    /// When it asked last where requests on adapters arrive.
-    pub demand_asked: Instant,
-    pub submitted: BTreeMap<EngineName, Instant>,
+    /// When it last queried the demand for adapters.
+    pub last_demand_query: Instant,
+    pub in_flight: BTreeMap<EngineName, Instant>,
 }
 
 impl SimKeeper {
-    /// A keeper that has not started, with an empty disk.
+    /// A keeper with an empty disk that has not started.
     pub fn new(number: usize, clock: Clock) -> SimKeeper {
         SimKeeper {
             coordinator: None,
@@ -54,35 +58,36 @@
             address: format!("k{number}"),
             disk: PersistedState::default(),
             clock,
-            life: 0,
+            incarnation: 0,
             frozen_until: Instant(0),
             busy_until: Instant(0),
-            syncing: None,
+            pending_effects: None,
             sync_span: Span::millis(2),
-            census_since: None,
-            census_read: Instant(0),
+            listing_pending_since: None,
+            last_listing_read: Instant(0),
             conductor: Conductor::default(),
             planner: WarmingPlanner::default(),
-            demand_asked: Instant(0),
-            submitted: BTreeMap::new(),
+            last_demand_query: Instant(0),
+            in_flight: BTreeMap::new(),
         }
     }
 
-    /// When it takes something up again: it is frozen or its disk syncs until then.
+    /// When it can take its next input: it is frozen or its disk syncs until then.
     pub fn free_at(&self) -> Instant {
         self.frozen_until.max(self.busy_until)
     }
 }
 
+/// A node with an agent's subscription and a router.
 pub struct SimNode {
     pub subscription: Option<Subscription>,
     pub id: NodeId,
     pub clock: Clock,
-    pub life: u64,
+    pub incarnation: u64,
     pub frozen_until: Instant,
     pub router: Option<SimRouter>,
-    /// The router whose stream the agent holds.
-    pub fed_router: Option<NodeId>,
+    /// The router that is connected to the agent.
+    pub connected_router: Option<NodeId>,
     pub link: Option<usize>,
 }
 
@@ -93,19 +98,19 @@
             subscription: None,
             id: NodeId(1000 + number as u64),
             clock,
-            life: 0,
+            incarnation: 0,
             frozen_until: Instant(0),
             router: None,
-            fed_router: None,
+            connected_router: None,
             link: None,
         }
     }
 }
 
-/// The router: what is in force, until when it may start, and what it has under way.
+/// A router: its fleet snapshot, its lease and its running requests.
 pub struct SimRouter {
     pub id: NodeId,
-    pub sight: FleetSnapshot,
+    pub snapshot: FleetSnapshot,
     pub lease_until: Instant,
     pub picker: Picker,
     pub budget: RetryBudget,
@@ -114,7 +119,7 @@
     pub routers: Vec<RouterAddress>,
     pub attempts: u64,
     pub retries: u64,
-    /// Requests for adapters that arrived here.
+    /// Counts the requests per adapter that arrived here.
     pub meter: DemandMeter,
 }
 
@@ -122,7 +127,7 @@
     pub fn new(id: NodeId, zone: Zone) -> SimRouter {
         SimRouter {
             id,
-            sight: FleetSnapshot::default(),
+            snapshot: FleetSnapshot::default(),
             lease_until: Instant(0),
             picker: Picker::new(id, zone),
             budget: RetryBudget::default(),
@@ -136,16 +141,16 @@
     }
 }
 
-/// A stream between a node and a keeper.
+/// A connection between a node's agent and a keeper.
 pub struct SimLink {
     pub node: usize,
     pub keeper: usize,
-    pub keeper_life: u64,
+    pub keeper_incarnation: u64,
     pub open: bool,
-    /// Whether the keeper has taken the stream up; until then it still writes to the one before.
-    pub taken_up: bool,
-    pub up: VecDeque<AgentToKeeper>,
-    pub down: VecDeque<KeeperToAgent>,
+    /// Whether the keeper has accepted the connection; until then it still writes to the previous one.
+    pub accepted: bool,
+    pub to_keeper: VecDeque<AgentToKeeper>,
+    pub to_node: VecDeque<KeeperToAgent>,
 }
 
 /// A conductor's order on its way to an engine.
@@ -153,25 +158,26 @@
 pub struct SimOrder {
     pub holder: String,
     pub term: Term,
-    pub wish: SimWish,
+    pub kind: SimOrderKind,
 }
 
-/// What an engine is ordered.
+/// What an engine is ordered to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SimWish {
+pub enum SimOrderKind {
     Open,
     LoadWeights(WeightsEdition),
     LoadAdapter(AdapterId),
     UnloadAdapter(AdapterId),
 }
 
-impl SimWish {
+impl SimOrderKind {
+    /// The order's name in the record and the notes.
     pub fn name(&self) -> &'static str {
         match self {
-            SimWish::Open => "open",
-            SimWish::LoadWeights(_) => "load",
-            SimWish::LoadAdapter(_) => "load adapter",
-            SimWish::UnloadAdapter(_) => "unload adapter",
+            SimOrderKind::Open => "open",
+            SimOrderKind::LoadWeights(_) => "load",
+            SimOrderKind::LoadAdapter(_) => "load adapter",
+            SimOrderKind::UnloadAdapter(_) => "unload adapter",
         }
     }
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,171 +1,171 @@
-//! One seeded run: form, trouble, recovery, verdict.
+//! One seeded run: formation, faults, recovery and verdict.
 
 use crate::prelude::*;
 
-const FORM_SPAN: Span = Span::seconds(12);
+const FORMATION_SPAN: Span = Span::seconds(12);
 const CALM_SPAN: Span = Span::seconds(20);
 
-/// What is to be played.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
-    /// Everything drawn follows from it.
+    /// Seeds all random choices.
     pub seed: u64,
-    /// How long faults go on.
-    pub trouble: Span,
+    /// How long faults are injected.
+    pub fault_span: Span,
     /// Mean pause between faults.
     pub fault_pause_ms: u64,
-    /// Whether what happens is noted down.
+    /// Whether to keep notes of what happens.
     pub keeps_notes: bool,
-    /// A cut that stays after the other faults are over; service must return all the same.
+    /// A network cut that stays after the other faults end; service must recover regardless.
     pub lasting: Lasting,
-    /// The core alone, with everything in any order.
+    /// Simulates the core alone, with events in arbitrary order.
     pub disorder: bool,
-    /// What is played of adapters.
-    pub adapters: AdapterPlay,
+    /// Which scenario with adapters to run.
+    pub adapters: AdapterMode,
 }
 
-/// What a run plays of adapters.
+/// Scenarios with requests for adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdapterPlay {
-    /// No requests on adapters.
+pub enum AdapterMode {
+    /// No requests for adapters.
     Nothing,
-    /// Requests on adapters under all the faults.
+    /// Requests for adapters under all faults.
     Trouble,
-    /// The same, while a tenant is bound to one and the other of its adapters, and engines name adapters of
-    /// other tenants.
+    /// As `Trouble`, while a tenant's binding alternates between two adapters and engines name adapters of other
+    /// tenants.
     Foreign,
-    /// A shift of the load between regions, with the loss of an engine, a node and the conductor; every
-    /// question must be answered.
+    /// The load shifts between regions while an engine, a node and the conductor are lost; every question must be
+    /// answered.
     Shift,
-    /// The same shift; every engine that holds an adapter is listed as leaving, and every one that holds
-    /// another is drained.
+    /// The same shift, while all engines that hold one adapter are listed as leaving and all that hold another are
+    /// drained.
     Leave,
 }
 
-/// What stays cut.
+/// A network cut that stays to the end of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lasting {
     /// All cuts heal.
     Nothing,
-    /// One keeper hears none of the others, but is heard.
+    /// One keeper receives nothing from the others, but can send to them.
     DeafKeeper,
-    /// One keeper hears another no more; nothing else is cut.
+    /// One keeper receives nothing from one other keeper; nothing else is cut.
     OneWay,
 }
 
 impl RunPlan {
-    /// The usual run of a seed.
-    pub fn of(seed: u64) -> RunPlan {
+    /// The default run of a seed.
+    pub fn for_seed(seed: u64) -> RunPlan {
         RunPlan {
             seed,
-            trouble: Span::seconds(30),
+            fault_span: Span::seconds(30),
             fault_pause_ms: 1500,
             keeps_notes: false,
             lasting: Lasting::Nothing,
             disorder: false,
-            adapters: AdapterPlay::Nothing,
+            adapters: AdapterMode::Nothing,
         }
     }
 }
 
 impl RunOutcome {
-    /// The rules that were broken, each once.
+    /// The numbers of the rules that were broken.
     pub fn broken_rules(&self) -> BTreeSet<u8> {
-        let rules = self.violations.iter().filter_map(|told| told.strip_prefix("rule ")?.split(':').next());
+        let rules = self.violations.iter().filter_map(|text| text.strip_prefix("rule ")?.split(':').next());
         rules.filter_map(|number| number.parse().ok()).collect()
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct RunOutcome {
-    /// What broke a rule, as `rule N: what`.
+    /// Violations of rules, as `rule N: what`.
     pub violations: Vec<String>,
-    /// Attempts that engines began.
+    /// Attempts that engines started.
     pub starts: usize,
     /// Changes that were acknowledged.
     pub acks: usize,
-    /// Faults that were caused.
+    /// Faults that were injected.
     pub faults: usize,
-    /// The kinds of the faults caused, in order.
+    /// The kinds of the injected faults, in order.
     pub fault_kinds: Vec<&'static str>,
-    /// How requests ended, by outcome.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, usize>,
-    /// What happened, if notes were kept.
+    /// Notes of what happened, if they were kept.
     pub notes: Vec<String>,
-    /// From the end of the last fault until every node served again.
+    /// Time from the end of the last fault until every router held a lease again.
     pub recovery: Option<Span>,
-    /// From the beginning of a shift of the load until the adapter was warm where it went.
+    /// Time from the start of the load shift until the adapter was loaded in the new region.
     pub warmed_after: Option<Span>,
-    /// Loads of adapters that engines finished.
+    /// Adapter loads that engines completed.
     pub loads: u64,
 }
 
-/// Plays many seeds on all of the machine's cores; the outcomes in the order of the plans.
-pub fn play_many(plans: &[RunPlan]) -> Vec<RunOutcome> {
+/// Runs many plans on all CPU cores and returns the outcomes in the order of the plans.
+pub fn run_many(plans: &[RunPlan]) -> Vec<RunOutcome> {
     let threads = std::thread::available_parallelism().map_or(2, |count| count.get());
     let next = std::sync::atomic::AtomicUsize::new(0);
     let outcomes = std::sync::Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
-                while let Some((place, plan)) = {
-                    let place = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-                    plans.get(place).map(|plan| (place, plan))
+                while let Some((index, plan)) = {
+                    let index = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
+                    plans.get(index).map(|plan| (index, plan))
                 } {
-                    let outcome = play(plan);
-                    outcomes.lock().expect("no player panics with the lock").push((place, outcome));
+                    let outcome = run_seed(plan);
+                    outcomes.lock().expect("no run panics while holding the lock").push((index, outcome));
                 }
             });
         }
     });
-    let mut outcomes = outcomes.into_inner().expect("no player panics with the lock");
-    outcomes.sort_by_key(|(place, _)| *place);
+    let mut outcomes = outcomes.into_inner().expect("no run panics while holding the lock");
+    outcomes.sort_by_key(|(index, _)| *index);
     outcomes.into_iter().map(|(_, outcome)| outcome).collect()
 }
 
-/// Plays one seed.
-pub fn play(plan: &RunPlan) -> RunOutcome {
+/// Runs one plan.
+pub fn run_seed(plan: &RunPlan) -> RunOutcome {
     if plan.disorder {
-        return play_disorder(plan.seed);
+        return run_disorder(plan.seed);
     }
-    if matches!(plan.adapters, AdapterPlay::Shift | AdapterPlay::Leave) {
-        return play_shift(plan);
+    if matches!(plan.adapters, AdapterMode::Shift | AdapterMode::Leave) {
+        return run_shift(plan);
     }
-    let scenario = matches!(plan.adapters, AdapterPlay::Trouble | AdapterPlay::Foreign)
-        .then(|| Scenario::new(Instant(0) + FORM_SPAN + Span(plan.trouble.0 / 2), Span::seconds(5)));
+    let scenario = matches!(plan.adapters, AdapterMode::Trouble | AdapterMode::Foreign)
+        .then(|| Scenario::new(Instant(0) + FORMATION_SPAN + Span(plan.fault_span.0 / 2), Span::seconds(5)));
     let mut world = World::new(plan.seed, scenario);
     world.keeps_notes = plan.keeps_notes;
-    let formed_at = world.now + FORM_SPAN;
+    let formed_at = world.now + FORMATION_SPAN;
     world.run_until(formed_at);
-    let mut draw = SeededRng::new(plan.seed ^ 0x5eed);
+    let mut rng = SeededRng::new(plan.seed ^ 0x5eed);
     let mut fault_at = world.now;
-    let trouble_end = world.now + plan.trouble;
+    let faults_end = world.now + plan.fault_span;
     loop {
-        fault_at = fault_at + Span::millis(draw.between(1, plan.fault_pause_ms * 2));
-        if fault_at + Span::millis(400) >= trouble_end {
+        fault_at = fault_at + Span::millis(rng.between(1, plan.fault_pause_ms * 2));
+        if fault_at + Span::millis(400) >= faults_end {
             break;
         }
-        world.at(fault_at, SimEvent::Fault(Fault::draw(&mut draw, KEEPERS, NODES, ENGINES)));
+        world.schedule_at(fault_at, SimEvent::Fault(Fault::random(&mut rng, KEEPERS, NODES, ENGINES)));
     }
-    schedule_changes(&mut world, &mut draw, trouble_end, plan.lasting);
-    if plan.adapters == AdapterPlay::Foreign {
-        world.schedule_foreign(plan.seed, trouble_end);
+    schedule_changes(&mut world, &mut rng, faults_end, plan.lasting);
+    if plan.adapters == AdapterMode::Foreign {
+        world.schedule_foreign(plan.seed, faults_end);
     }
-    world.run_until(trouble_end);
-    // A machine woken before its time would do what waits for it out of order.
+    world.run_until(faults_end);
+    // Waking a frozen machine early would process its deferred events out of order.
     while world.now < world.awake_at() {
         let awake_at = world.awake_at();
         world.run_until(awake_at);
     }
     world.end_faults();
-    cut_lastingly(&mut world, &mut draw, plan.lasting);
+    apply_lasting_cut(&mut world, &mut rng, plan.lasting);
     let over_at = world.now;
     let mut recovery = None;
     while world.now < over_at + CALM_SPAN {
-        let next_look = world.now + Span::millis(100);
-        world.run_until(next_look);
-        if recovery.is_none() && all_serve(&world) {
+        let next_check = world.now + Span::millis(100);
+        world.run_until(next_check);
+        if recovery.is_none() && all_routers_leased(&world) {
             recovery = Some(world.now.since(over_at));
         }
     }
@@ -174,30 +174,30 @@
     finish(world, recovery)
 }
 
-fn schedule_changes(world: &mut World, draw: &mut SeededRng, trouble_end: Instant, lasting: Lasting) {
-    let filling = if lasting == Lasting::Nothing { Span(0) } else { Span::seconds(16) };
-    let calm_end = trouble_end + filling + CALM_SPAN;
+fn schedule_changes(world: &mut World, rng: &mut SeededRng, faults_end: Instant, lasting: Lasting) {
+    let refill_span = if lasting == Lasting::Nothing { Span(0) } else { Span::seconds(16) };
+    let calm_end = faults_end + refill_span + CALM_SPAN;
     let mut change_at = world.now;
     while change_at < calm_end {
-        change_at = change_at + Span::millis(draw.between(50, 1500));
-        world.at(change_at, SimEvent::Operator);
+        change_at = change_at + Span::millis(rng.between(50, 1500));
+        world.schedule_at(change_at, SimEvent::OperatorChange);
     }
     let mut listing_at = world.now;
     while listing_at < calm_end {
-        listing_at = listing_at + Span::millis(draw.between(500, 6000));
-        world.at(listing_at, SimEvent::Platform);
+        listing_at = listing_at + Span::millis(rng.between(500, 6000));
+        world.schedule_at(listing_at, SimEvent::ListingChange);
     }
 }
 
-/// Once lost seats are filled again, makes the cut that stays.
-fn cut_lastingly(world: &mut World, draw: &mut SeededRng, lasting: Lasting) {
+/// Applies the lasting cut, after the chain has had time to fill up again.
+fn apply_lasting_cut(world: &mut World, rng: &mut SeededRng, lasting: Lasting) {
     if lasting == Lasting::Nothing {
         return;
     }
-    let filled_at = world.now + Span::seconds(16);
-    world.run_until(filled_at);
-    let keeper = draw.below(KEEPERS as u64) as usize;
-    let other = (keeper + 1 + draw.below(KEEPERS as u64 - 1) as usize) % KEEPERS;
+    let refilled_at = world.now + Span::seconds(16);
+    world.run_until(refilled_at);
+    let keeper = rng.below(KEEPERS as u64) as usize;
+    let other = (keeper + 1 + rng.below(KEEPERS as u64 - 1) as usize) % KEEPERS;
     let others: Vec<usize> = (0..KEEPERS).filter(|number| *number != keeper).collect();
     match lasting {
         Lasting::Nothing => {}
@@ -209,15 +209,16 @@
     world.record.world.push(WorldLine::LastFaultOver { at });
 }
 
-fn all_serve(world: &World) -> bool {
+fn all_routers_leased(world: &World) -> bool {
     world
         .nodes
         .iter()
         .all(|node| node.router.as_ref().is_some_and(|router| node.clock.read(world.now) < router.lease_until))
 }
 
+/// Checks the record of a finished run and sums up its outcome.
 pub(crate) fn finish(mut world: World, recovery: Option<Span>) -> RunOutcome {
-    world.sum_attempts();
+    world.total_attempts();
     if world.keeps_notes {
         let unserved: Vec<String> = world
             .record
@@ -226,7 +227,7 @@
             .filter(|caller| !matches!(caller.outcome.as_str(), "whole" | "cancelled") && caller.status != 401)
             .map(|caller| format!("{caller:?}"))
             .collect();
-        unserved.into_iter().for_each(|told| world.note(told));
+        unserved.into_iter().for_each(|text| world.note(text));
     }
     for number in 0..world.nodes.len() {
         let subscription = format!("n{number} at the end: {:?}", world.nodes[number].subscription);
@@ -234,7 +235,7 @@
     }
     let mut violations: Vec<String> =
         judge(&world.record).into_iter().map(|Violation { rule, what }| format!("rule {rule}: {what}")).collect();
-    violations.extend(world.extra.iter().cloned());
+    violations.extend(world.extra_violations.iter().cloned());
     violations.extend(lost_acks(&world));
     let mut outcomes = BTreeMap::new();
     for caller in &world.record.callers {
@@ -257,7 +258,7 @@
 }
 
 impl World {
-    fn sum_attempts(&mut self) {
+    fn total_attempts(&mut self) {
         let mut last_counts: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         for line in &self.record.world {
             if let WorldLine::Sample { router, attempts, retries, .. } = line {
@@ -269,15 +270,16 @@
     }
 }
 
-/// Every acknowledged change must be in the state of the tail that acts at the end, as it was acked.
+/// Every acknowledged change must be in the state of the tail that is active at the end, under its acknowledged
+/// edition.
 fn lost_acks(world: &World) -> Vec<String> {
     let tail = world.keepers.iter().find_map(|keeper| {
         let coordinator = keeper.coordinator.as_ref()?;
         coordinator.tail_is_active(keeper.clock.read(world.now)).then_some(coordinator)
     });
-    let Some(tail) = tail else { return vec!["rule 12: no tail acts at the end".into()] };
+    let Some(tail) = tail else { return vec!["rule 12: no active tail at the end".into()] };
     if world.net.cuts.is_empty() && tail.view().chain.len() != KEEPERS {
-        return vec![format!("rule 12: the chain did not fill up again: {}", join_ids(&tail.view().chain))];
+        return vec![format!("rule 12: the chain was not restored to full length: {}", join_ids(&tail.view().chain))];
     }
     world
         .acked
@@ -286,6 +288,6 @@
             let is_recent = tail.state().edition.0 < edition.0 + 400;
             is_recent && tail.state().previous_outcome(**request) != Some(CommandOutcome::Applied(**edition))
         })
-        .map(|(request, edition)| format!("rule 8: acked edition {edition} of request {request} is lost"))
+        .map(|(request, edition)| format!("rule 8: acknowledged edition {edition} of request {request} is lost"))
         .collect()
 }
--- a/crates/simulator/src/sampling.rs
+++ b/crates/simulator/src/sampling.rs
@@ -1,14 +1,15 @@
-//! Looks at every router and tail for the record.
+//! Periodic samples of every router and active tail for the record.
 
 use crate::prelude::*;
 
 impl World {
-    pub fn sample(&mut self) {
+    /// Records the state of every router and checks that at most one tail is active.
+    pub fn record_samples(&mut self) {
         let at = self.millis();
         for node in &self.nodes {
             let Some(router) = node.router.as_ref().filter(|_| node.frozen_until <= self.now) else { continue };
             let leased = node.clock.read(self.now) < router.lease_until;
-            let edition = router.sight.state.edition.0;
+            let edition = router.snapshot.state.edition.0;
             self.record.world.push(WorldLine::Sample {
                 at,
                 router: router.id.to_string(),
@@ -28,14 +29,14 @@
             })
             .collect();
         if active_tails.len() > 1 {
-            self.extra.push(format!("rule 8: two active tails at {at}: {active_tails:?}"));
+            self.extra_violations.push(format!("rule 8: several active tails at {at}: {active_tails:?}"));
         }
         if let Some(tail) = active_tails.first()
             && let Some(coordinator) = &self.keepers[*tail].coordinator
         {
             let (edition, last_settled) = (coordinator.state().edition, coordinator.state().last_request());
             if let Some(request) = last_settled {
-                self.see_committed(edition, request, &format!("tail k{tail}"));
+                self.check_committed(edition, request, &format!("tail k{tail}"));
             }
         }
     }
