--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -7,7 +7,7 @@
 const READ_TIMEOUT: Span = Span::seconds(3);
 /// The platform's listing counts as reachable if it was read within this time.
 const REACHABLE_LISTING_AGE_MS: u64 = 1500;
-const MAX_BODY_BYTES: usize = (1 << 20) + (64 << 10);
+const MAX_REQUEST_BODY: usize = (1 << 20) + (64 << 10);
 
 /// Serves the operators' built-in HTTP interface.
 pub struct OperatorInterface {
@@ -103,7 +103,7 @@
             Ok(base) => base,
             Err(response) => return *response,
         };
-        let body = match asked.read_body(MAX_BODY_BYTES).await {
+        let body = match asked.read_body(MAX_REQUEST_BODY).await {
             Ok(body) => body,
             Err(web::prelude::BodyFault::TooLarge) => {
                 return error_response(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "at most 1 MiB");
