--- a/crates/engine/src/memory.rs
+++ b/crates/engine/src/block_cache.rs
@@ -4,7 +4,7 @@
 
 const KEPT_EVENTS: usize = 4096;
 
-pub struct Memory {
+pub struct BlockCache {
     pub boot: String,
     most_blocks: usize,
     ticks: u64,
@@ -14,9 +14,9 @@
     first_number: u64,
 }
 
-impl Memory {
-    pub fn new(boot: String, most_blocks: usize) -> Memory {
-        Memory {
+impl BlockCache {
+    pub fn new(boot: String, most_blocks: usize) -> BlockCache {
+        BlockCache {
             boot,
             most_blocks,
             ticks: 0,
@@ -27,12 +27,12 @@
         }
     }
 
-    pub fn overlap(&self, names: &[BlockHash]) -> usize {
+    pub fn cached_prefix_len(&self, names: &[BlockHash]) -> usize {
         names.iter().take_while(|name| self.kept.contains_key(name)).count()
     }
 
     /// Keeps a prompt's blocks, the leading ones as the youngest, and drops the oldest.
-    pub fn keep(&mut self, names: &[BlockHash]) {
+    pub fn insert(&mut self, names: &[BlockHash]) {
         let mut stored = Vec::new();
         for name in names.iter().rev() {
             self.ticks += 1;
@@ -90,7 +90,7 @@
         CacheSnapshot { boot: self.boot.clone(), next: self.next_number(), block_hashes }
     }
 
-    pub fn kept_share(&self) -> f64 {
+    pub fn fill_ratio(&self) -> f64 {
         self.kept.len() as f64 / self.most_blocks as f64
     }
 }
--- a/crates/engine/src/kept_pages.rs
+++ b/crates/engine/src/cache_routes.rs
@@ -6,8 +6,8 @@
 const MOST_NAMES_BYTES: usize = 8 << 20;
 
 /// Answers a poll for events: at once if there are any, else when some come or the wait is over.
-pub async fn tell_events(
-    memory: &Mutex<Memory>,
+pub async fn poll_events(
+    memory: &Mutex<BlockCache>,
     news: &tokio::sync::watch::Sender<u64>,
     hides: impl Fn() -> bool,
     number: u64,
@@ -33,13 +33,13 @@
 }
 
 /// The block names in a request's body.
-pub async fn read_names(asked: &mut IncomingRequest) -> Option<Vec<BlockHash>> {
+pub async fn read_block_hashes(asked: &mut IncomingRequest) -> Option<Vec<BlockHash>> {
     let body = asked.read_body(MOST_NAMES_BYTES).await.ok()?;
     let named: BlockHashList = serde_json::from_slice(&body).ok()?;
     parse_hashes(&named.block_hashes)
 }
 
 /// The refusal of a body without block names.
-pub fn bad_names() -> WebResponse {
+pub fn bad_block_hashes_response() -> WebResponse {
     error_response(StatusCode::BAD_REQUEST, "bad_request", "no block names")
 }
--- a/crates/engine/src/completion.rs
+++ b/crates/engine/src/completion.rs
@@ -59,7 +59,7 @@
             Ok(weights) => weights,
             Err(refusal) => return *refusal,
         };
-        let cached_blocks = held(&self.memory).overlap(&names) as u64;
+        let cached_blocks = held(&self.memory).cached_prefix_len(&names) as u64;
         let adapter_text = text_of(adapter.as_ref());
         self.log_line(&EngineLogLine::Start(StartLine {
             at: now_millis(),
@@ -177,7 +177,7 @@
             Err(refusal) => return *refusal,
         };
         let _on_adapter = AdapterUse { site: self, adapter: adapter.clone() };
-        let known_count = held(&self.memory).overlap(&names);
+        let known_count = held(&self.memory).cached_prefix_len(&names);
         self.log_line(&EngineLogLine::Prefill(StartLine {
             at: now_millis(),
             engine: self.name.clone(),
--- a/crates/engine/src/fetching.rs
+++ b/crates/engine/src/fetching.rs
@@ -8,7 +8,7 @@
 impl EngineSite {
     /// Keeps a prompt's blocks, and puts those that were not kept before into the store.
     pub(crate) fn keep(&self, names: &[BlockHash], known_count: usize) {
-        held(&self.memory).keep(names);
+        held(&self.memory).insert(names);
         self.news.send_modify(|count| *count += 1);
         let Some(store) = self.store.clone().filter(|_| known_count < names.len()) else { return };
         let new_blocks = BlockHashList { block_hashes: format_hashes(names) };
@@ -56,9 +56,9 @@
 
     /// Tells another engine how many of the blocks it names are kept here.
     pub(crate) async fn tell_blocks(&self, mut asked: IncomingRequest) -> WebResponse {
-        let Some(names) = read_names(&mut asked).await else { return bad_names() };
+        let Some(names) = read_block_hashes(&mut asked).await else { return bad_block_hashes_response() };
         self.log_line(&EngineLogLine::Asked { at: now_millis(), engine: self.name.clone() });
-        let found = held(&self.memory).overlap(&names) as u64;
+        let found = held(&self.memory).cached_prefix_len(&names) as u64;
         json_response(StatusCode::OK, &json!(FoundBlocks { found }))
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -4,12 +4,12 @@
 pub mod prelude;
 
 mod adapters;
+mod block_cache;
+mod cache_routes;
 mod completion;
 mod cost;
 mod faults;
 mod fetching;
-mod kept_pages;
-mod memory;
 mod orders;
 mod running;
 mod site;
--- a/crates/engine/src/prelude.rs
+++ b/crates/engine/src/prelude.rs
@@ -1,11 +1,11 @@
 //! The one import of this package's files, and of the store's.
 
 pub use crate::adapters::*;
+pub use crate::block_cache::*;
+pub use crate::cache_routes::*;
 pub(crate) use crate::completion::*;
 pub use crate::cost::*;
 pub use crate::faults::*;
-pub use crate::kept_pages::*;
-pub use crate::memory::*;
 pub(crate) use crate::running::*;
 pub use crate::site::*;
 pub use blocks::prelude::*;
--- a/crates/engine/src/site.rs
+++ b/crates/engine/src/site.rs
@@ -24,7 +24,7 @@
     pub(crate) link_block: Duration,
     pub(crate) store: Option<String>,
     pub(crate) fetched: AtomicU64,
-    pub(crate) memory: Mutex<Memory>,
+    pub(crate) memory: Mutex<BlockCache>,
     pub(crate) news: tokio::sync::watch::Sender<u64>,
     pub(crate) weights: Mutex<Weights>,
     pub(crate) pace: Pace,
@@ -71,7 +71,7 @@
             link_block: Duration::from_micros(settings.whole("link_us")?),
             store: settings.get("store").map(str::to_owned),
             fetched: AtomicU64::new(0),
-            memory: Mutex::new(Memory::new(boot, settings.whole("blocks")? as usize)),
+            memory: Mutex::new(BlockCache::new(boot, settings.whole("blocks")? as usize)),
             news: tokio::sync::watch::channel(0).0,
             weights: Mutex::new(Weights { edition: settings.whole("weights")?, accepting: true, highest_term: 0 }),
             pace: Pace::new(settings.whole("prefill_us")?, settings.whole("decode_us")?),
@@ -157,7 +157,7 @@
 
     fn metrics(&self) -> WebResponse {
         let labels = format!("{{model_name=\"{}\"}}", self.model);
-        let kept_share = held(&self.memory).kept_share();
+        let kept_share = held(&self.memory).fill_ratio();
         let text = format!(
             "vllm:num_requests_running{labels} {}\nvllm:num_requests_waiting{labels} {}\n\
              vllm:kv_cache_usage_perc{labels} {kept_share:.4}\nharemount:blocks_in_work{labels} {}\n\
@@ -171,7 +171,7 @@
     }
 
     async fn events(&self, number: u64, wait_ms: u64) -> WebResponse {
-        tell_events(&self.memory, &self.news, || held(&self.faults).hide_events, number, wait_ms).await
+        poll_events(&self.memory, &self.news, || held(&self.faults).hide_events, number, wait_ms).await
     }
 
     /// Appends a request as it came to the file of received ones, if there is one.
--- a/crates/store/src/main.rs
+++ b/crates/store/src/main.rs
@@ -15,7 +15,7 @@
 };
 
 struct StoreSite {
-    memory: Mutex<Memory>,
+    memory: Mutex<BlockCache>,
     news: tokio::sync::watch::Sender<u64>,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl StoreSite {
-    fn memory(&self) -> std::sync::MutexGuard<'_, Memory> {
+    fn memory(&self) -> std::sync::MutexGuard<'_, BlockCache> {
         self.memory.lock().expect("no holder of this lock panics")
     }
 
@@ -37,7 +37,7 @@
                 let number = asked.query_value("from").and_then(|text| text.parse().ok()).unwrap_or(1);
                 let wait_ms = asked.query_value("wait_ms").and_then(|text| text.parse().ok()).unwrap_or(0);
                 drop(asked);
-                tell_events(&self.memory, &self.news, || false, number, wait_ms).await
+                poll_events(&self.memory, &self.news, || false, number, wait_ms).await
             }
             ("GET", ["v1", "kept", "snapshot"]) => {
                 let snapshot = self.memory().snapshot();
@@ -45,18 +45,18 @@
             }
             ("GET", ["live"]) => bytes_response(StatusCode::OK, "text/plain", "live\n"),
             ("GET", ["metrics"]) => {
-                let text = format!("haremount_store_kept_share {:.4}\n", self.memory().kept_share());
+                let text = format!("haremount_store_kept_share {:.4}\n", self.memory().fill_ratio());
                 bytes_response(StatusCode::OK, "text/plain; version=0.0.4", text)
             }
             ("POST", ["v1", "blocks"]) => {
-                let Some(names) = read_names(&mut asked).await else { return bad_names() };
-                self.memory().keep(&names);
+                let Some(names) = read_block_hashes(&mut asked).await else { return bad_block_hashes_response() };
+                self.memory().insert(&names);
                 self.news.send_modify(|count| *count += 1);
                 json_response(StatusCode::OK, &json!(FoundBlocks { found: names.len() as u64 }))
             }
             ("POST", ["v1", "kept", "blocks"]) => {
-                let Some(names) = read_names(&mut asked).await else { return bad_names() };
-                let found = self.memory().overlap(&names) as u64;
+                let Some(names) = read_block_hashes(&mut asked).await else { return bad_block_hashes_response() };
+                let found = self.memory().cached_prefix_len(&names) as u64;
                 json_response(StatusCode::OK, &json!(FoundBlocks { found }))
             }
             _ => not_found_response(),
@@ -66,7 +66,7 @@
 
 fn main() -> std::process::ExitCode {
     run_program(&TRADE, |settings| {
-        let memory = Memory::new(Incarnation::random().to_string(), settings.whole("blocks")? as usize);
+        let memory = BlockCache::new(Incarnation::random().to_string(), settings.whole("blocks")? as usize);
         let site = StoreSite { memory: Mutex::new(memory), news: tokio::sync::watch::channel(0).0 };
         serve_standin(&TRADE, &settings, Arc::new(site))
     })
