--- a/crates/engine/src/adapters.rs
+++ b/crates/engine/src/adapters.rs
@@ -1,90 +1,95 @@
-//! The places an engine has for adapters: what is held, what is being loaded, and what requests run on.
+//! The engine's adapter slots: which adapters are resident or being loaded, and how many requests use each.
 
 use crate::prelude::*;
 
-/// Why an order or a request that names an adapter is refused.
+/// Why an order or a request that names an adapter is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdapterRefusal {
-    /// Every place is taken.
-    NoPlace,
-    /// Requests still run on it.
+    /// All slots are in use.
+    NoFreeSlot,
+    /// Requests are still using it.
     InUse,
-    /// It is not held in that revision.
+    /// That revision of it is not loaded.
     NotResident,
 }
 
 impl AdapterRefusal {
+    /// The error type in the response.
     pub fn kind(&self) -> &'static str {
         match self {
-            AdapterRefusal::NoPlace => "no_adapter_place",
+            AdapterRefusal::NoFreeSlot => "no_adapter_place",
             AdapterRefusal::InUse => "adapter_in_use",
             AdapterRefusal::NotResident => ADAPTER_NOT_RESIDENT,
         }
     }
 }
 
+/// The adapters that an engine has loaded, in a fixed number of slots.
 #[derive(Clone, Debug, Default)]
-pub struct AdapterPlaces {
-    places: usize,
-    /// What is held, and how many requests run on each.
+pub struct AdapterSlots {
+    slots: usize,
+    /// The loaded adapters, with the number of requests that use each.
     resident: BTreeMap<AdapterId, u64>,
     loading: BTreeSet<AdapterId>,
 }
 
-impl AdapterPlaces {
-    pub fn new(places: usize) -> AdapterPlaces {
-        AdapterPlaces { places, ..AdapterPlaces::default() }
+impl AdapterSlots {
+    pub fn new(slots: usize) -> AdapterSlots {
+        AdapterSlots { slots, ..AdapterSlots::default() }
     }
 
-    pub fn count(&self) -> u64 {
-        self.places as u64
+    /// The number of slots, free or in use.
+    pub fn slot_count(&self) -> u64 {
+        self.slots as u64
     }
 
     pub fn resident(&self) -> Vec<String> {
         self.resident.keys().map(AdapterId::to_string).collect()
     }
 
-    /// Takes a place for a load; false if it is held or being loaded already.
+    /// Reserves a slot for a load. Returns false if the adapter is already loaded or being loaded.
     pub fn begin_load(&mut self, adapter: &AdapterId) -> Result<bool, AdapterRefusal> {
         if self.resident.contains_key(adapter) || self.loading.contains(adapter) {
             return Ok(false);
         }
-        if self.resident.len() + self.loading.len() >= self.places {
-            return Err(AdapterRefusal::NoPlace);
+        if self.resident.len() + self.loading.len() >= self.slots {
+            return Err(AdapterRefusal::NoFreeSlot);
         }
         self.loading.insert(adapter.clone());
         Ok(true)
     }
 
-    /// The load is over; void if the places were cleared meanwhile.
+    /// Completes a load; does nothing if the slots were cleared in the meantime.
     pub fn finish_load(&mut self, adapter: &AdapterId) {
         if self.loading.remove(adapter) {
             self.resident.insert(adapter.clone(), 0);
         }
     }
 
+    /// Unloads an adapter that no request is using.
     pub fn unload(&mut self, adapter: &AdapterId) -> Result<(), AdapterRefusal> {
-        if self.resident.get(adapter).is_some_and(|running| *running > 0) {
+        if self.resident.get(adapter).is_some_and(|use_count| *use_count > 0) {
             return Err(AdapterRefusal::InUse);
         }
         self.resident.remove(adapter);
         Ok(())
     }
 
-    /// A request begins on an adapter, if exactly that is held.
-    pub fn enter(&mut self, adapter: &AdapterId) -> Result<(), AdapterRefusal> {
-        let running = self.resident.get_mut(adapter).ok_or(AdapterRefusal::NotResident)?;
-        *running += 1;
+    /// Counts a request as using an adapter, if exactly that revision is loaded.
+    pub fn acquire(&mut self, adapter: &AdapterId) -> Result<(), AdapterRefusal> {
+        let use_count = self.resident.get_mut(adapter).ok_or(AdapterRefusal::NotResident)?;
+        *use_count += 1;
         Ok(())
     }
 
-    pub fn leave(&mut self, adapter: &AdapterId) {
-        if let Some(running) = self.resident.get_mut(adapter) {
-            *running = running.saturating_sub(1);
+    /// Ends a request's use of an adapter.
+    pub fn release(&mut self, adapter: &AdapterId) {
+        if let Some(use_count) = self.resident.get_mut(adapter) {
+            *use_count = use_count.saturating_sub(1);
         }
     }
 
-    /// New weights: adapters of the old ones are gone.
+    /// Drops all adapters, since they belong to the weights that are being replaced.
     pub fn clear(&mut self) {
         self.resident.clear();
         self.loading.clear();
@@ -96,26 +101,26 @@
     use crate::prelude::*;
 
     #[test]
-    fn places_are_bounded_and_only_what_is_held_runs() {
-        let mut places = AdapterPlaces::new(1);
-        let (held, other, newer) = (AdapterId::new("x", 1), AdapterId::new("y", 1), AdapterId::new("x", 2));
-        assert_eq!(places.enter(&held), Err(AdapterRefusal::NotResident));
-        assert_eq!(places.begin_load(&held), Ok(true));
-        assert_eq!(places.enter(&held), Err(AdapterRefusal::NotResident), "while it is being loaded");
-        assert_eq!(places.begin_load(&other), Err(AdapterRefusal::NoPlace));
-        places.finish_load(&held);
-        assert_eq!(places.begin_load(&held), Ok(false));
-        assert_eq!(places.enter(&held), Ok(()));
-        for foreign in [&other, &newer] {
-            assert_eq!(places.enter(foreign), Err(AdapterRefusal::NotResident));
+    fn slots_are_bounded_and_only_loaded_adapters_can_be_used() {
+        let mut slots = AdapterSlots::new(1);
+        let (loaded, other, newer) = (AdapterId::new("x", 1), AdapterId::new("y", 1), AdapterId::new("x", 2));
+        assert_eq!(slots.acquire(&loaded), Err(AdapterRefusal::NotResident));
+        assert_eq!(slots.begin_load(&loaded), Ok(true));
+        assert_eq!(slots.acquire(&loaded), Err(AdapterRefusal::NotResident), "while it is being loaded");
+        assert_eq!(slots.begin_load(&other), Err(AdapterRefusal::NoFreeSlot));
+        slots.finish_load(&loaded);
+        assert_eq!(slots.begin_load(&loaded), Ok(false));
+        assert_eq!(slots.acquire(&loaded), Ok(()));
+        for not_loaded in [&other, &newer] {
+            assert_eq!(slots.acquire(not_loaded), Err(AdapterRefusal::NotResident));
         }
-        assert_eq!(places.unload(&held), Err(AdapterRefusal::InUse));
-        places.leave(&held);
-        assert_eq!(places.unload(&held), Ok(()));
-        assert_eq!(places.enter(&held), Err(AdapterRefusal::NotResident));
-        places.begin_load(&held).unwrap();
-        places.clear();
-        places.finish_load(&held);
-        assert!(places.resident().is_empty(), "a load that new weights overtook comes to nothing");
+        assert_eq!(slots.unload(&loaded), Err(AdapterRefusal::InUse));
+        slots.release(&loaded);
+        assert_eq!(slots.unload(&loaded), Ok(()));
+        assert_eq!(slots.acquire(&loaded), Err(AdapterRefusal::NotResident));
+        slots.begin_load(&loaded).unwrap();
+        slots.clear();
+        slots.finish_load(&loaded);
+        assert!(slots.resident().is_empty(), "a load that was overtaken by new weights is discarded");
     }
 }
--- a/crates/engine/src/cost.rs
+++ b/crates/engine/src/cost.rs
@@ -1,56 +1,62 @@
-//! How long work takes: prefill goes through one lane, block by block; decode slows with the blocks
-//! in work.
+//! How long work takes: prefills run one after the other, at a fixed time per block; decoding slows down with the
+//! number of prompt blocks of all running requests.
 
 use crate::prelude::*;
 
-pub struct Pace {
+/// The number of active blocks at which decoding a token takes twice as long as on an idle engine.
+const BLOCKS_DOUBLING_DECODE_TIME: u64 = 1024;
+
+/// The emulated cost of prefill and decode.
+pub struct CostModel {
+    /// The time to prefill a block.
     pub prefill: Duration,
+    /// The time to decode a token on an idle engine.
     pub decode: Duration,
-    lane: tokio::sync::Mutex<()>,
-    in_work: AtomicU64,
+    prefill_lock: tokio::sync::Mutex<()>,
+    active_blocks: AtomicU64,
 }
 
-const BLOCKS_TO_DOUBLE: u64 = 1024;
-
-/// Blocks in work, released when dropped.
-pub struct InWork<'a> {
-    pace: &'a Pace,
+/// Counts the prompt blocks of a running request as active until dropped.
+pub struct ActiveBlocksGuard<'a> {
+    cost: &'a CostModel,
     blocks: u64,
 }
 
-impl Drop for InWork<'_> {
+impl Drop for ActiveBlocksGuard<'_> {
     fn drop(&mut self) {
-        self.pace.in_work.fetch_sub(self.blocks, Ordering::SeqCst);
+        self.cost.active_blocks.fetch_sub(self.blocks, Ordering::SeqCst);
     }
 }
 
-impl Pace {
-    pub fn new(prefill_us: u64, decode_us: u64) -> Pace {
-        Pace {
+impl CostModel {
+    pub fn new(prefill_us: u64, decode_us: u64) -> CostModel {
+        CostModel {
             prefill: Duration::from_micros(prefill_us),
             decode: Duration::from_micros(decode_us),
-            lane: tokio::sync::Mutex::new(()),
-            in_work: AtomicU64::new(0),
+            prefill_lock: tokio::sync::Mutex::new(()),
+            active_blocks: AtomicU64::new(0),
         }
     }
 
-    pub fn begin(&self, blocks: u64) -> InWork<'_> {
-        self.in_work.fetch_add(blocks, Ordering::SeqCst);
-        InWork { pace: self, blocks }
+    /// Counts a request's prompt blocks as active.
+    pub fn begin(&self, blocks: u64) -> ActiveBlocksGuard<'_> {
+        self.active_blocks.fetch_add(blocks, Ordering::SeqCst);
+        ActiveBlocksGuard { cost: self, blocks }
     }
 
-    pub fn blocks_in_work(&self) -> u64 {
-        self.in_work.load(Ordering::SeqCst)
+    pub fn active_blocks(&self) -> u64 {
+        self.active_blocks.load(Ordering::SeqCst)
     }
 
-    pub async fn prefill(&self, lacking_blocks: u64) {
-        let _lane = self.lane.lock().await;
-        tokio::time::sleep(self.prefill * lacking_blocks as u32).await;
+    /// Waits for the prefills before this one, then for as long as the uncached blocks take.
+    pub async fn prefill(&self, uncached_blocks: u64) {
+        let _turn = self.prefill_lock.lock().await;
+        tokio::time::sleep(self.prefill * uncached_blocks as u32).await;
     }
 
-    /// Takes as long as a token that costs so much on its own.
-    pub async fn decode_token(&self, alone: Duration) {
-        let slowing = 1.0 + self.blocks_in_work() as f64 / BLOCKS_TO_DOUBLE as f64;
-        tokio::time::sleep(alone.mul_f64(slowing)).await;
+    /// Sleeps for the time of one token, which would take `idle_time` on an idle engine.
+    pub async fn decode_token(&self, idle_time: Duration) {
+        let slowdown = 1.0 + self.active_blocks() as f64 / BLOCKS_DOUBLING_DECODE_TIME as f64;
+        tokio::time::sleep(idle_time.mul_f64(slowdown)).await;
     }
 }
--- a/crates/engine/src/prelude.rs
+++ b/crates/engine/src/prelude.rs
@@ -1,13 +1,13 @@
-//! The one import of this package's files, and of the store's.
+//! The prelude that each file of this package, and of the stand-in store, imports.
 
 pub use crate::adapters::*;
+pub(crate) use crate::attempts::*;
 pub use crate::block_cache::*;
 pub use crate::cache_routes::*;
 pub(crate) use crate::completion::*;
 pub use crate::cost::*;
 pub use crate::faults::*;
-pub(crate) use crate::running::*;
-pub use crate::site::*;
+pub use crate::server::*;
 pub use blocks::prelude::*;
 pub use contract::prelude::*;
 pub use process::prelude::*;
