--- a/crates/platform/src/prelude.rs
+++ b/crates/platform/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files.
+//! The prelude that each file of this package imports.
 
 pub(crate) use contract::prelude::*;
 pub(crate) use process::prelude::*;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins share: logs, a listener, the ready line, and a site served until the process is
-//! told to stop.
+//! The common part of the stand-in programs: starts the logs and a listener, prints the ready line, and serves requests
+//! until the process is told to stop.
 
 #![warn(missing_docs)]
 
--- a/crates/standin/src/prelude.rs
+++ b/crates/standin/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of the stand-ins for it.
+//! The prelude that each file of this package, and of the stand-in programs that use it, imports.
 
 pub use crate::serving::*;
 pub(crate) use process::prelude::*;
