--- a/crates/caller/src/prelude.rs
+++ b/crates/caller/src/prelude.rs
@@ -1,7 +1,7 @@
-//! The one import of this package's files.
+//! Common imports of this package's files.
 
-pub(crate) use crate::day::*;
-pub(crate) use crate::office::*;
+pub(crate) use crate::load_run::*;
+pub(crate) use crate::workload::*;
 pub(crate) use contract::prelude::*;
 pub(crate) use process::prelude::*;
 pub(crate) use serde_json::{Value, json};
