--- a/crates/engine/src/completion.rs
+++ b/crates/engine/src/completion.rs
@@ -1,5 +1,5 @@
-//! Completions and prefills: a request is admitted, its blocks are fetched or prefilled, and its tokens are decoded in
-//! the time that the cost model gives.
+//! Completions and prefills: a request is admitted, its blocks are fetched or prefilled, and its tokens are decoded
+//! in the time that the cost model gives.
 
 use crate::prelude::*;
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,5 +1,5 @@
-//! The stand-in engine: its block cache, its cost model and its HTTP interface. The stand-in store uses the same block
-//! cache.
+//! The stand-in engine: its block cache, its cost model and its HTTP interface. The stand-in store uses the same
+//! block cache.
 
 pub mod prelude;
 
--- a/crates/engine/src/main.rs
+++ b/crates/engine/src/main.rs
@@ -1,6 +1,6 @@
 //! Stand-in for a model engine. It caches blocks in a bounded LRU cache, reports changes as numbered events, emulates
-//! the cost of prefill and decode by number of blocks, and executes the conductor's orders. It logs the start of every
-//! attempt with its salt and weights, so that a test run can be checked from the engine's side.
+//! the cost of prefill and decode by number of blocks, and executes the conductor's orders. It logs the start of
+//! every attempt with its salt and weights, so that a test run can be checked from the engine's side.
 
 use engine::prelude::*;
 
--- a/crates/engine/src/orders.rs
+++ b/crates/engine/src/orders.rs
@@ -1,5 +1,5 @@
-//! The conductor's orders. Each carries a term; as fencing, an order is rejected if its term is lower than the highest
-//! seen.
+//! The conductor's orders. Each carries a term; as fencing, an order is rejected if its term is lower than the
+//! highest seen.
 
 use crate::prelude::*;
 
--- a/crates/engine/src/prelude.rs
+++ b/crates/engine/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The prelude that each file of this package, and of the stand-in store, imports.
+//! Common imports of this package's files, and of the stand-in store.
 
 pub use crate::adapters::*;
 pub(crate) use crate::attempts::*;
--- a/crates/platform/src/prelude.rs
+++ b/crates/platform/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The prelude that each file of this package imports.
+//! Common imports of this package's files.
 
 pub(crate) use contract::prelude::*;
 pub(crate) use process::prelude::*;
--- a/crates/standin/src/prelude.rs
+++ b/crates/standin/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The prelude that each file of this package, and of the stand-in programs that use it, imports.
+//! Common imports of this package's files, and of the stand-in programs that use it.
 
 pub use crate::serving::*;
 pub(crate) use process::prelude::*;
--- a/crates/store/src/main.rs
+++ b/crates/store/src/main.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the prompt store: caches blocks by hash for all engines, reports changes as the same numbered events as
-//! an engine, and is empty at each start.
+//! Stand-in for the prompt store: caches blocks by hash for all engines, reports changes as the same numbered events
+//! as an engine, and is empty at each start.
 
 use engine::prelude::*;
 use standin::prelude::*;
