--- a/crates/engine/src/prelude.rs
+++ b/crates/engine/src/prelude.rs
@@ -1,13 +1,13 @@
-//! The one import of this package's files, and of the store's.
+//! Common imports of this package's files, and of the stand-in store.
 
 pub use crate::adapters::*;
+pub(crate) use crate::attempts::*;
+pub use crate::block_cache::*;
+pub use crate::cache_routes::*;
 pub(crate) use crate::completion::*;
 pub use crate::cost::*;
 pub use crate::faults::*;
-pub use crate::kept_pages::*;
-pub use crate::memory::*;
-pub(crate) use crate::running::*;
-pub use crate::site::*;
+pub use crate::server::*;
 pub use blocks::prelude::*;
 pub use contract::prelude::*;
 pub use process::prelude::*;
--- a/crates/platform/src/prelude.rs
+++ b/crates/platform/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files.
+//! Common imports of this package's files.
 
 pub(crate) use contract::prelude::*;
 pub(crate) use process::prelude::*;
--- a/crates/standin/src/prelude.rs
+++ b/crates/standin/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of the stand-ins for it.
+//! Common imports of this package's files, and of the stand-in programs that use it.
 
 pub use crate::serving::*;
 pub(crate) use process::prelude::*;
