--- a/crates/simulator/src/adapted.rs
+++ b/crates/simulator/src/adapted.rs
@@ -116,7 +116,7 @@
             if known.is_none_or(|(edition, known)| *edition < state.edition && *known != adapter) {
                 scenario.seen.insert(tenant.into(), (state.edition, adapter.clone()));
                 let adapter = adapter.to_string();
-                self.record.world.push(WorldLine::AdapterInForce { at, tenant: tenant.into(), adapter });
+                self.record.events.push(EventLine::AdapterInForce { at, tenant: tenant.into(), adapter });
             }
         }
     }
@@ -341,7 +341,7 @@
         let span = Span::millis(self.draw.between(4_000, 9_000));
         let at = self.millis();
         self.note(format!("loss {loss:?}"));
-        self.record.world.push(WorldLine::Fault { at, what: format!("{loss:?}") });
+        self.record.events.push(EventLine::Fault { at, what: format!("{loss:?}") });
         match loss {
             Loss::Engine { with_machine } => {
                 let holds = |engine: &SimEngine| {
@@ -353,14 +353,14 @@
                 }
                 let engine = holders[self.draw.below(holders.len() as u64) as usize];
                 let what = self.engines[engine].name.0.clone();
-                self.record.world.push(WorldLine::Lost { at, what });
+                self.record.events.push(EventLine::Lost { at, what });
                 self.crash_engine(engine, with_machine);
                 self.later(span, SimEvent::Returns(Returning::Engine(engine)));
             }
             Loss::Listing(adapter) => self.list_holders_leaving(ADAPTED[adapter].1),
             Loss::Drain(adapter) => self.drain_holders(ADAPTED[adapter].1),
             Loss::Node(node) => {
-                self.record.world.push(WorldLine::Lost { at, what: format!("n{node}") });
+                self.record.events.push(EventLine::Lost { at, what: format!("n{node}") });
                 self.kill_node(node);
                 self.later(span, SimEvent::Returns(Returning::Node(node)));
             }
--- a/crates/simulator/src/engine_work.rs
+++ b/crates/simulator/src/engine_work.rs
@@ -114,7 +114,7 @@
         let at = self.millis();
         for (_, made) in used {
             if made.weights != weights || made.tenant != ask.tenant {
-                self.record.world.push(WorldLine::MemoryUsed {
+                self.record.events.push(EventLine::MemoryUsed {
                     at,
                     attempt: ask.to.attempt.clone(),
                     weights: weights.0,
@@ -124,7 +124,7 @@
                 });
             }
             if made.adapter != ask.adapter {
-                self.record.world.push(WorldLine::AdapterMemoryUsed {
+                self.record.events.push(EventLine::AdapterMemoryUsed {
                     at,
                     attempt: ask.to.attempt.clone(),
                     adapter: written(ask.adapter.as_ref()),
--- a/crates/simulator/src/founding.rs
+++ b/crates/simulator/src/founding.rs
@@ -40,7 +40,7 @@
             tenants.join(",")
         );
         let at = self.millis();
-        self.record.world.push(WorldLine::Walled { at, tenant: "t5".into() });
+        self.record.events.push(EventLine::Walled { at, tenant: "t5".into() });
         let command = Command::Replace { base: None, text: document };
         state.apply(&Submission { request: RequestId(1), command });
         self.found_adapters(&mut state);
--- a/crates/simulator/src/leaving.rs
+++ b/crates/simulator/src/leaving.rs
@@ -23,7 +23,7 @@
             let (at, engine) = (self.millis(), self.engines[number].name.0.clone());
             self.note(format!("platform: listing {} {engine} leaving", self.listing_number));
             self.engines[number].listed = Some(Listed::Leaving);
-            self.record.world.push(WorldLine::ListedAway { at, engine });
+            self.record.events.push(EventLine::ListedAway { at, engine });
             self.later(AWAY_SPAN, SimEvent::Returns(Returning::Listing(number)));
         }
     }
@@ -43,7 +43,7 @@
         let (at, engine) = (self.millis(), self.engines[number].name.0.clone());
         self.note(format!("platform: listing {} {engine} open", self.listing_number));
         self.engines[number].listed = Some(Listed::Open);
-        self.record.world.push(WorldLine::ListedOpen { at, engine });
+        self.record.events.push(EventLine::ListedOpen { at, engine });
     }
 
     /// An operator ends the drain of an engine.
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -17,16 +17,16 @@
         self.see_committed(edition, asked.request, "an answer");
         self.note(format!("acked {edition} request {}", asked.request));
         let Some(meaning) = asked.means else { return };
-        self.record.world.push(WorldLine::Acked { at, edition: edition.0 });
+        self.record.events.push(EventLine::Acked { at, edition: edition.0 });
         self.hold_to_ack(edition);
         match meaning {
-            Meaning::KeyWithdrawn(key) => self.record.world.push(WorldLine::KeyWithdrawn { at, key }),
+            Meaning::KeyWithdrawn(key) => self.record.events.push(EventLine::KeyWithdrawn { at, key }),
             Meaning::KeyAdded { key, tenant, number } => self.live_keys.push((key, tenant, number)),
-            Meaning::Weights(weights) => self.record.world.push(WorldLine::WeightsAcked { at, weights }),
+            Meaning::Weights(weights) => self.record.events.push(EventLine::WeightsAcked { at, weights }),
             Meaning::Walled(tenant) => {
                 let (open_count, last_edition) = self.unwallings.get(&tenant).copied().unwrap_or_default();
                 if open_count == 0 && last_edition < edition {
-                    self.record.world.push(WorldLine::Walled { at, tenant });
+                    self.record.events.push(EventLine::Walled { at, tenant });
                 }
             }
             Meaning::Unwalled(tenant) => {
@@ -109,7 +109,7 @@
     pub fn wall(&mut self, keeper: usize, tenant: String, walled: bool) {
         let at = self.millis();
         if !walled {
-            self.record.world.push(WorldLine::Unwalled { at, tenant: tenant.clone() });
+            self.record.events.push(EventLine::Unwalled { at, tenant: tenant.clone() });
             self.unwallings.entry(tenant.clone()).or_default().0 += 1;
         }
         let patch = format!(r#"{{"tenants":{{"{tenant}":{{"walled":{walled}}}}}}}"#);
@@ -174,7 +174,7 @@
         let (at, engine) = (self.millis(), self.engines[number].name.0.clone());
         self.note(format!("platform: listing {} {engine} open", self.listing_number));
         self.engines[number].listed = Some(Listed::Open);
-        self.record.world.push(WorldLine::ListedOpen { at, engine });
+        self.record.events.push(EventLine::ListedOpen { at, engine });
     }
 
     /// Lists an engine as leaving or gone, unless many are already or it is.
@@ -187,6 +187,6 @@
         let (at, engine) = (self.millis(), self.engines[number].name.0.clone());
         self.note(format!("platform: listing {} {engine} away", self.listing_number));
         self.engines[number].listed = if self.draw.chance(50) { Some(Listed::Leaving) } else { None };
-        self.record.world.push(WorldLine::ListedAway { at, engine });
+        self.record.events.push(EventLine::ListedAway { at, engine });
     }
 }
--- a/crates/simulator/src/placing.rs
+++ b/crates/simulator/src/placing.rs
@@ -101,7 +101,7 @@
         if self.scenario.is_some() {
             let (at, attempt) = (self.millis(), attempt.name.clone());
             let adapter = written(bound.as_ref());
-            self.record.world.push(WorldLine::Written { at, attempt, adapter });
+            self.record.events.push(EventLine::Written { at, attempt, adapter });
         }
         let arrives_at = self.now + self.net.delay(&mut self.draw);
         attempt.arrives_at = Some(arrives_at);
--- a/crates/simulator/src/prelude.rs
+++ b/crates/simulator/src/prelude.rs
@@ -35,6 +35,6 @@
 };
 pub(crate) use units::prelude::*;
 pub(crate) use verdict::prelude::{
-    CallerLine, NEVER, Record, RegisterAnswer, RegisterCall, RegisterOperation, Violation, WorldLine, check_register,
-    judge, judge_questions,
+    CallerLine, EventLine, NEVER, Record, RegisterAnswer, RegisterCall, RegisterOperation, Violation,
+    check_questions, check_record, check_register,
 };
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -170,7 +170,7 @@
         }
     }
     let at = world.millis();
-    world.record.world.push(WorldLine::RunEnds { at });
+    world.record.events.push(EventLine::RunEnds { at });
     finish(world, recovery)
 }
 
@@ -206,7 +206,7 @@
     }
     world.note(format!("lasting cut: k{keeper} {lasting:?} from k{other}"));
     let at = world.millis();
-    world.record.world.push(WorldLine::LastFaultOver { at });
+    world.record.events.push(EventLine::LastFaultOver { at });
 }
 
 fn all_serve(world: &World) -> bool {
@@ -232,8 +232,10 @@
         let subscription = format!("n{number} at the end: {:?}", world.nodes[number].subscription);
         world.note(subscription);
     }
-    let mut violations: Vec<String> =
-        judge(&world.record).into_iter().map(|Violation { rule, what }| format!("rule {rule}: {what}")).collect();
+    let mut violations: Vec<String> = check_record(&world.record)
+        .into_iter()
+        .map(|Violation { rule, what }| format!("rule {rule}: {what}"))
+        .collect();
     violations.extend(world.extra.iter().cloned());
     violations.extend(lost_acks(&world));
     let mut outcomes = BTreeMap::new();
@@ -241,7 +243,7 @@
         let named = if caller.status == 401 { "unknown_key" } else { caller.outcome.as_str() };
         *outcomes.entry(named.to_owned()).or_insert(0) += 1;
     }
-    let faults = world.record.world.iter().filter(|line| matches!(line, WorldLine::Fault { .. })).count();
+    let faults = world.record.events.iter().filter(|line| matches!(line, EventLine::Fault { .. })).count();
     RunOutcome {
         violations,
         starts: world.record.starts().count(),
@@ -259,8 +261,8 @@
 impl World {
     fn sum_attempts(&mut self) {
         let mut last_counts: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-        for line in &self.record.world {
-            if let WorldLine::Sample { router, attempts, retries, .. } = line {
+        for line in &self.record.events {
+            if let EventLine::Sample { router, attempts, retries, .. } = line {
                 last_counts.insert(router, (*attempts, *retries));
             }
         }
--- a/crates/simulator/src/sampling.rs
+++ b/crates/simulator/src/sampling.rs
@@ -9,7 +9,7 @@
             let Some(router) = node.router.as_ref().filter(|_| node.frozen_until <= self.now) else { continue };
             let leased = node.clock.read(self.now) < router.lease_until;
             let edition = router.sight.state.edition.0;
-            self.record.world.push(WorldLine::Sample {
+            self.record.events.push(EventLine::Sample {
                 at,
                 router: router.id.to_string(),
                 edition,
--- a/crates/simulator/src/shift.rs
+++ b/crates/simulator/src/shift.rs
@@ -30,11 +30,11 @@
     let over_at = shift_at + Span::seconds(22);
     world.run_until(over_at);
     let at = world.millis();
-    world.record.world.push(WorldLine::LastFaultOver { at });
+    world.record.events.push(EventLine::LastFaultOver { at });
     let ends_at = over_at + CALM_SPAN;
     world.run_until(ends_at);
     let at = world.millis();
-    world.record.world.push(WorldLine::RunEnds { at });
+    world.record.events.push(EventLine::RunEnds { at });
     finish_shift(world)
 }
 
@@ -67,7 +67,7 @@
         .collect();
     let judged = world.record.callers.iter_mut().filter(|line| open.contains(&line.question));
     judged.for_each(|line| line.question.clear());
-    let unanswered = judge_questions(&world.record, QUESTION_SPAN.as_millis() + 500);
+    let unanswered = check_questions(&world.record, QUESTION_SPAN.as_millis() + 500);
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
     for line in world.record.callers.iter().filter(|line| !line.question.is_empty()) {
         *ends.entry(line.outcome.clone()).or_default() += 1;
--- a/crates/simulator/src/trouble.rs
+++ b/crates/simulator/src/trouble.rs
@@ -7,7 +7,7 @@
         self.note(format!("fault {fault:?}"));
         let what = format!("{fault:?}");
         let at = self.millis();
-        self.record.world.push(WorldLine::Fault { at, what });
+        self.record.events.push(EventLine::Fault { at, what });
         self.fault_kinds.push(fault.kind());
         // Most faults are undone after a while, so that later ones meet a fleet at work.
         let span = Span::millis(self.draw.between(500, 6_000));
@@ -247,7 +247,7 @@
             self.start_node(number);
         }
         let at = self.millis();
-        self.record.world.push(WorldLine::LastFaultOver { at });
+        self.record.events.push(EventLine::LastFaultOver { at });
         self.note("faults over".into());
     }
 }
--- a/crates/testbed/src/documents.rs
+++ b/crates/testbed/src/documents.rs
@@ -40,7 +40,7 @@
             return Err(format!("the change was answered {status}: {answer}"));
         }
         let edition = answer["edition"].as_u64().ok_or("no edition in the answer")?;
-        self.note(WorldLine::Acked { at: boot_millis(), edition });
+        self.note(EventLine::Acked { at: boot_millis(), edition });
         Ok(edition)
     }
 
@@ -53,7 +53,7 @@
             .map(|(number, (tenant, key))| {
                 let walled = number == 1 || number == 5;
                 if walled {
-                    self.note(WorldLine::Walled { at: boot_millis(), tenant: tenant.clone() });
+                    self.note(EventLine::Walled { at: boot_millis(), tenant: tenant.clone() });
                 }
                 (tenant.clone(), json!({"walled": walled, "share": 200, "keys": {"main": sha256_hex(key)}}))
             })
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -124,13 +124,13 @@
                 break;
             }
             self.moments.remove(0);
-            fleet.note(WorldLine::Fault { at: boot_millis(), what: format!("{fault:?}") });
+            fleet.note(EventLine::Fault { at: boot_millis(), what: format!("{fault:?}") });
             self.act(fleet, fault)?;
         }
         if let Some(plan) = self.awaited_weights {
             let page = fleet.operate(Method::GET, &format!("/v1/plans/{plan}"), None, None);
             if page.is_ok_and(|(_, page)| page["steps"][0]["done"] == true) {
-                fleet.note(WorldLine::WeightsAcked { at: boot_millis(), weights: 2 });
+                fleet.note(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
                 self.awaited_weights = None;
             }
         }
@@ -192,7 +192,7 @@
                 let answer = fleet.operate(Method::DELETE, &path, None, None);
                 if answer.is_ok_and(|(status, _)| status == 200) && !self.withdrawn {
                     self.withdrawn = true;
-                    fleet.note(WorldLine::KeyWithdrawn { at: boot_millis(), key });
+                    fleet.note(EventLine::KeyWithdrawn { at: boot_millis(), key });
                 }
             }
             Fault::Trial => {
@@ -206,7 +206,7 @@
             Fault::PutBack => self.put_back(fleet)?,
             Fault::Over => {
                 self.put_back(fleet)?;
-                fleet.note(WorldLine::LastFaultOver { at: boot_millis() });
+                fleet.note(EventLine::LastFaultOver { at: boot_millis() });
             }
         }
         Ok(())
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -69,7 +69,7 @@
     /// Tenant and key, eight of them.
     pub tenants: Vec<(String, String)>,
     /// What operators, the platform and the test did so far.
-    pub world: Mutex<Vec<WorldLine>>,
+    pub events: Mutex<Vec<EventLine>>,
     pub(crate) runtime: tokio::runtime::Runtime,
     keeps_folder: bool,
 }
@@ -107,7 +107,7 @@
             engines: Vec::new(),
             operator_key,
             tenants: tenants.collect(),
-            world: Mutex::new(Vec::new()),
+            events: Mutex::new(Vec::new()),
             runtime,
             keeps_folder,
         };
@@ -128,9 +128,9 @@
     }
 
     /// Adds a line to the record.
-    pub fn note(&self, line: WorldLine) {
-        if let Ok(mut world) = self.world.lock() {
-            world.push(line);
+    pub fn note(&self, line: EventLine) {
+        if let Ok(mut events) = self.events.lock() {
+            events.push(line);
         }
     }
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -88,7 +88,7 @@
         }
         std::thread::park_timeout(Duration::from_millis(100));
     }
-    fleet.note(WorldLine::RunEnds { at: boot_millis() });
+    fleet.note(EventLine::RunEnds { at: boot_millis() });
     calling.join().map_err(|_| "the caller's thread died")??;
     let report = DayReport::of(&fleet.record(&[calls]));
     println!("{}", report.text());
--- a/crates/testbed/src/prelude.rs
+++ b/crates/testbed/src/prelude.rs
@@ -19,6 +19,6 @@
 pub(crate) use std::sync::{Arc, Mutex, Weak};
 pub use std::time::Duration;
 pub(crate) use units::prelude::*;
-pub use verdict::prelude::{CallerLine, Record, Violation, WorldLine, judge};
+pub use verdict::prelude::{CallerLine, EventLine, Record, Violation, check_record};
 pub use web::prelude::{Method, StatusCode};
 pub(crate) use web::prelude::{OutgoingRequest, fetch_json, fetch_response, small_runtime};
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -18,7 +18,7 @@
     pub fn record(&self, caller_files: &[PathBuf]) -> Record {
         let mut record = Record {
             engines: self.engine_lines(),
-            world: self.world.lock().map(|world| world.clone()).unwrap_or_default(),
+            events: self.events.lock().map(|events| events.clone()).unwrap_or_default(),
             ..Record::default()
         };
         for path in caller_files {
--- a/crates/testbed/src/starting.rs
+++ b/crates/testbed/src/starting.rs
@@ -146,9 +146,9 @@
         self.runtime.block_on(fetch_json(&self.platform.address(), question, ASK_LIMIT))?;
         let (at, engine) = (boot_millis(), engine.name.clone());
         self.note(if state == "open" {
-            WorldLine::ListedOpen { at, engine }
+            EventLine::ListedOpen { at, engine }
         } else {
-            WorldLine::ListedAway { at, engine }
+            EventLine::ListedAway { at, engine }
         });
         Ok(())
     }
--- a/crates/testbed/src/watching.rs
+++ b/crates/testbed/src/watching.rs
@@ -71,7 +71,7 @@
             let retries = self.gauge(&node.router_address, "haremount_router_retries_total");
             if let (Some(edition), Some(left), Some(attempts), Some(retries)) = (edition, left, attempts, retries) {
                 let router = router.ready.get("id").cloned().unwrap_or_default();
-                self.note(WorldLine::Sample { at, router, edition, leased: left > 0, attempts, retries });
+                self.note(EventLine::Sample { at, router, edition, leased: left > 0, attempts, retries });
             }
         }
     }
--- a/crates/testbed/tests/adapters.rs
+++ b/crates/testbed/tests/adapters.rs
@@ -231,7 +231,7 @@
         .unwrap();
     let at = boot_millis();
     for (tenant, adapter) in [(engraver, "engraver@3"), (clinic, "clinic@1")] {
-        fleet.note(WorldLine::AdapterInForce { at, tenant, adapter: adapter.into() });
+        fleet.note(EventLine::AdapterInForce { at, tenant, adapter: adapter.into() });
     }
 }
 
@@ -293,7 +293,7 @@
         lines.iter().any(|line| line.tenant == engraver && line.at >= moved_at && line.outcome == "whole")
     };
     assert!(wait_until(Duration::from_secs(20), || has_come(&callers.lines.lock().unwrap())));
-    fleet.note(WorldLine::Lost { at: boot_millis(), what: "n2".into() });
+    fleet.note(EventLine::Lost { at: boot_millis(), what: "n2".into() });
     fleet.nodes[2].router = None;
     fleet.nodes[2].agent = None;
     await_warm(&fleet, "engraver", "south", "", 1);
@@ -306,7 +306,7 @@
     let lost = warm_in(&fleet, "engraver", "south")[0].clone();
     let number = fleet.engines.iter().position(|engine| engine.name == lost).unwrap();
     let lost_at = boot_millis();
-    fleet.note(WorldLine::Lost { at: lost_at, what: lost.clone() });
+    fleet.note(EventLine::Lost { at: lost_at, what: lost.clone() });
     fleet.engines[number].process = None;
     await_warm(&fleet, "engraver", "south", &lost, 2);
     let made_good_after = boot_millis() - lost_at;
@@ -340,8 +340,8 @@
     }) {
         println!("adapters: {name} {counted}");
     }
-    assert_eq!(judge(&record), []);
-    assert_eq!(verdict::prelude::judge_questions(&record, QUESTION_MS + 500), [""; 0]);
+    assert_eq!(check_record(&record), []);
+    assert_eq!(verdict::prelude::check_questions(&record, QUESTION_MS + 500), [""; 0]);
     assert!(record.callers.iter().filter(|line| line.outcome == "whole").count() > 500);
 }
 
--- a/crates/testbed/tests/data.rs
+++ b/crates/testbed/tests/data.rs
@@ -80,7 +80,7 @@
         fleet.complete(0, 0, "one is back").is_ok_and(|answer| answer.0 == 200)
     });
     assert!(served);
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 #[test]
@@ -90,7 +90,7 @@
     fleet.list_engine(0, "leaving").unwrap();
     fleet.list_engine(1, "gone").unwrap();
     fleet.patch_document(&json!({"models": {"model": {"weights": 2}}})).unwrap();
-    fleet.note(WorldLine::WeightsAcked { at: boot_millis(), weights: 2 });
+    fleet.note(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
     let moved = wait_until(Duration::from_secs(30), || {
         fleet.sample();
         fleet.fleet_page().is_ok_and(|page| {
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -29,9 +29,9 @@
     fleet.start_keeper(0, false).unwrap();
     fleet.start_keeper(2, false).unwrap();
     fleet.start_router(0).unwrap();
-    fleet.note(WorldLine::LastFaultOver { at: boot_millis() });
+    fleet.note(EventLine::LastFaultOver { at: boot_millis() });
     sample_until(&fleet, 33_000);
-    fleet.note(WorldLine::RunEnds { at: boot_millis() });
+    fleet.note(EventLine::RunEnds { at: boot_millis() });
     calling.join().unwrap().unwrap();
     let report = DayReport::of(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
@@ -182,7 +182,7 @@
     }
     fleet.wait_served(edition).unwrap();
     assert_eq!(fleet.desired_edition().unwrap(), edition);
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 #[test]
--- a/crates/testbed/tests/later.rs
+++ b/crates/testbed/tests/later.rs
@@ -84,7 +84,7 @@
 
     let weights = intend(&fleet, &["move-weights", "model", "2"]);
     assert_eq!(console(&fleet, &["plan", "confirm", &weights.to_string()]).0, Some(0));
-    fleet.note(WorldLine::WeightsAcked { at: boot_millis(), weights: 2 });
+    fleet.note(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
     let holder = fleet.fleet_page().unwrap()["duties"]["conductor"]["holder"].as_str().unwrap().to_owned();
     let lost = fleet.keepers.iter().position(|keeper| keeper.id == holder).unwrap();
     fleet.keepers[lost].process = None;
@@ -94,7 +94,7 @@
     let drained = intend(&fleet, &["drain", "engine1"]);
     assert_eq!(console(&fleet, &["plan", "confirm", &drained.to_string()]).0, Some(0));
     wait_plan(&fleet, drained, "done");
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 /// Begins a resumable stream and reads so many whole events of it.
@@ -163,7 +163,7 @@
     assert!(resume(&fleet, 1, 0, &unheld, None).starts_with("HTTP/1.1 410"));
     assert!(resume(&fleet, 0, 0, "0123456789abcdef.1", None).starts_with("HTTP/1.1 410"));
     let starts = fleet.record(&[]);
-    assert_eq!(judge(&starts), []);
+    assert_eq!(check_record(&starts), []);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     for number in 8..14 {
         assert_eq!(fleet.complete(0, 0, &prompt(number)).unwrap().0, 200, "with an empty store");
     }
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 #[test]
--- a/crates/testbed/tests/path.rs
+++ b/crates/testbed/tests/path.rs
@@ -42,7 +42,7 @@
     }
     let unknown_key = fleet.ask(&fleet.keepers[1].door, Method::GET, "/v1/desired-state", None).unwrap();
     assert_eq!(unknown_key.0, 401);
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 #[test]
--- a/crates/testbed/tests/places.rs
+++ b/crates/testbed/tests/places.rs
@@ -30,14 +30,14 @@
     fleet.start_engine(0, 1).unwrap();
     fleet.start_agent(0).unwrap();
     fleet.start_router(0).unwrap();
-    fleet.note(WorldLine::LastFaultOver { at: boot_millis() });
+    fleet.note(EventLine::LastFaultOver { at: boot_millis() });
     fleet.wait_core(4).unwrap();
     fleet.wait_served(edition.unwrap()).unwrap();
     wait_until(Duration::from_secs(60), || {
         fleet.sample();
         boot_millis() >= began + 33_000
     });
-    fleet.note(WorldLine::RunEnds { at: boot_millis() });
+    fleet.note(EventLine::RunEnds { at: boot_millis() });
     calling.join().unwrap().unwrap();
     let report = DayReport::of(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
@@ -76,7 +76,7 @@
     assert!(served_within(&fleet, 0, Duration::from_secs(20)), "the router serves again");
     let received = reading.join().unwrap();
     assert!(received.contains("[DONE]"), "the stream went on: {received}");
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "moved"]})).unwrap();
     fleet.wait_served(edition).unwrap();
     assert!(served_within(&fleet, 0, Duration::from_secs(20)));
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 #[test]
@@ -112,5 +112,5 @@
     let record = fleet.record(&[]);
     let first_weights = record.starts().next().map(|start| start.weights);
     assert_eq!(first_weights, Some(1), "served before the first wave was through");
-    assert_eq!(judge(&record), []);
+    assert_eq!(check_record(&record), []);
 }
--- a/crates/testbed/tests/strangers.rs
+++ b/crates/testbed/tests/strangers.rs
@@ -53,7 +53,7 @@
     .header("x-haremount-weights", "9");
     let (status, answer) = fleet.ask_question(&fleet.engines[0].address, other_weights).unwrap();
     assert_eq!((status, answer["error"]["type"].as_str()), (409, Some("other_weights")), "{answer}");
-    assert_eq!(judge(&record), []);
+    assert_eq!(check_record(&record), []);
 }
 
 #[test]
@@ -76,7 +76,7 @@
         fleet.gauge(&fleet.router_address(0), "haremount_router_fetch_blocks_total").unwrap_or(0) > 0
     });
     assert!(planned, "a fetch was planned");
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 /// Every Rust file of the workspace, with its text.
--- a/crates/testbed/tests/withdrawn.rs
+++ b/crates/testbed/tests/withdrawn.rs
@@ -125,7 +125,7 @@
     });
     assert!(is_known && status == 200, "{told}");
     let at = boot_millis();
-    fleet.note(WorldLine::KeyWithdrawn { at, key });
+    fleet.note(EventLine::KeyWithdrawn { at, key });
     at
 }
 
@@ -161,7 +161,7 @@
     assert!(all_ended, "the engines' work ends with the streams");
     let mut record = fleet.record(&[]);
     record.callers = vec![first, held, other];
-    assert_eq!(judge(&record), []);
+    assert_eq!(check_record(&record), []);
 }
 
 #[test]
@@ -177,7 +177,7 @@
     assert!(ended);
     let mut record = fleet.record(&[]);
     record.callers = vec![line];
-    assert_eq!(judge(&record), []);
+    assert_eq!(check_record(&record), []);
 }
 
 #[test]
@@ -207,5 +207,5 @@
     assert!(text.contains("event: error"), "{text}");
     let mut record = fleet.record(&[]);
     record.callers = vec![line, other_line];
-    assert_eq!(judge(&record), []);
+    assert_eq!(check_record(&record), []);
 }
--- a/crates/verdict/src/adapted.rs
+++ b/crates/verdict/src/adapters.rs
@@ -4,15 +4,15 @@
 
 /// A revision that gave way may still be begun on for so long: by a router whose lease lasts, and what passed
 /// it before.
-pub const ADAPTER_FLIGHT_MS: u64 = 3_000;
+pub const ADAPTER_SWITCH_GRACE_MS: u64 = 3_000;
 
 /// The adapters that a tenant's requests ran on, one after the other, and since when.
 type Bindings<'a> = BTreeMap<&'a str, Vec<(u64, &'a str)>>;
 
 fn bindings(record: &Record) -> Bindings<'_> {
     let mut bound: Bindings<'_> = BTreeMap::new();
-    for line in &record.world {
-        if let WorldLine::AdapterInForce { at, tenant, adapter } = line {
+    for line in &record.events {
+        if let EventLine::AdapterInForce { at, tenant, adapter } = line {
             bound.entry(tenant).or_default().push((*at, adapter));
         }
     }
@@ -23,8 +23,8 @@
 /// moment before, or on one that takes over a moment later.
 fn may_run_on(bound: &[(u64, &str)], adapter: &str, at: u64) -> bool {
     bound.iter().enumerate().any(|(place, (since, known))| {
-        let until = bound.get(place + 1).map_or(u64::MAX, |(next, _)| next + ADAPTER_FLIGHT_MS);
-        *known == adapter && at + ADAPTER_FLIGHT_MS >= *since && at <= until
+        let until = bound.get(place + 1).map_or(u64::MAX, |(next, _)| next + ADAPTER_SWITCH_GRACE_MS);
+        *known == adapter && at + ADAPTER_SWITCH_GRACE_MS >= *since && at <= until
     })
 }
 
@@ -37,9 +37,9 @@
         record.callers.iter().map(|caller| (caller.run.as_str(), caller.tenant.as_str())).collect();
     let mut found = Vec::new();
     let mut ran_on: BTreeMap<&str, &str> = BTreeMap::new();
-    for work in record.works() {
+    for work in record.work_starts() {
         ran_on.insert(&work.attempt, &work.adapter);
-        let Some(tenant) = tenants.get(run_of(&work.attempt)) else { continue };
+        let Some(tenant) = tenants.get(run_of_attempt(&work.attempt)) else { continue };
         let is_own = match bound.get(tenant) {
             None => work.adapter.is_empty(),
             Some(own) => may_run_on(own, &work.adapter, work.at),
@@ -57,12 +57,12 @@
             found.push(format!("run {} was answered as {:?}, made on {adapter:?}", caller.run, caller.adapter));
         }
     }
-    for line in &record.world {
+    for line in &record.events {
         match line {
-            WorldLine::AdapterMemoryUsed { attempt, adapter, made_under, .. } => {
+            EventLine::AdapterMemoryUsed { attempt, adapter, made_under, .. } => {
                 found.push(format!("attempt {attempt} on adapter {adapter:?} used memory made under {made_under:?}"));
             }
-            WorldLine::Written { attempt, adapter, .. } => {
+            EventLine::Written { attempt, adapter, .. } => {
                 let began_on = ran_on.get(attempt.as_str()).filter(|began_on| *began_on != adapter);
                 found.extend(began_on.map(|began_on| {
                     format!(
@@ -79,13 +79,13 @@
 /// Every question must have been answered whole exactly once, within so long after it was first asked. One
 /// that may not be repeated may end without an answer only if the engine or the router that it ran on was
 /// lost meanwhile.
-pub fn judge_questions(record: &Record, limit_ms: u64) -> Vec<String> {
+pub fn check_questions(record: &Record, limit_ms: u64) -> Vec<String> {
     let mut asked: BTreeMap<&str, Vec<&CallerLine>> = BTreeMap::new();
     for caller in record.callers.iter().filter(|caller| !caller.question.is_empty()) {
         asked.entry(&caller.question).or_default().push(caller);
     }
     let engines: BTreeMap<&str, &str> =
-        record.starts().map(|start| (run_of(&start.attempt), start.engine.as_str())).collect();
+        record.starts().map(|start| (run_of_attempt(&start.attempt), start.engine.as_str())).collect();
     let mut found = Vec::new();
     for (question, lines) in asked {
         let whole: Vec<&&CallerLine> = lines.iter().filter(|line| line.outcome == "whole").collect();
@@ -115,9 +115,9 @@
         Some(engine) => what == engine,
         None => engines.values().any(|engine| what == *engine),
     };
-    let is_lost = record.world.iter().any(|lost| match lost {
-        WorldLine::Lost { at, what } => {
-            let in_time = *at <= line.ended && *at + ADAPTER_FLIGHT_MS >= line.at;
+    let is_lost = record.events.iter().any(|lost| match lost {
+        EventLine::Lost { at, what } => {
+            let in_time = *at <= line.ended && *at + ADAPTER_SWITCH_GRACE_MS >= line.at;
             in_time && (is_its_engine(what) || *what == line.router)
         }
         _ => false,
@@ -158,8 +158,8 @@
         }
     }
 
-    fn in_force(at: u64, tenant: &str, adapter: &str) -> WorldLine {
-        WorldLine::AdapterInForce { at, tenant: tenant.into(), adapter: adapter.into() }
+    fn in_force(at: u64, tenant: &str, adapter: &str) -> EventLine {
+        EventLine::AdapterInForce { at, tenant: tenant.into(), adapter: adapter.into() }
     }
 
     /// One tenant on `x@1` and, from 10,000 on, `x@2`; one on `y@1`; one on the bare model.
@@ -167,19 +167,19 @@
         Record {
             callers: vec![asked("r.1", "a", "x@1"), asked("r.2", "b", "y@1"), asked("r.3", "c", "")],
             engines: vec![start(1_000, "r.1.1", "x@1"), start(1_000, "r.2.1", "y@1"), start(1_000, "r.3.1", "")],
-            world: vec![
+            events: vec![
                 in_force(0, "a", "x@1"),
                 in_force(10_000, "a", "x@2"),
                 in_force(0, "b", "y@1"),
-                WorldLine::Written { at: 999, attempt: "r.1.1".into(), adapter: "x@1".into() },
-                WorldLine::Written { at: 999, attempt: "r.3.1".into(), adapter: String::new() },
+                EventLine::Written { at: 999, attempt: "r.1.1".into(), adapter: "x@1".into() },
+                EventLine::Written { at: 999, attempt: "r.3.1".into(), adapter: String::new() },
             ],
             ..Record::default()
         }
     }
 
     fn rules(record: &Record) -> Vec<u8> {
-        judge(record).iter().map(|violation| violation.rule).collect()
+        check_record(record).iter().map(|violation| violation.rule).collect()
     }
 
     type Change = fn(&mut Record);
@@ -197,7 +197,7 @@
             |record| record.callers[0].adapter = String::new(),
             |record| {
                 let (adapter, made_under) = ("x@1".into(), "y@1".into());
-                record.world.push(WorldLine::AdapterMemoryUsed {
+                record.events.push(EventLine::AdapterMemoryUsed {
                     at: 1,
                     attempt: "r.1.1".into(),
                     adapter,
@@ -205,7 +205,7 @@
                 });
             },
             |record| {
-                record.world.push(WorldLine::Written { at: 999, attempt: "r.1.1".into(), adapter: "x@2".into() })
+                record.events.push(EventLine::Written { at: 999, attempt: "r.1.1".into(), adapter: "x@2".into() })
             },
         ];
         for (place, change) in changes.iter().enumerate() {
@@ -219,7 +219,7 @@
     #[test]
     fn each_question_unanswered_late_or_answered_twice_is_caught() {
         let limit_ms = 5_000;
-        assert_eq!(judge_questions(&clean_record(), limit_ms), [""; 0]);
+        assert_eq!(check_questions(&clean_record(), limit_ms), [""; 0]);
         let changes: [Change; 4] = [
             |record| record.callers[0].ended = 6_001,
             |record| record.callers[0].outcome = "not_run".into(),
@@ -229,13 +229,13 @@
         for change in changes {
             let mut record = clean_record();
             change(&mut record);
-            assert_eq!(judge_questions(&record, limit_ms).len(), 1);
+            assert_eq!(check_questions(&record, limit_ms).len(), 1);
         }
         let mut lost = clean_record();
         lost.callers[0].outcome = "unknown".into();
-        lost.world.push(WorldLine::Lost { at: 1_500, what: "e1".into() });
-        assert_eq!(judge_questions(&lost, limit_ms), [""; 0], "it ran on the engine that was lost");
+        lost.events.push(EventLine::Lost { at: 1_500, what: "e1".into() });
+        assert_eq!(check_questions(&lost, limit_ms), [""; 0], "it ran on the engine that was lost");
         lost.callers[0].repeatable = true;
-        assert_eq!(judge_questions(&lost, limit_ms).len(), 1, "it could have been asked again");
+        assert_eq!(check_questions(&lost, limit_ms).len(), 1, "it could have been asked again");
     }
 }
--- a/crates/verdict/src/answers.rs
+++ b/crates/verdict/src/answers.rs
@@ -5,7 +5,7 @@
 pub(crate) fn by_run<'a>(lines: impl Iterator<Item = &'a StartLine>) -> BTreeMap<&'a str, Vec<&'a StartLine>> {
     let mut starts: BTreeMap<&str, Vec<&StartLine>> = BTreeMap::new();
     for start in lines {
-        starts.entry(run_of(&start.attempt)).or_default().push(start);
+        starts.entry(run_of_attempt(&start.attempt)).or_default().push(start);
     }
     starts
 }
--- a/crates/verdict/src/memory.rs
+++ b/crates/verdict/src/cache.rs
@@ -3,15 +3,16 @@
 use crate::prelude::*;
 
 /// What passed a router before the wall stood may reach its engine a little later.
-pub const WALL_FLIGHT_MS: u64 = 300;
+pub const WALL_GRACE_MS: u64 = 300;
 
 pub(crate) fn memory_is_of_its_weights(record: &Record) -> Vec<String> {
-    let foreign_starts = record.works().filter(|start| !start.salt.starts_with(&format!("w{}.", start.weights)));
+    let foreign_starts =
+        record.work_starts().filter(|start| !start.salt.starts_with(&format!("w{}.", start.weights)));
     let mut found: Vec<String> = foreign_starts
         .map(|start| format!("attempt {} ran on weights {} with salt {}", start.attempt, start.weights, start.salt))
         .collect();
-    for line in &record.world {
-        if let WorldLine::MemoryUsed { attempt, weights, made_on, .. } = line
+    for line in &record.events {
+        if let EventLine::MemoryUsed { attempt, weights, made_on, .. } = line
             && weights != made_on
         {
             found.push(format!("attempt {attempt} on weights {weights} used memory made on {made_on}"));
@@ -24,12 +25,12 @@
 fn walled_spans(record: &Record) -> Vec<(&str, u64, u64)> {
     let mut spans = Vec::new();
     let mut up_since: BTreeMap<&str, u64> = BTreeMap::new();
-    for line in &record.world {
+    for line in &record.events {
         match line {
-            WorldLine::Walled { at, tenant } => {
+            EventLine::Walled { at, tenant } => {
                 up_since.entry(tenant).or_insert(*at);
             }
-            WorldLine::Unwalled { at, tenant } => {
+            EventLine::Unwalled { at, tenant } => {
                 if let Some(since) = up_since.remove(tenant.as_str()) {
                     spans.push((tenant.as_str(), since, *at));
                 }
@@ -48,13 +49,13 @@
         record.callers.iter().map(|caller| (caller.run.as_str(), caller.tenant.as_str())).collect();
     let mut uses: BTreeMap<&str, BTreeMap<&str, Vec<u64>>> = BTreeMap::new();
     for start in record.starts() {
-        if let Some(tenant) = tenants.get(run_of(&start.attempt)) {
+        if let Some(tenant) = tenants.get(run_of_attempt(&start.attempt)) {
             uses.entry(start.salt.as_str()).or_default().entry(tenant).or_default().push(start.at);
         }
     }
     let mut found = Vec::new();
     for (walled, since, until) in walled_spans(record) {
-        let in_span = |at: u64| at > since + WALL_FLIGHT_MS && at < until;
+        let in_span = |at: u64| at > since + WALL_GRACE_MS && at < until;
         for (salt, by_tenant) in &uses {
             let Some(own_uses) = by_tenant.get(walled) else { continue };
             for (other, other_uses) in by_tenant.iter().filter(|(tenant, _)| **tenant != walled) {
@@ -67,8 +68,8 @@
                 }
             }
         }
-        for line in &record.world {
-            let WorldLine::MemoryUsed { at, attempt, tenant, made_for, .. } = line else { continue };
+        for line in &record.events {
+            let EventLine::MemoryUsed { at, attempt, tenant, made_for, .. } = line else { continue };
             if tenant != made_for && in_span(*at) && (tenant == walled || made_for == walled) {
                 found.push(format!(
                     "attempt {attempt} of {tenant} used memory made for {made_for}, walled at {since}"
--- a/crates/verdict/src/judge.rs
+++ b/crates/verdict/src/check.rs
@@ -15,7 +15,7 @@
 type Judge = fn(&Record) -> Vec<String>;
 
 /// Everything that broke a rule; empty for a clean run.
-pub fn judge(record: &Record) -> Vec<Violation> {
+pub fn check_record(record: &Record) -> Vec<Violation> {
     let mut violations = Vec::new();
     let judges: [(u8, Judge); 13] = [
         (1, runs_once),
--- a/crates/verdict/src/lib.rs
+++ b/crates/verdict/src/lib.rs
@@ -6,11 +6,11 @@
 
 pub mod prelude;
 
-mod adapted;
+mod adapters;
 mod answers;
-mod judge;
+mod cache;
+mod check;
 mod lines;
-mod memory;
 mod register;
 mod service;
 mod states;
--- a/crates/verdict/src/lines.rs
+++ b/crates/verdict/src/lines.rs
@@ -55,7 +55,7 @@
 /// What else happened, and was acknowledged when.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
-pub enum WorldLine {
+pub enum EventLine {
     /// A key's end was acknowledged.
     KeyWithdrawn {
         /// When.
@@ -203,7 +203,7 @@
     /// What engines started and were ordered.
     pub engines: Vec<EngineLogLine>,
     /// What operators, the platform and the test did.
-    pub world: Vec<WorldLine>,
+    pub events: Vec<EventLine>,
     /// Attempts and second attempts as the routers counted them, if known.
     pub attempts: u64,
     /// Second attempts among them.
@@ -223,7 +223,7 @@
     }
 
     /// Every beginning of work on a prompt: starts, and prefills for starts elsewhere.
-    pub fn works(&self) -> impl Iterator<Item = &StartLine> {
+    pub fn work_starts(&self) -> impl Iterator<Item = &StartLine> {
         self.engines.iter().filter_map(|line| match line {
             EngineLogLine::Start(start) | EngineLogLine::Prefill(start) => Some(start),
             EngineLogLine::Asked { .. } | EngineLogLine::End { .. } | EngineLogLine::Order { .. } => None,
@@ -232,7 +232,7 @@
 
     /// Whenever an engine was asked for anything on behalf of a prompt, in any way.
     pub fn requests_to<'a>(&'a self, engine_name: &'a str) -> impl Iterator<Item = u64> + 'a {
-        let works = self.works().map(|start| (start.engine.as_str(), start.at));
+        let works = self.work_starts().map(|start| (start.engine.as_str(), start.at));
         let fetches = self.engines.iter().filter_map(|line| match line {
             EngineLogLine::Asked { at, engine } => Some((engine.as_str(), *at)),
             _ => None,
@@ -267,6 +267,6 @@
 }
 
 /// The run an attempt belongs to: the attempt's name without its last part.
-pub fn run_of(attempt: &str) -> &str {
+pub fn run_of_attempt(attempt: &str) -> &str {
     attempt.rsplit_once('.').map_or(attempt, |(run, _)| run)
 }
--- a/crates/verdict/src/prelude.rs
+++ b/crates/verdict/src/prelude.rs
@@ -1,10 +1,10 @@
 //! The one import of this package's files, and of whoever judges a run.
 
-pub use crate::adapted::*;
+pub use crate::adapters::*;
 pub(crate) use crate::answers::*;
-pub use crate::judge::*;
+pub use crate::cache::*;
+pub use crate::check::*;
 pub use crate::lines::*;
-pub use crate::memory::*;
 pub use crate::register::*;
 pub use crate::service::*;
 pub use crate::states::*;
--- a/crates/verdict/src/service.rs
+++ b/crates/verdict/src/service.rs
@@ -3,11 +3,11 @@
 use crate::prelude::*;
 
 /// Second attempts allowed for each first one.
-pub const RETRY_SHARE: f64 = 0.15;
+pub const RETRY_RATIO_LIMIT: f64 = 0.15;
 /// Second attempts allowed besides, over a whole run.
-pub const RETRY_FLOAT: u64 = 30;
+pub const RUN_RETRY_ALLOWANCE: u64 = 30;
 /// Second attempts allowed besides, for each router in a window.
-pub const RETRY_FLOAT_OF_ROUTER: u64 = 3;
+pub const ROUTER_RETRY_ALLOWANCE: u64 = 3;
 /// The stretch of time over which they are counted.
 pub const RETRY_WINDOW_MS: u64 = 5_000;
 /// Within this after the last fault, service is back.
@@ -16,13 +16,13 @@
 pub(crate) fn retries_are_few(record: &Record) -> Vec<String> {
     let mut found = Vec::new();
     let first_attempts = record.attempts.saturating_sub(record.retries);
-    let allowed = (first_attempts as f64 * RETRY_SHARE) as u64 + RETRY_FLOAT;
+    let allowed = (first_attempts as f64 * RETRY_RATIO_LIMIT) as u64 + RUN_RETRY_ALLOWANCE;
     if record.retries > allowed {
         found.push(format!("{} further attempts on {first_attempts} first ones", record.retries));
     }
     for (window, (attempts, retries, router_count)) in retry_windows(record) {
         let first_attempts = attempts.saturating_sub(retries);
-        let allowed = (first_attempts as f64 * RETRY_SHARE) as u64 + RETRY_FLOAT_OF_ROUTER * router_count;
+        let allowed = (first_attempts as f64 * RETRY_RATIO_LIMIT) as u64 + ROUTER_RETRY_ALLOWANCE * router_count;
         if retries > allowed {
             let from = window * RETRY_WINDOW_MS;
             found
@@ -35,8 +35,8 @@
 /// Attempts, second attempts and routers seen in each stretch of time, from the routers' own counts.
 fn retry_windows(record: &Record) -> BTreeMap<u64, (u64, u64, u64)> {
     let mut last_counts: BTreeMap<(&str, u64), (u64, u64)> = BTreeMap::new();
-    for line in &record.world {
-        let WorldLine::Sample { at, router, attempts, retries, .. } = line else { continue };
+    for line in &record.events {
+        let EventLine::Sample { at, router, attempts, retries, .. } = line else { continue };
         last_counts.insert((router, at / RETRY_WINDOW_MS), (*attempts, *retries));
     }
     let mut windows: BTreeMap<u64, (u64, u64, u64)> = BTreeMap::new();
@@ -53,12 +53,12 @@
 }
 
 pub(crate) fn service_returns(record: &Record) -> Vec<String> {
-    let over_at = record.world.iter().rev().find_map(|line| match line {
-        WorldLine::LastFaultOver { at } => Some(*at),
+    let over_at = record.events.iter().rev().find_map(|line| match line {
+        EventLine::LastFaultOver { at } => Some(*at),
         _ => None,
     });
-    let ends_at = record.world.iter().rev().find_map(|line| match line {
-        WorldLine::RunEnds { at } => Some(*at),
+    let ends_at = record.events.iter().rev().find_map(|line| match line {
+        EventLine::RunEnds { at } => Some(*at),
         _ => None,
     });
     let (Some(over_at), Some(ends_at)) = (over_at, ends_at) else { return Vec::new() };
--- a/crates/verdict/src/states.rs
+++ b/crates/verdict/src/states.rs
@@ -12,15 +12,15 @@
 pub(crate) fn desired_states_hold(record: &Record) -> Vec<String> {
     let mut found = Vec::new();
     let mut shown: BTreeMap<&str, u64> = BTreeMap::new();
-    for line in &record.world {
-        let WorldLine::Sample { at, router, edition, leased, .. } = line else { continue };
+    for line in &record.events {
+        let EventLine::Sample { at, router, edition, leased, .. } = line else { continue };
         let highest = shown.entry(router).or_insert(0);
         if *edition < *highest {
             found.push(format!("router {router} fell back from edition {highest} to {edition}"));
         }
         *highest = (*highest).max(*edition);
-        for acked in &record.world {
-            let WorldLine::Acked { at: acked_at, edition: acked_edition } = acked else { continue };
+        for acked in &record.events {
+            let EventLine::Acked { at: acked_at, edition: acked_edition } = acked else { continue };
             if *leased && *at > acked_at + DESIRED_STATE_LIMIT_MS && edition < acked_edition {
                 found.push(format!(
                     "router {router} served edition {edition} {} ms after {acked_edition}",
@@ -34,9 +34,9 @@
 
 pub(crate) fn old_weights_end(record: &Record) -> Vec<String> {
     let mut found = Vec::new();
-    for line in &record.world {
-        let WorldLine::WeightsAcked { at, weights } = line else { continue };
-        for start in record.works().filter(|start| start.weights < *weights) {
+    for line in &record.events {
+        let EventLine::WeightsAcked { at, weights } = line else { continue };
+        for start in record.work_starts().filter(|start| start.weights < *weights) {
             if start.at > at + WEIGHTS_LIMIT_MS {
                 found.push(format!(
                     "attempt {} began on weights {} {} ms late",
--- a/crates/verdict/src/withdrawn.rs
+++ b/crates/verdict/src/withdrawn.rs
@@ -10,11 +10,11 @@
 /// Work is judged, not starts alone: no attempt may begin, go on at its engine, or bring its caller a
 /// piece, later than the limit after the acknowledgement.
 pub(crate) fn withdrawn_keys_do_nothing(record: &Record) -> Vec<String> {
-    let works = by_run(record.works());
+    let works = by_run(record.work_starts());
     let ends = record.ends();
     let mut found = Vec::new();
-    for line in &record.world {
-        let WorldLine::KeyWithdrawn { at, key: withdrawn_key } = line else { continue };
+    for line in &record.events {
+        let EventLine::KeyWithdrawn { at, key: withdrawn_key } = line else { continue };
         let limit = at + KEY_LIMIT_MS;
         for caller in record.callers.iter().filter(|caller| caller.key == *withdrawn_key && !caller.run.is_empty()) {
             if caller.last_at > limit {
@@ -40,11 +40,11 @@
 
 pub(crate) fn engines_listed_away_get_nothing(record: &Record) -> Vec<String> {
     let mut found = Vec::new();
-    for (place, line) in record.world.iter().enumerate() {
-        let WorldLine::ListedAway { at, engine: left_engine } = line else { continue };
-        let later_lines = &record.world[place..];
+    for (place, line) in record.events.iter().enumerate() {
+        let EventLine::ListedAway { at, engine: left_engine } = line else { continue };
+        let later_lines = &record.events[place..];
         let back_at = later_lines.iter().find_map(|later| match later {
-            WorldLine::ListedOpen { at: opened, engine } if engine == left_engine => Some(*opened),
+            EventLine::ListedOpen { at: opened, engine } if engine == left_engine => Some(*opened),
             _ => None,
         });
         let back_at = back_at.unwrap_or(u64::MAX);
--- a/crates/verdict/tests/judge.rs
+++ b/crates/verdict/tests/judge.rs
@@ -25,13 +25,13 @@
     EngineLogLine::End { at, engine: "e1".into(), attempt: attempt.into(), pieces: 3, whole }
 }
 
-fn used(at: u64, made_on: u64, tenant: &str, made_for: &str) -> WorldLine {
+fn used(at: u64, made_on: u64, tenant: &str, made_for: &str) -> EventLine {
     let (tenant, made_for) = (tenant.into(), made_for.into());
-    WorldLine::MemoryUsed { at, attempt: "r.3.1".into(), weights: 2, made_on, tenant, made_for }
+    EventLine::MemoryUsed { at, attempt: "r.3.1".into(), weights: 2, made_on, tenant, made_for }
 }
 
-fn sample(at: u64, router: &str, edition: u64, leased: bool) -> WorldLine {
-    WorldLine::Sample { at, router: router.into(), edition, leased, attempts: 0, retries: 0 }
+fn sample(at: u64, router: &str, edition: u64, leased: bool) -> EventLine {
+    EventLine::Sample { at, router: router.into(), edition, leased, attempts: 0, retries: 0 }
 }
 
 fn caller(run: &str, outcome: &str) -> CallerLine {
@@ -60,15 +60,15 @@
             order(10, "h1"),
             order(4_000, "h2"),
         ],
-        world: vec![
-            WorldLine::KeyWithdrawn { at: 0, key: "ka".into() },
-            WorldLine::ListedAway { at: 0, engine: "e1".into() },
-            WorldLine::Walled { at: 0, tenant: "a".into() },
-            WorldLine::WeightsAcked { at: 0, weights: 2 },
-            WorldLine::Acked { at: 0, edition: 4 },
+        events: vec![
+            EventLine::KeyWithdrawn { at: 0, key: "ka".into() },
+            EventLine::ListedAway { at: 0, engine: "e1".into() },
+            EventLine::Walled { at: 0, tenant: "a".into() },
+            EventLine::WeightsAcked { at: 0, weights: 2 },
+            EventLine::Acked { at: 0, edition: 4 },
             sample(3_000, "r", 4, true),
-            WorldLine::LastFaultOver { at: 30_000 },
-            WorldLine::RunEnds { at: 60_000 },
+            EventLine::LastFaultOver { at: 30_000 },
+            EventLine::RunEnds { at: 60_000 },
         ],
         attempts: 1000,
         retries: 100,
@@ -77,11 +77,11 @@
 
 #[test]
 fn a_clean_record_is_clean() {
-    assert_eq!(judge(&clean_record()), []);
+    assert_eq!(check_record(&clean_record()), []);
     let mut unwalled = clean_record();
-    unwalled.world.push(WorldLine::Unwalled { at: 500, tenant: "a".into() });
-    unwalled.world.push(used(900, 2, "b", "a"));
-    assert_eq!(judge(&unwalled), [], "memory may be shared once the wall is down");
+    unwalled.events.push(EventLine::Unwalled { at: 500, tenant: "a".into() });
+    unwalled.events.push(used(900, 2, "b", "a"));
+    assert_eq!(check_record(&unwalled), [], "memory may be shared once the wall is down");
 }
 
 /// One change to the clean record.
@@ -112,13 +112,13 @@
             let again = CallerLine { run: "r.3".into(), idempotency: "k".into(), ..record.callers[0].clone() };
             record.callers[2] = CallerLine { attempt: String::new(), key: String::new(), ..again };
         }),
-        (4, |record| record.world.push(used(900, 1, "b", "b"))),
-        (5, |record| record.world.push(used(900, 2, "b", "a"))),
+        (4, |record| record.events.push(used(900, 1, "b", "b"))),
+        (5, |record| record.events.push(used(900, 2, "b", "a"))),
         (5, |record| record.engines[1] = start(900, "e2", "r.3.1", 1)),
         (5, |record| {
             record.engines[0] = start(100, "e1", "r.1.1", 2);
             record.engines[1] = start(900, "e2", "r.3.1", 2);
-            record.world[2] = WorldLine::Walled { at: 150, tenant: "a".into() };
+            record.events[2] = EventLine::Walled { at: 150, tenant: "a".into() };
         }),
         (6, |record| record.engines[0] = start(5_001, "e2", "r.1.1", 1)),
         (7, |record| record.engines[0] = start(3_001, "e1", "r.1.1", 1)),
@@ -129,8 +129,8 @@
         (7, |record| record.engines.push(EngineLogLine::Asked { at: 3_001, engine: "e1".into() })),
         (6, |record| record.engines[2] = end(5_001, "r.1.1", true)),
         (6, |record| record.callers[0].last_at = 5_001),
-        (8, |record| record.world.push(sample(9_000, "q", 3, true))),
-        (8, |record| record.world.push(sample(9_000, "r", 3, false))),
+        (8, |record| record.events.push(sample(9_000, "q", 3, true))),
+        (8, |record| record.events.push(sample(9_000, "r", 3, false))),
         (9, |record| record.engines.push(start(20_001, "e2", "q.1.1", 1))),
         (10, |record| record.engines.push(order(4_500, "h1"))),
         (10, |record| {
@@ -142,8 +142,8 @@
         (11, |record| record.retries = 300),
         (11, |record| {
             let router = "z".into();
-            let sampled = WorldLine::Sample { at: 9_000, router, edition: 4, leased: true, attempts: 40, retries: 9 };
-            record.world.push(sampled);
+            let sampled = EventLine::Sample { at: 9_000, router, edition: 4, leased: true, attempts: 40, retries: 9 };
+            record.events.push(sampled);
         }),
         (12, |record| record.callers[3].outcome = "not_run".into()),
         (12, |record| {
@@ -159,7 +159,7 @@
     for (rule, change) in changes {
         let mut record = clean_record();
         change(&mut record);
-        let broken_rules: Vec<u8> = judge(&record).iter().map(|violation| violation.rule).collect();
+        let broken_rules: Vec<u8> = check_record(&record).iter().map(|violation| violation.rule).collect();
         assert_eq!(broken_rules, [rule]);
     }
 }
