--- a/crates/measure/src/fleets.rs
+++ b/crates/measure/src/fleets.rs
@@ -17,7 +17,7 @@
         let prompt = format!("overhead {number} {}", "x".repeat(4000));
         let body = json!({"model": "model", "prompt": prompt, "max_tokens": 4, "stream": false, "cache_salt": "s"});
         let began = boot_now();
-        fleet.ask(&engine, Method::POST, "/v1/completions", Some(&body))?;
+        fleet.request(&engine, Method::POST, "/v1/completions", Some(&body))?;
         direct.push(boot_now().since(began).0 / 1000);
         let began = boot_now();
         let (status, answer) = fleet.complete(0, 0, &prompt)?;
@@ -88,7 +88,7 @@
                 let answers = asking.into_iter().map(|asked| asked.join().unwrap_or((0, false)));
                 answers.filter(|(_, whole)| *whole).map(|(millis, _)| millis).collect()
             });
-            let report = DayReport::of(&fleet.record(&[]));
+            let report = DayReport::from_record(&fleet.record(&[]));
             let mut starts: Vec<u64> = report.engine_starts.values().copied().collect();
             starts.sort_by(|left, right| right.cmp(left));
             println!(
@@ -124,6 +124,6 @@
         }
     }
     calling.join().map_err(|_| "the caller's thread died")??;
-    println!("{}", DayReport::of(&fleet.record(&[calls])).text());
+    println!("{}", DayReport::from_record(&fleet.record(&[calls])).text());
     Ok(())
 }
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -8,7 +8,7 @@
 
 use crate::prelude::*;
 
-static TRADE: ProgramSpec = ProgramSpec {
+static PROGRAM: ProgramSpec = ProgramSpec {
     program: "measure",
     about: "Measures a fleet on this machine: picks, overhead, acks, recovery, pile-up, memory or trials.",
     settings: &[setting(
@@ -20,7 +20,7 @@
 };
 
 fn main() -> std::process::ExitCode {
-    run_program(&TRADE, |settings| {
+    run_program(&PROGRAM, |settings| {
         let outcome = match settings.text("what")? {
             "picks" => {
                 measure_picks();
--- a/crates/measure/src/prelude.rs
+++ b/crates/measure/src/prelude.rs
@@ -11,6 +11,6 @@
 pub(crate) use process::prelude::*;
 pub(crate) use std::collections::BTreeMap;
 pub(crate) use testbed::prelude::{
-    DayReport, Duration, Fleet, FleetPlan, Method, Passage, Process, Value, boot_millis, json, wait_until,
+    DayReport, Duration, Fleet, FleetPlan, Method, Process, RelayMode, Value, boot_millis, json, wait_until,
 };
 pub(crate) use units::prelude::*;
--- a/crates/measure/src/recovery.rs
+++ b/crates/measure/src/recovery.rs
@@ -89,7 +89,7 @@
                     fleet.keepers[0].process = None;
                     fleet.keepers[1].process = None;
                     wait_until(Duration::from_secs(20), || {
-                        fleet.gauge(&fleet.router_address(0), "haremount_router_lease_left_ms") == Some(0)
+                        fleet.metric(&fleet.router_address(0), "haremount_router_lease_left_ms") == Some(0)
                     });
                     fleet.start_keeper(0, false)?;
                     fleet.start_keeper(1, false)?;
@@ -103,7 +103,7 @@
             if what == "engine lost" {
                 fleet.start_engine(0, 1)?;
             }
-            fleet.wait_core(4)?;
+            fleet.wait_for_chain(4)?;
         }
     }
     print_recoveries(figures);
@@ -139,8 +139,8 @@
     let mut figures: BTreeMap<&str, Recoveries> = BTreeMap::new();
     for _ in 0..3 {
         let mut fleet = Fleet::start(FleetPlan { nodes: 3, engines: 3, relayed: true, ..FleetPlan::small() })?;
-        let set = |fleet: &Fleet, keeper: usize, passage: Passage| {
-            fleet.keepers[keeper].relay.iter().for_each(|relay| relay.set(passage));
+        let set = |fleet: &Fleet, keeper: usize, passage: RelayMode| {
+            fleet.keepers[keeper].relay.iter().for_each(|relay| relay.set_mode(passage));
         };
         for what in [
             "tail hears nothing",
@@ -151,9 +151,9 @@
         ] {
             let tail = member_at(&fleet, TAIL)?;
             let all = 0..fleet.keepers.len();
-            let mid_cut = if what.contains("stalled") { Passage::Stalled } else { Passage::Cut };
+            let mid_cut = if what.contains("stalled") { RelayMode::Stalled } else { RelayMode::Cut };
             match what {
-                "tail hears nothing" => set(&fleet, tail, Passage::Stalled),
+                "tail hears nothing" => set(&fleet, tail, RelayMode::Stalled),
                 "a disk full" => {
                     fleet.keepers[tail].process.iter().for_each(|process| process.limit_file_size(Some(4096)));
                 }
@@ -165,16 +165,16 @@
                 _ => {
                     all.clone().for_each(|keeper| set(&fleet, keeper, mid_cut));
                     wait_until(Duration::from_secs(3), || false);
-                    all.clone().for_each(|keeper| set(&fleet, keeper, Passage::Open));
+                    all.clone().for_each(|keeper| set(&fleet, keeper, RelayMode::Open));
                 }
             }
             let recovery = time_recovery(&fleet).map_err(|reason| format!("{what}: {reason}"))?;
             figures.entry(what).or_default().push(recovery);
-            all.for_each(|keeper| set(&fleet, keeper, Passage::Open));
+            all.for_each(|keeper| set(&fleet, keeper, RelayMode::Open));
             if what == "a disk full" {
                 fleet.keepers[tail].process.iter().for_each(|process| process.limit_file_size(None));
             }
-            fleet.wait_core(4)?;
+            fleet.wait_for_chain(4)?;
         }
     }
     print_recoveries(figures);
@@ -185,7 +185,7 @@
 fn freeze_for(processes: &[Option<&Process>]) {
     processes.iter().flatten().for_each(|process| process.freeze());
     wait_until(Duration::from_secs(3), || false);
-    processes.iter().flatten().for_each(|process| process.wake());
+    processes.iter().flatten().for_each(|process| process.resume());
 }
 
 /// The longest stretch without a served request on any router after the tail is lost.
@@ -210,7 +210,7 @@
         });
         gaps.push(longest);
         fleet.start_keeper(tail, false)?;
-        fleet.wait_core(4)?;
+        fleet.wait_for_chain(4)?;
     }
     println!("tail lost: longest stretch without a served request, ms: {}", crate::spread(&mut gaps));
     Ok(())
--- a/crates/testbed/src/documents.rs
+++ b/crates/testbed/src/documents.rs
@@ -9,7 +9,7 @@
             let question = OutgoingRequest::get("/v1/desired-state")
                 .header("authorization", format!("Bearer {}", self.operator_key));
             let Ok((status, headers, _)) =
-                self.runtime.block_on(fetch_response(&keeper.door, question, ASK_LIMIT, 4 << 20))
+                self.runtime.block_on(fetch_response(&keeper.operator_address, question, REQUEST_TIMEOUT, 4 << 20))
             else {
                 continue;
             };
@@ -35,17 +35,17 @@
 
     fn change(&self, method: Method, body: &Value) -> Result<u64, String> {
         let base = self.desired_edition()?;
-        let (status, answer) = self.operate(method, "/v1/desired-state", Some(body), Some(base))?;
+        let (status, answer) = self.operator_request(method, "/v1/desired-state", Some(body), Some(base))?;
         if status != 200 {
             return Err(format!("the change was answered {status}: {answer}"));
         }
         let edition = answer["edition"].as_u64().ok_or("no edition in the answer")?;
-        self.note(EventLine::Acked { at: boot_millis(), edition });
+        self.record_event(EventLine::Acked { at: boot_millis(), edition });
         Ok(edition)
     }
 
     /// The document that a new fleet is given: eight tenants, two of them walled.
-    pub fn first_document(&self) -> Value {
+    pub fn initial_document(&self) -> Value {
         let tenants: BTreeMap<String, Value> = self
             .tenants
             .iter()
@@ -53,7 +53,7 @@
             .map(|(number, (tenant, key))| {
                 let walled = number == 1 || number == 5;
                 if walled {
-                    self.note(EventLine::Walled { at: boot_millis(), tenant: tenant.clone() });
+                    self.record_event(EventLine::Walled { at: boot_millis(), tenant: tenant.clone() });
                 }
                 (tenant.clone(), json!({"walled": walled, "share": 200, "keys": {"main": sha256_hex(key)}}))
             })
@@ -66,7 +66,7 @@
         json!({
             "models": {"model": {"weights": 1}}, "tenants": tenants, "kinds": kinds,
             "policies": {"default": {"weight": self.plan.weight}},
-            "routing": {"sight": self.plan.sight, "fetch": self.fetch_costs()}, "store": self.store_address,
+            "routing": {"sight": self.plan.overlap_source, "fetch": self.fetch_costs()}, "store": self.store_address,
             "operators": {"founder": sha256_hex(&self.operator_key)},
         })
     }
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -60,19 +60,19 @@
 /// Faults, and when each is due.
 pub struct FaultSchedule {
     moments: Vec<(u64, Fault)>,
-    withdrawn: bool,
+    key_withdrawn: bool,
     awaited_weights: Option<u64>,
-    filled: Vec<usize>,
+    filled_disks: Vec<usize>,
 }
 
 impl FaultSchedule {
     /// A schedule of faults by their moments in milliseconds, in order.
-    pub fn of(moments: Vec<(u64, Fault)>) -> FaultSchedule {
-        FaultSchedule { moments, withdrawn: false, awaited_weights: None, filled: Vec::new() }
+    pub fn new(moments: Vec<(u64, Fault)>) -> FaultSchedule {
+        FaultSchedule { moments, key_withdrawn: false, awaited_weights: None, filled_disks: Vec::new() }
     }
 
     /// A schedule over the first part of a day; the last twenty seconds stay calm.
-    pub fn draw(seed: u64, seconds: u64, plan: &FleetPlan) -> FaultSchedule {
+    pub fn random(seed: u64, seconds: u64, plan: &FleetPlan) -> FaultSchedule {
         let mut draw = SeededRng::new(seed);
         let calm_at = (seconds * 1000).saturating_sub(20_000).max(3_000);
         let mut moments = vec![
@@ -114,37 +114,37 @@
         }
         moments.push((calm_at, Fault::Over));
         moments.sort_by_key(|(moment, _)| *moment);
-        FaultSchedule::of(moments)
+        FaultSchedule::new(moments)
     }
 
     /// Does what is due by now.
-    pub fn tend(&mut self, fleet: &mut Fleet, elapsed: u64) -> Result<(), String> {
+    pub fn apply_due(&mut self, fleet: &mut Fleet, elapsed: u64) -> Result<(), String> {
         while let Some((moment, fault)) = self.moments.first().cloned() {
             if elapsed < moment {
                 break;
             }
             self.moments.remove(0);
-            fleet.note(EventLine::Fault { at: boot_millis(), what: format!("{fault:?}") });
-            self.act(fleet, fault)?;
+            fleet.record_event(EventLine::Fault { at: boot_millis(), what: format!("{fault:?}") });
+            self.apply(fleet, fault)?;
         }
         if let Some(plan) = self.awaited_weights {
-            let page = fleet.operate(Method::GET, &format!("/v1/plans/{plan}"), None, None);
+            let page = fleet.operator_request(Method::GET, &format!("/v1/plans/{plan}"), None, None);
             if page.is_ok_and(|(_, page)| page["steps"][0]["done"] == true) {
-                fleet.note(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
+                fleet.record_event(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
                 self.awaited_weights = None;
             }
         }
         Ok(())
     }
 
-    fn put_back(&mut self, fleet: &mut Fleet) -> Result<(), String> {
-        for keeper in self.filled.drain(..) {
+    fn restore(&mut self, fleet: &mut Fleet) -> Result<(), String> {
+        for keeper in self.filled_disks.drain(..) {
             fleet.keepers[keeper].process.iter().for_each(|process| process.limit_file_size(None));
         }
-        put_back(fleet)
+        restore(fleet)
     }
 
-    fn act(&mut self, fleet: &mut Fleet, fault: Fault) -> Result<(), String> {
+    fn apply(&mut self, fleet: &mut Fleet, fault: Fault) -> Result<(), String> {
         match fault {
             Fault::LoseKeeper(keeper) => fleet.keepers[keeper].process = None,
             Fault::LoseKeepers(one, other) => {
@@ -166,11 +166,11 @@
             }
             Fault::FreezeEngine(engine) => fleet.engines[engine].process.iter().for_each(Process::freeze),
             Fault::ListAway(engine) => {
-                fleet.engines[engine].away = true;
+                fleet.engines[engine].listed_away = true;
                 fleet.list_engine(engine, "leaving")?;
             }
             Fault::FillDisk(keeper) => {
-                self.filled.push(keeper);
+                self.filled_disks.push(keeper);
                 fleet.keepers[keeper].process.iter().for_each(|process| process.limit_file_size(Some(4096)));
             }
             Fault::LoseDisk(keeper) => {
@@ -178,9 +178,11 @@
                 let _ = std::fs::remove_dir_all(&fleet.keepers[keeper].data);
                 fleet.start_keeper(keeper, false)?;
             }
-            Fault::StallKeeper(keeper) => set_passage(fleet, keeper, Passage::Stalled),
-            Fault::CutKeeper(keeper) => set_passage(fleet, keeper, Passage::Cut),
-            Fault::CutCore => (0..fleet.keepers.len()).for_each(|keeper| set_passage(fleet, keeper, Passage::Cut)),
+            Fault::StallKeeper(keeper) => set_relay_mode(fleet, keeper, RelayMode::Stalled),
+            Fault::CutKeeper(keeper) => set_relay_mode(fleet, keeper, RelayMode::Cut),
+            Fault::CutCore => {
+                (0..fleet.keepers.len()).for_each(|keeper| set_relay_mode(fleet, keeper, RelayMode::Cut))
+            }
             Fault::HideEvents(engine) => set_engine_faults(fleet, engine, &json!({"hide_events": true})),
             Fault::SlowLinks(engine) => set_engine_faults(fleet, engine, &json!({"link_us": 50_000})),
             Fault::ChangeDesiredState(number) => {
@@ -189,54 +191,54 @@
             Fault::WithdrawKey => {
                 let (tenant, key) = fleet.tenants[7].clone();
                 let path = format!("/v1/tenants/{tenant}/keys/main");
-                let answer = fleet.operate(Method::DELETE, &path, None, None);
-                if answer.is_ok_and(|(status, _)| status == 200) && !self.withdrawn {
-                    self.withdrawn = true;
-                    fleet.note(EventLine::KeyWithdrawn { at: boot_millis(), key });
+                let answer = fleet.operator_request(Method::DELETE, &path, None, None);
+                if answer.is_ok_and(|(status, _)| status == 200) && !self.key_withdrawn {
+                    self.key_withdrawn = true;
+                    fleet.record_event(EventLine::KeyWithdrawn { at: boot_millis(), key });
                 }
             }
             Fault::Trial => {
                 let _ = fleet.patch_document(&json!({"policies": {"trial": {"weight": 3}}}));
-                carry_intent(fleet, &json!({"intent": "trial", "policy": "trial", "tenants": ["tenant0"]}));
+                state_and_confirm(fleet, &json!({"intent": "trial", "policy": "trial", "tenants": ["tenant0"]}));
             }
             Fault::MoveWeights => {
                 let intent = json!({"intent": "move_weights", "model": "model", "weights": 2});
-                self.awaited_weights = carry_intent(fleet, &intent);
+                self.awaited_weights = state_and_confirm(fleet, &intent);
             }
-            Fault::PutBack => self.put_back(fleet)?,
+            Fault::PutBack => self.restore(fleet)?,
             Fault::Over => {
-                self.put_back(fleet)?;
-                fleet.note(EventLine::LastFaultOver { at: boot_millis() });
+                self.restore(fleet)?;
+                fleet.record_event(EventLine::LastFaultOver { at: boot_millis() });
             }
         }
         Ok(())
     }
 }
 
-fn set_passage(fleet: &Fleet, keeper: usize, passage: Passage) {
+fn set_relay_mode(fleet: &Fleet, keeper: usize, mode: RelayMode) {
     if let Some(relay) = &fleet.keepers[keeper].relay {
-        relay.set(passage);
+        relay.set_mode(mode);
     }
 }
 
 fn set_engine_faults(fleet: &Fleet, engine: usize, faults: &Value) {
-    let _ = fleet.ask(&fleet.engines[engine].address, Method::POST, "/v1/faults", Some(faults));
+    let _ = fleet.request(&fleet.engines[engine].address, Method::POST, "/v1/faults", Some(faults));
 }
 
 /// States an intent and confirms its plan; the plan's number if both were taken.
-fn carry_intent(fleet: &Fleet, intent: &Value) -> Option<u64> {
-    let (_, plan) = fleet.operate(Method::POST, "/v1/intents", Some(intent), None).ok()?;
+fn state_and_confirm(fleet: &Fleet, intent: &Value) -> Option<u64> {
+    let (_, plan) = fleet.operator_request(Method::POST, "/v1/intents", Some(intent), None).ok()?;
     let number = plan["plan"].as_u64()?;
     let path = format!("/v1/plans/{number}/confirm");
-    let (status, _) = fleet.operate(Method::POST, &path, Some(&json!({})), None).ok()?;
+    let (status, _) = fleet.operator_request(Method::POST, &path, Some(&json!({})), None).ok()?;
     (status == 200).then_some(number)
 }
 
 /// Starts what is lost, wakes what is frozen, lists what was listed away.
-fn put_back(fleet: &mut Fleet) -> Result<(), String> {
+fn restore(fleet: &mut Fleet) -> Result<(), String> {
     for number in 0..fleet.keepers.len() {
-        fleet.keepers[number].process.iter().for_each(Process::wake);
-        set_passage(fleet, number, Passage::Open);
+        fleet.keepers[number].process.iter().for_each(Process::resume);
+        set_relay_mode(fleet, number, RelayMode::Open);
         if fleet.keepers[number].process.as_mut().is_some_and(|process| !process.is_running()) {
             fleet.keepers[number].process = None;
         }
@@ -245,8 +247,8 @@
         }
     }
     for number in 0..fleet.nodes.len() {
-        fleet.nodes[number].agent.iter().for_each(Process::wake);
-        fleet.nodes[number].router.iter().for_each(Process::wake);
+        fleet.nodes[number].agent.iter().for_each(Process::resume);
+        fleet.nodes[number].router.iter().for_each(Process::resume);
         if fleet.nodes[number].agent.is_none() {
             fleet.start_agent(number)?;
         }
@@ -255,13 +257,13 @@
         }
     }
     for number in 0..fleet.engines.len() {
-        fleet.engines[number].process.iter().for_each(Process::wake);
+        fleet.engines[number].process.iter().for_each(Process::resume);
         if fleet.engines[number].process.is_none() {
             fleet.start_engine(number, 1)?;
         }
         set_engine_faults(fleet, number, &json!({}));
-        if fleet.engines[number].away {
-            fleet.engines[number].away = false;
+        if fleet.engines[number].listed_away {
+            fleet.engines[number].listed_away = false;
             fleet.list_engine(number, "open")?;
         }
     }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -22,14 +22,14 @@
     /// Where keepers and agents reach it: the relay, if there is one.
     pub address: String,
     /// Where operators reach it.
-    pub door: String,
+    pub operator_address: String,
     /// Its id, as it told.
     pub id: String,
     /// Its data folder.
     pub data: PathBuf,
     /// The relay before it, if the fleet has such.
     pub relay: Option<Relay>,
-    pub(crate) bound: String,
+    pub(crate) bound_address: String,
     pub(crate) zone: String,
 }
 
@@ -42,7 +42,7 @@
     /// Where it is reached.
     pub address: String,
     /// Listed as leaving for now.
-    pub away: bool,
+    pub listed_away: bool,
     pub(crate) zone: String,
 }
 
@@ -120,15 +120,15 @@
         for _ in 0..plan.nodes {
             fleet.add_node()?;
         }
-        fleet.wait_core(plan.keepers)?;
-        let document = fleet.first_document();
+        fleet.wait_for_chain(plan.keepers)?;
+        let document = fleet.initial_document();
         let edition = fleet.put_document(&document)?;
-        fleet.wait_served(edition)?;
+        fleet.wait_until_served(edition)?;
         Ok(fleet)
     }
 
     /// Adds a line to the record.
-    pub fn note(&self, line: EventLine) {
+    pub fn record_event(&self, line: EventLine) {
         if let Ok(mut events) = self.events.lock() {
             events.push(line);
         }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -6,14 +6,14 @@
 
 pub mod prelude;
 
-mod asking;
 mod documents;
 mod faults;
 mod fleet;
+mod monitoring;
 mod plan;
 mod process;
 mod recording;
 mod relay;
 mod report;
-mod starting;
-mod watching;
+mod requests;
+mod startup;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -3,7 +3,7 @@
 use process::prelude::*;
 use testbed::prelude::*;
 
-static TRADE: ProgramSpec = ProgramSpec {
+static PROGRAM: ProgramSpec = ProgramSpec {
     program: "testbed",
     about: "Runs a whole fleet on this machine, plays an office's day, and reports.",
     settings: &[
@@ -35,7 +35,7 @@
 };
 
 fn main() -> std::process::ExitCode {
-    run_program(&TRADE, |settings| run(settings).map_err(|reason| miette!("{reason}")))
+    run_program(&PROGRAM, |settings| run(settings).map_err(|reason| miette!("{reason}")))
 }
 
 fn run(settings: Settings) -> Result<(), String> {
@@ -44,8 +44,8 @@
     let plan = FleetPlan {
         nodes: whole("nodes")? as usize,
         engines: whole("engines")? as usize,
-        sight: text("sight")?,
-        records: settings.flag("records"),
+        overlap_source: text("sight")?,
+        records_days: settings.flag("records"),
         relayed: settings.get("trouble").is_some(),
         weight: whole("weight")? as f64,
         log_level: text("log_level")?,
@@ -57,7 +57,7 @@
     };
     print_ready_line(&[
         ("routers", (0..fleet.nodes.len()).map(|number| fleet.router_address(number)).collect::<Vec<_>>().join(",")),
-        ("doors", fleet.keepers.iter().map(|keeper| keeper.door.clone()).collect::<Vec<_>>().join(",")),
+        ("doors", fleet.keepers.iter().map(|keeper| keeper.operator_address.clone()).collect::<Vec<_>>().join(",")),
     ]);
     if settings.flag("serve") {
         println!("operator key: {}", fleet.operator_key);
@@ -77,20 +77,20 @@
     let seconds = whole("seconds")?;
     let (calling, calls) = fleet.start_caller("day", seconds, whole("rate")?, whole("seed")?)?;
     let began = boot_millis();
-    let mut trouble = match settings.get("trouble") {
-        Some(_) => Some(FaultSchedule::draw(whole("trouble")?, seconds, &fleet.plan)),
-        None => settings.flag("kills").then(|| FaultSchedule::of(kills(seconds))),
+    let mut schedule = match settings.get("trouble") {
+        Some(_) => Some(FaultSchedule::random(whole("trouble")?, seconds, &fleet.plan)),
+        None => settings.flag("kills").then(|| FaultSchedule::new(kills(seconds))),
     };
     while boot_millis() < began + seconds * 1000 {
-        fleet.sample();
-        if let Some(trouble) = trouble.as_mut() {
-            trouble.tend(&mut fleet, boot_millis() - began)?;
+        fleet.sample_routers();
+        if let Some(schedule) = schedule.as_mut() {
+            schedule.apply_due(&mut fleet, boot_millis() - began)?;
         }
         std::thread::park_timeout(Duration::from_millis(100));
     }
-    fleet.note(EventLine::RunEnds { at: boot_millis() });
+    fleet.record_event(EventLine::RunEnds { at: boot_millis() });
     calling.join().map_err(|_| "the caller's thread died")??;
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     println!("{}", report.text());
     if report.violations.is_empty() { Ok(()) } else { Err("a rule was broken".into()) }
 }
--- a/crates/testbed/src/watching.rs
+++ b/crates/testbed/src/monitoring.rs
@@ -5,12 +5,12 @@
 impl Fleet {
     /// The operators' page of the whole fleet.
     pub fn fleet_page(&self) -> Result<Value, String> {
-        let (status, page) = self.operate(Method::GET, "/v1/fleet", None, None)?;
+        let (status, page) = self.operator_request(Method::GET, "/v1/fleet", None, None)?;
         if status == 200 { Ok(page) } else { Err(format!("fleet page answered {status}")) }
     }
 
     /// Waits until the chain has so many keepers.
-    pub fn wait_core(&self, chain_length: usize) -> Result<(), String> {
+    pub fn wait_for_chain(&self, chain_length: usize) -> Result<(), String> {
         let formed = wait_until(Duration::from_secs(40), || {
             self.fleet_page().is_ok_and(|page| page["view"]["chain"].as_array().map(Vec::len) == Some(chain_length))
         });
@@ -31,18 +31,20 @@
     }
 
     /// A figure of a process's metrics.
-    pub fn gauge(&self, address: &str, name: &str) -> Option<u64> {
+    pub fn metric(&self, address: &str, name: &str) -> Option<u64> {
         let text = self.metrics(address).ok()?;
         let line = text.lines().find(|line| line.split(' ').next() == Some(name))?;
         line.rsplit(' ').next()?.parse().ok()
     }
 
     /// Waits until every running router holds a lease with this edition, and every engine is confirmed.
-    pub fn wait_served(&self, edition: u64) -> Result<(), String> {
+    pub fn wait_until_served(&self, edition: u64) -> Result<(), String> {
         let served = wait_until(Duration::from_secs(40), || {
             let routers_serve = self.nodes.iter().filter(|node| node.router.is_some()).all(|node| {
-                self.gauge(&node.router_address, "haremount_router_edition").is_some_and(|seen| seen >= edition)
-                    && self.gauge(&node.router_address, "haremount_router_lease_left_ms").is_some_and(|left| left > 0)
+                self.metric(&node.router_address, "haremount_router_edition").is_some_and(|seen| seen >= edition)
+                    && self
+                        .metric(&node.router_address, "haremount_router_lease_left_ms")
+                        .is_some_and(|left| left > 0)
             });
             routers_serve && self.engines_confirmed()
         });
@@ -61,17 +63,17 @@
     }
 
     /// Takes a look at every running router for the record.
-    pub fn sample(&self) {
+    pub fn sample_routers(&self) {
         for node in &self.nodes {
             let Some(router) = &node.router else { continue };
             let at = boot_millis();
-            let edition = self.gauge(&node.router_address, "haremount_router_edition");
-            let left = self.gauge(&node.router_address, "haremount_router_lease_left_ms");
-            let attempts = self.gauge(&node.router_address, "haremount_router_shots_total");
-            let retries = self.gauge(&node.router_address, "haremount_router_retries_total");
+            let edition = self.metric(&node.router_address, "haremount_router_edition");
+            let left = self.metric(&node.router_address, "haremount_router_lease_left_ms");
+            let attempts = self.metric(&node.router_address, "haremount_router_shots_total");
+            let retries = self.metric(&node.router_address, "haremount_router_retries_total");
             if let (Some(edition), Some(left), Some(attempts), Some(retries)) = (edition, left, attempts, retries) {
                 let router = router.ready.get("id").cloned().unwrap_or_default();
-                self.note(EventLine::Sample { at, router, edition, leased: left > 0, attempts, retries });
+                self.record_event(EventLine::Sample { at, router, edition, leased: left > 0, attempts, retries });
             }
         }
     }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -14,19 +14,19 @@
     /// Flags for every engine besides the usual ones.
     pub engine_flags: Vec<String>,
     /// Where routers take overlap from: `events`, `history` or `occupancy`.
-    pub sight: String,
+    pub overlap_source: String,
     /// The default policy's weight.
     pub weight: f64,
     /// How much agents, routers and keepers log.
     pub log_level: String,
     /// Routers record the day under the fleet's folder.
-    pub records: bool,
+    pub records_days: bool,
     /// Keepers are reached through relays, which can be cut.
     pub relayed: bool,
     /// The first engine prefills, the others decode.
-    pub split: bool,
-    /// Keepers are those built with pretended disks, which `trouble_disk` makes misbehave.
-    pub frail: bool,
+    pub split_roles: bool,
+    /// Keepers are those built with pretended disks, which `set_disk_fault` makes misbehave.
+    pub faulty_disks: bool,
 }
 
 impl FleetPlan {
@@ -38,13 +38,13 @@
             nodes: 2,
             engines: 3,
             engine_flags: vec!["--prefill-us=200".into(), "--decode-us=1000".into(), "--load-ms=100".into()],
-            sight: "events".into(),
+            overlap_source: "events".into(),
             weight: 1.0,
             log_level: "info".into(),
-            records: false,
+            records_days: false,
             relayed: false,
-            split: false,
-            frail: false,
+            split_roles: false,
+            faulty_disks: false,
         }
     }
 
--- a/crates/testbed/src/prelude.rs
+++ b/crates/testbed/src/prelude.rs
@@ -1,13 +1,13 @@
 //! The one import of this package's files and tests.
 
-pub(crate) use crate::asking::ASK_LIMIT;
 pub use crate::faults::*;
 pub use crate::fleet::*;
 pub use crate::plan::*;
 pub use crate::process::*;
 pub use crate::relay::*;
 pub use crate::report::*;
-pub(crate) use crate::starting::{QUICK_LINK_US, SLOW_LINK_US};
+pub(crate) use crate::requests::REQUEST_TIMEOUT;
+pub(crate) use crate::startup::{QUICK_LINK_US, SLOW_LINK_US};
 pub use contract::prelude::EngineLogLine;
 pub(crate) use process::prelude::sha256_hex;
 pub use serde_json::{Value, json};
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -14,12 +14,12 @@
 }
 
 /// The keeper with pretended disks, built apart from the ordinary programs.
-pub const FRAIL_KEEPER: &str = "frail keeper";
+pub const FAULTY_DISK_KEEPER: &str = "frail keeper";
 
 /// Where the built programs are: beside the running one, or one folder up from a test.
 pub fn program_path(program: &str) -> Result<PathBuf, String> {
     let own_path = std::env::current_exe().map_err(|fault| fault.to_string())?;
-    if program == FRAIL_KEEPER {
+    if program == FAULTY_DISK_KEEPER {
         let candidate = own_path.ancestors().skip(2).take(3).map(|folder| folder.join("frail/debug/keeper"));
         let found = candidate.into_iter().find(|path| path.is_file());
         return found.ok_or_else(|| {
@@ -38,11 +38,11 @@
 impl Process {
     /// Starts a program and waits for its ready line; its log goes to `NAME.log` in the folder.
     pub fn start(program: &str, name: &str, arguments: &[String], folder: &Path) -> Result<Process, String> {
-        Process::start_within(program, name, arguments, folder, READY_CAP)
+        Process::start_with_timeout(program, name, arguments, folder, READY_CAP)
     }
 
     /// The same, waiting no longer than the cap.
-    pub fn start_within(
+    pub fn start_with_timeout(
         program: &str,
         name: &str,
         arguments: &[String],
@@ -74,7 +74,7 @@
     }
 
     /// Starts a program and waits for nothing; it has no addresses to tell.
-    pub fn begin(program: &str, name: &str, arguments: &[String], folder: &Path) -> Result<Process, String> {
+    pub fn spawn(program: &str, name: &str, arguments: &[String], folder: &Path) -> Result<Process, String> {
         let (child, _) = Process::launch(program, name, arguments, folder)?;
         Ok(Process { name: name.to_owned(), ready: BTreeMap::new(), child })
     }
@@ -138,7 +138,7 @@
     }
 
     /// Lets it run again.
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Tells it to stop in good order.
-    pub fn ask_to_stop(&self) {
+    pub fn terminate(&self) {
         self.signal(libc::SIGTERM);
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Waits for its own end, at most so long; its exit code.
-    pub fn wait_end(&mut self, cap: Duration) -> Option<i32> {
+    pub fn wait_for_exit(&mut self, cap: Duration) -> Option<i32> {
         let mut ended = None;
         wait_until(cap, || {
             ended = self.child.try_wait().ok().flatten();
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -26,8 +26,8 @@
             record.callers.extend(text.lines().filter_map(|line| serde_json::from_str::<CallerLine>(line).ok()));
         }
         for node in self.nodes.iter().filter(|node| node.router.is_some()) {
-            record.attempts += self.gauge(&node.router_address, "haremount_router_shots_total").unwrap_or(0);
-            record.retries += self.gauge(&node.router_address, "haremount_router_retries_total").unwrap_or(0);
+            record.attempts += self.metric(&node.router_address, "haremount_router_shots_total").unwrap_or(0);
+            record.retries += self.metric(&node.router_address, "haremount_router_retries_total").unwrap_or(0);
         }
         record
     }
@@ -55,7 +55,8 @@
         ];
         let (folder, name) = (self.folder.clone(), name.to_owned());
         let cap = Duration::from_secs(seconds + 60);
-        let calling = std::thread::spawn(move || Process::start_within("caller", &name, &arguments, &folder, cap));
+        let calling =
+            std::thread::spawn(move || Process::start_with_timeout("caller", &name, &arguments, &folder, cap));
         Ok((calling, out_path))
     }
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -26,7 +26,7 @@
 
 impl DayReport {
     /// The report of a record.
-    pub fn of(record: &Record) -> DayReport {
+    pub fn from_record(record: &Record) -> DayReport {
         let mut report = DayReport { violations: check_record(record), ..DayReport::default() };
         let mut firsts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         let (mut prompt_blocks, mut cached_blocks) = (0, 0);
--- a/crates/testbed/src/asking.rs
+++ b/crates/testbed/src/requests.rs
@@ -2,11 +2,11 @@
 
 use crate::prelude::*;
 
-pub(crate) const ASK_LIMIT: Span = Span::seconds(12);
+pub(crate) const REQUEST_TIMEOUT: Span = Span::seconds(12);
 
 impl Fleet {
     /// Asks a process for a page; the status and the answer.
-    pub fn ask(
+    pub fn request(
         &self,
         address: &str,
         method: Method,
@@ -17,18 +17,18 @@
             Some(value) => OutgoingRequest::with_json(method, path, value),
             None => OutgoingRequest { method, ..OutgoingRequest::get(path) },
         };
-        self.ask_question(address, question)
+        self.send_request(address, question)
     }
 
     /// Asks a process; the status and the answer.
-    pub fn ask_question(&self, address: &str, question: OutgoingRequest) -> Result<(u16, Value), String> {
-        let (status, value) = self.runtime.block_on(fetch_json(address, question, ASK_LIMIT))?;
+    pub fn send_request(&self, address: &str, question: OutgoingRequest) -> Result<(u16, Value), String> {
+        let (status, value) = self.runtime.block_on(fetch_json(address, question, REQUEST_TIMEOUT))?;
         Ok((status.as_u16(), value))
     }
 
     /// Asks as the operator, through the first keeper that answers; one that says it has no part in the core
     /// now is passed over for another.
-    pub fn operate(
+    pub fn operator_request(
         &self,
         method: Method,
         path: &str,
@@ -37,7 +37,7 @@
     ) -> Result<(u16, Value), String> {
         let mut last_outcome = Err(String::from("no keeper runs"));
         for keeper in self.keepers.iter().filter(|keeper| keeper.process.is_some()) {
-            match self.operate_at(&keeper.door, method.clone(), path, body, if_match) {
+            match self.operator_request_at(&keeper.operator_address, method.clone(), path, body, if_match) {
                 Ok((503, answer)) => last_outcome = Ok((503, answer)),
                 Ok(answer) => return Ok(answer),
                 Err(reason) if last_outcome.is_err() => last_outcome = Err(reason),
@@ -48,7 +48,7 @@
     }
 
     /// Asks one keeper as the operator.
-    pub fn operate_at(
+    pub fn operator_request_at(
         &self,
         door: &str,
         method: Method,
@@ -64,7 +64,7 @@
         if let Some(edition) = if_match {
             question = question.header("if-match", format!("\"{edition}\""));
         }
-        self.ask_question(door, question)
+        self.send_request(door, question)
     }
 
     /// One request to a router; the status and the answer.
@@ -72,6 +72,6 @@
         let body = json!({"model": "model", "prompt": prompt, "max_tokens": 4});
         let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", self.tenants[tenant].1));
-        self.ask_question(&self.router_address(router), question)
+        self.send_request(&self.router_address(router), question)
     }
 }
--- a/crates/testbed/src/starting.rs
+++ b/crates/testbed/src/startup.rs
@@ -8,7 +8,7 @@
 
 impl Fleet {
     /// Addresses of up to three keepers, those that run if any does.
-    pub fn seeds(&self) -> String {
+    pub fn seed_addresses(&self) -> String {
         let running = self.keepers.iter().filter(|keeper| keeper.process.is_some());
         let mut addresses: Vec<&str> = running.map(|keeper| keeper.address.as_str()).collect();
         if addresses.is_empty() {
@@ -26,11 +26,11 @@
         let keeper = Keeper {
             process: None,
             address: "127.0.0.1:0".into(),
-            door: "127.0.0.1:0".into(),
+            operator_address: "127.0.0.1:0".into(),
             id: String::new(),
             data,
             relay,
-            bound: "127.0.0.1:0".into(),
+            bound_address: "127.0.0.1:0".into(),
             zone: ZONES[number % 4].into(),
         };
         self.keepers.push(keeper);
@@ -39,12 +39,12 @@
     }
 
     /// The program a keeper is, and what it is told at its start.
-    pub fn keeper_call(&self, number: usize, founds: bool) -> (&'static str, Vec<String>) {
-        let seeds = self.seeds();
+    pub fn keeper_command(&self, number: usize, founds: bool) -> (&'static str, Vec<String>) {
+        let seeds = self.seed_addresses();
         let keeper = &self.keepers[number];
         let mut arguments = vec![
-            format!("--listen={}", keeper.bound),
-            format!("--door={}", keeper.door),
+            format!("--listen={}", keeper.bound_address),
+            format!("--door={}", keeper.operator_address),
             format!("--data={}", keeper.data.display()),
             format!("--zone={}", keeper.zone),
             format!("--platform={}", self.platform.address()),
@@ -60,37 +60,37 @@
         } else {
             arguments.push(format!("--seeds={seeds}"));
         }
-        let program = if self.plan.frail { FRAIL_KEEPER } else { "keeper" };
-        if self.plan.frail {
-            arguments.push(format!("--disk-faults={}", self.disk_control(number).display()));
+        let program = if self.plan.faulty_disks { FAULTY_DISK_KEEPER } else { "keeper" };
+        if self.plan.faulty_disks {
+            arguments.push(format!("--disk-faults={}", self.disk_fault_file(number).display()));
         }
         (program, arguments)
     }
 
     /// Starts a keeper in its folder, at the address it had before.
     pub fn start_keeper(&mut self, number: usize, founds: bool) -> Result<(), String> {
-        let (program, arguments) = self.keeper_call(number, founds);
+        let (program, arguments) = self.keeper_command(number, founds);
         let process = Process::start(program, &format!("keeper{number}"), &arguments, &self.folder)?;
         let keeper = &mut self.keepers[number];
         keeper.address = process.address();
-        keeper.bound = process.ready.get("bound").cloned().unwrap_or_default();
+        keeper.bound_address = process.ready.get("bound").cloned().unwrap_or_default();
         if let Some(relay) = &keeper.relay {
-            relay.lead_to(&keeper.bound);
+            relay.set_target(&keeper.bound_address);
         }
-        keeper.door = process.ready.get("door").cloned().unwrap_or_default();
+        keeper.operator_address = process.ready.get("door").cloned().unwrap_or_default();
         keeper.id = process.ready.get("id").cloned().unwrap_or_default();
         keeper.process = Some(process);
         Ok(())
     }
 
     /// The file that says how a frail keeper's disk misbehaves.
-    pub fn disk_control(&self, number: usize) -> PathBuf {
+    pub fn disk_fault_file(&self, number: usize) -> PathBuf {
         self.folder.join(format!("keeper{number}.disk"))
     }
 
     /// Makes a frail keeper's disk `slow MILLIS`, `stall`, `full`, `fail`, or well again with nothing.
-    pub fn trouble_disk(&self, number: usize, state: &str) -> Result<(), String> {
-        std::fs::write(self.disk_control(number), state).map_err(|fault| fault.to_string())
+    pub fn set_disk_fault(&self, number: usize, state: &str) -> Result<(), String> {
+        std::fs::write(self.disk_fault_file(number), state).map_err(|fault| fault.to_string())
     }
 
     /// Adds, starts and lists an engine; its number.
@@ -100,7 +100,7 @@
             process: None,
             name: format!("engine{number}"),
             address: "127.0.0.1:0".into(),
-            away: false,
+            listed_away: false,
             zone: ZONES[number % 4].into(),
         };
         self.engines.push(engine);
@@ -133,7 +133,7 @@
     pub fn list_engine(&self, number: usize, state: &str) -> Result<(), String> {
         let engine = &self.engines[number];
         let path = format!("/v1/engines/{}", engine.name);
-        let role = match (self.plan.split, number) {
+        let role = match (self.plan.split_roles, number) {
             (false, _) => "whole",
             (true, 0) => "prefill",
             (true, _) => "decode",
@@ -143,9 +143,9 @@
             "gone" => OutgoingRequest { method: Method::DELETE, ..OutgoingRequest::get(&path) },
             _ => OutgoingRequest::with_json(Method::PUT, &path, &body),
         };
-        self.runtime.block_on(fetch_json(&self.platform.address(), question, ASK_LIMIT))?;
+        self.runtime.block_on(fetch_json(&self.platform.address(), question, REQUEST_TIMEOUT))?;
         let (at, engine) = (boot_millis(), engine.name.clone());
-        self.note(if state == "open" {
+        self.record_event(if state == "open" {
             EventLine::ListedOpen { at, engine }
         } else {
             EventLine::ListedAway { at, engine }
@@ -171,7 +171,7 @@
     pub fn start_agent(&mut self, number: usize) -> Result<(), String> {
         let arguments = vec![
             format!("--listen={}", self.nodes[number].agent_address),
-            format!("--seeds={}", self.seeds()),
+            format!("--seeds={}", self.seed_addresses()),
             format!("--zone={}", ZONES[number % 4]),
             format!("--log-level={}", self.plan.log_level),
         ];
@@ -191,7 +191,7 @@
             format!("--log-level={}", self.plan.log_level),
         ];
         let mut arguments = arguments;
-        if self.plan.records {
+        if self.plan.records_days {
             arguments.push(format!("--record={}", self.folder.join("days").display()));
         }
         let process = Process::start("router", &format!("router{number}"), &arguments, &self.folder)?;
--- a/crates/testbed/tests/adapters.rs
+++ b/crates/testbed/tests/adapters.rs
@@ -201,7 +201,7 @@
 
 /// Engines that hold an adapter warm in a region, as the operators' page tells.
 fn warm_in(fleet: &Fleet, adapter: &str, region: &str) -> Vec<String> {
-    let Ok((200, page)) = fleet.operate(Method::GET, "/v1/adapters", None, None) else { return Vec::new() };
+    let Ok((200, page)) = fleet.operator_request(Method::GET, "/v1/adapters", None, None) else { return Vec::new() };
     let adapters = page["adapters"].as_array().cloned().unwrap_or_default();
     let found = adapters.iter().filter(|known| known["name"] == adapter);
     let copies = found.flat_map(|known| known["copies"].as_array().cloned().unwrap_or_default());
@@ -213,7 +213,7 @@
     let is_warm = wait_until(Duration::from_secs(40), || {
         warm_in(fleet, adapter, region).iter().filter(|engine| *engine != but).count() >= count
     });
-    let page = fleet.operate(Method::GET, "/v1/adapters", None, None);
+    let page = fleet.operator_request(Method::GET, "/v1/adapters", None, None);
     assert!(is_warm, "{adapter} is not warm {count} times in {region:?}: {page:?}");
 }
 
@@ -231,7 +231,7 @@
         .unwrap();
     let at = boot_millis();
     for (tenant, adapter) in [(engraver, "engraver@3"), (clinic, "clinic@1")] {
-        fleet.note(EventLine::AdapterInForce { at, tenant, adapter: adapter.into() });
+        fleet.record_event(EventLine::AdapterInForce { at, tenant, adapter: adapter.into() });
     }
 }
 
@@ -293,7 +293,7 @@
         lines.iter().any(|line| line.tenant == engraver && line.at >= moved_at && line.outcome == "whole")
     };
     assert!(wait_until(Duration::from_secs(20), || has_come(&callers.lines.lock().unwrap())));
-    fleet.note(EventLine::Lost { at: boot_millis(), what: "n2".into() });
+    fleet.record_event(EventLine::Lost { at: boot_millis(), what: "n2".into() });
     fleet.nodes[2].router = None;
     fleet.nodes[2].agent = None;
     await_warm(&fleet, "engraver", "south", "", 1);
@@ -306,7 +306,7 @@
     let lost = warm_in(&fleet, "engraver", "south")[0].clone();
     let number = fleet.engines.iter().position(|engine| engine.name == lost).unwrap();
     let lost_at = boot_millis();
-    fleet.note(EventLine::Lost { at: lost_at, what: lost.clone() });
+    fleet.record_event(EventLine::Lost { at: lost_at, what: lost.clone() });
     fleet.engines[number].process = None;
     await_warm(&fleet, "engraver", "south", &lost, 2);
     let made_good_after = boot_millis() - lost_at;
@@ -335,7 +335,7 @@
     }
     for (name, counted) in ["own_zone", "own_region", "other_region", "cold"].map(|name| {
         let counter = format!("haremount_router_adapter_{name}_total");
-        let up = [0, 1, 3].map(|router| fleet.gauge(&fleet.router_address(router), &counter).unwrap_or(0));
+        let up = [0, 1, 3].map(|router| fleet.metric(&fleet.router_address(router), &counter).unwrap_or(0));
         (name, up.iter().sum::<u64>())
     }) {
         println!("adapters: {name} {counted}");
@@ -393,7 +393,7 @@
         fleet.record(&[]).starts().map(|start| start.salt.clone()).collect();
     assert_eq!(salts.len(), 3, "kept blocks are named under the adapter");
     let faults = json!({"answers_as": "clinic@1"});
-    assert_eq!(fleet.ask(&engine, Method::POST, "/v1/faults", Some(&faults)).unwrap().0, 200);
+    assert_eq!(fleet.request(&engine, Method::POST, "/v1/faults", Some(&faults)).unwrap().0, 200);
     let key = fleet.tenants[ENGRAVER].1.clone();
     let (status, told, _) = ask_head(&fleet.router_address(0), completion(&key, ""));
     assert_eq!((status, told["error"]["type"].as_str()), (502, Some("unknown")), "{told}");
--- a/crates/testbed/tests/core.rs
+++ b/crates/testbed/tests/core.rs
@@ -34,7 +34,7 @@
         let next_edition = wait_change(&fleet, &format!("after{round}"));
         assert!(next_edition > edition);
         fleet.start_keeper(lost, false).unwrap();
-        fleet.wait_core(4).unwrap();
+        fleet.wait_for_chain(4).unwrap();
     }
 }
 
@@ -50,7 +50,10 @@
     }
     let mut seen = None;
     wait_until(Duration::from_secs(30), || {
-        seen = fleet.operate(Method::GET, "/v1/desired-state", None, None).ok().filter(|answer| answer.0 == 200);
+        seen = fleet
+            .operator_request(Method::GET, "/v1/desired-state", None, None)
+            .ok()
+            .filter(|answer| answer.0 == 200);
         seen.is_some()
     });
     assert_eq!(seen.unwrap().1["kinds"], json!(["kept"]));
@@ -73,7 +76,7 @@
         })
     });
     assert!(replaced, "{:?}", fleet.fleet_page());
-    fleet.wait_core(4).unwrap();
+    fleet.wait_for_chain(4).unwrap();
     assert_eq!(fleet.desired_edition().unwrap(), edition);
     wait_change(&fleet, "goes on");
 }
@@ -85,7 +88,13 @@
     let change = |door: usize, kind: &str| {
         let body = json!({"kinds": [kind]});
         fleet
-            .operate_at(&fleet.keepers[door].door, Method::PATCH, "/v1/desired-state", Some(&body), Some(base))
+            .operator_request_at(
+                &fleet.keepers[door].operator_address,
+                Method::PATCH,
+                "/v1/desired-state",
+                Some(&body),
+                Some(base),
+            )
             .unwrap()
     };
     let (first, second) = std::thread::scope(|scope| {
@@ -99,7 +108,7 @@
     let (winner, loser) = if first.0 == 200 { (first, second) } else { (second, first) };
     assert_eq!(loser.1["now"], winner.1["edition"], "the loser sees what moved");
     let request = winner.1["request"].as_str().unwrap();
-    let again = fleet.operate(Method::GET, &format!("/v1/requests/{request}"), None, None).unwrap();
+    let again = fleet.operator_request(Method::GET, &format!("/v1/requests/{request}"), None, None).unwrap();
     assert_eq!(again.1["edition"], winner.1["edition"]);
 }
 
@@ -119,7 +128,7 @@
             "--found".to_owned(),
             format!("--operator-key-file={key_file}"),
             format!("--data={data}"),
-            format!("--seeds={}", fleet.seeds()),
+            format!("--seeds={}", fleet.seed_addresses()),
         ]
     };
     let log = run("second-founder", &flags(&second_folder));
@@ -142,8 +151,8 @@
     let restored = chain_place(&fleet, 1);
     let id = fleet.keepers[restored].id.clone();
     let process = fleet.keepers[restored].process.as_mut().unwrap();
-    process.ask_to_stop();
-    assert_eq!(process.wait_end(Duration::from_secs(10)), Some(0));
+    process.terminate();
+    assert_eq!(process.wait_for_exit(Duration::from_secs(10)), Some(0));
     fleet.keepers[restored].process = None;
     let backup = fleet.folder.join("backup");
     std::fs::create_dir_all(&backup).unwrap();
@@ -154,9 +163,9 @@
     std::fs::copy(backup.join("ledger.redb"), &ledger).unwrap();
     fleet.start_keeper(restored, false).unwrap();
     assert_eq!(fleet.keepers[restored].id, id, "a restored folder is the machine it was");
-    fleet.wait_core(4).unwrap();
+    fleet.wait_for_chain(4).unwrap();
     assert!(fleet.desired_edition().unwrap() >= edition);
-    let door = fleet.keepers[restored].door.clone();
-    let own_word = fleet.operate_at(&door, Method::GET, "/v1/desired-state", None, None).unwrap();
+    let door = fleet.keepers[restored].operator_address.clone();
+    let own_word = fleet.operator_request_at(&door, Method::GET, "/v1/desired-state", None, None).unwrap();
     assert_eq!(own_word.1["kinds"], json!(["made while it was away"]));
 }
--- a/crates/testbed/tests/data.rs
+++ b/crates/testbed/tests/data.rs
@@ -5,7 +5,7 @@
 use testbed::prelude::*;
 
 fn engine_faults(fleet: &Fleet, engine: usize, faults: Value) {
-    let answer = fleet.ask(&fleet.engines[engine].address, Method::POST, "/v1/faults", Some(&faults)).unwrap();
+    let answer = fleet.request(&fleet.engines[engine].address, Method::POST, "/v1/faults", Some(&faults)).unwrap();
     assert_eq!(answer.0, 200);
 }
 
@@ -30,7 +30,7 @@
 fn post(fleet: &Fleet, body: &Value) -> (u16, Value) {
     let question = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/completions", body)
         .header("authorization", format!("Bearer {}", fleet.tenants[0].1));
-    fleet.ask_question(&fleet.router_address(0), question).unwrap()
+    fleet.send_request(&fleet.router_address(0), question).unwrap()
 }
 
 #[test]
@@ -90,9 +90,9 @@
     fleet.list_engine(0, "leaving").unwrap();
     fleet.list_engine(1, "gone").unwrap();
     fleet.patch_document(&json!({"models": {"model": {"weights": 2}}})).unwrap();
-    fleet.note(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
+    fleet.record_event(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
     let moved = wait_until(Duration::from_secs(30), || {
-        fleet.sample();
+        fleet.sample_routers();
         fleet.fleet_page().is_ok_and(|page| {
             let engines = page["engines"].as_array().cloned().unwrap_or_default();
             let open_engines: Vec<&Value> = engines.iter().filter(|engine| engine["listed"] == "open").collect();
@@ -102,7 +102,7 @@
     });
     assert!(moved, "{:?}", fleet.fleet_page());
     calling.join().unwrap().unwrap();
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
     assert!(report.outcomes["whole"] > 200, "{}", report.text());
 }
@@ -168,7 +168,7 @@
     let mut fleet =
         Fleet::start(FleetPlan { nodes: 1, engines: 1, engine_flags: slow, ..FleetPlan::small() }).unwrap();
     let running =
-        |fleet: &Fleet| fleet.gauge(&fleet.engines[0].address, "vllm:num_requests_running{model_name=\"model\"}");
+        |fleet: &Fleet| fleet.metric(&fleet.engines[0].address, "vllm:num_requests_running{model_name=\"model\"}");
     let address = fleet.router_address(0);
     let begin = |tokens: u64| {
         let body = json!({"model": "model", "prompt": "long", "max_tokens": tokens, "stream": true}).to_string();
@@ -188,7 +188,7 @@
     drop(leaving);
     assert!(wait_until(Duration::from_secs(5), || running(&fleet) == Some(0)), "the shot was cancelled");
     let mut staying = begin(30);
-    fleet.nodes[0].router.as_ref().unwrap().ask_to_stop();
+    fleet.nodes[0].router.as_ref().unwrap().terminate();
     let refused =
         wait_until(Duration::from_secs(5), || fleet.complete(0, 0, "too late").is_ok_and(|answer| answer.0 == 503));
     assert!(refused);
@@ -196,7 +196,7 @@
     staying.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     staying.read_to_string(&mut rest).ok();
     assert!(rest.contains("[DONE]"), "the running stream was let finish: {rest}");
-    let code = fleet.nodes[0].router.as_mut().unwrap().wait_end(Duration::from_secs(20));
+    let code = fleet.nodes[0].router.as_mut().unwrap().wait_for_exit(Duration::from_secs(20));
     assert_eq!(code, Some(0));
 }
 
@@ -207,12 +207,12 @@
     let frozen_agent = fleet.nodes[0].agent.as_ref().unwrap();
     frozen.freeze();
     frozen_agent.freeze();
-    let withdrawn = fleet.operate(Method::DELETE, "/v1/tenants/tenant3/keys/main", None, None).unwrap();
+    let withdrawn = fleet.operator_request(Method::DELETE, "/v1/tenants/tenant3/keys/main", None, None).unwrap();
     assert_eq!(withdrawn.0, 200, "acknowledged once the frozen node's lease has run out: {}", withdrawn.1);
-    frozen.wake();
+    frozen.resume();
     let (status, answer) = fleet.complete(0, 3, "with a withdrawn key").unwrap();
     assert!(status == 503 || status == 401, "{status} {answer}");
-    frozen_agent.wake();
+    frozen_agent.resume();
     let back = wait_until(Duration::from_secs(20), || {
         fleet.complete(0, 2, "another key").is_ok_and(|answer| answer.0 == 200)
     });
@@ -229,12 +229,12 @@
     let prompt = "a long shared score ".repeat(60);
     let by_history = wait_until(Duration::from_secs(20), || {
         assert_eq!(fleet.complete(0, 0, &prompt).unwrap().0, 200);
-        fleet.gauge(&fleet.router_address(0), "haremount_router_history_picks_total").unwrap_or(0) > 2
+        fleet.metric(&fleet.router_address(0), "haremount_router_history_picks_total").unwrap_or(0) > 2
     });
     assert!(by_history, "late events must be noticed");
-    let reused_before = fleet.gauge(&fleet.router_address(0), "haremount_router_reused_blocks_total").unwrap();
+    let reused_before = fleet.metric(&fleet.router_address(0), "haremount_router_reused_blocks_total").unwrap();
     assert_eq!(fleet.complete(0, 0, &prompt).unwrap().0, 200);
-    let reused_after = fleet.gauge(&fleet.router_address(0), "haremount_router_reused_blocks_total").unwrap();
+    let reused_after = fleet.metric(&fleet.router_address(0), "haremount_router_reused_blocks_total").unwrap();
     assert!(reused_after > reused_before, "history finds the engine that keeps the prefix");
 }
 
@@ -261,7 +261,7 @@
     engine_faults(&fleet, 0, json!({"refuse": true}));
     engine_faults(&fleet, 1, json!({"refuse": true}));
     let count =
-        |name: &str| fleet.gauge(&fleet.router_address(0), &format!("haremount_router_{name}_total")).unwrap();
+        |name: &str| fleet.metric(&fleet.router_address(0), &format!("haremount_router_{name}_total")).unwrap();
     let (shots_before, retries_before) = (count("shots"), count("retries"));
     for number in 0..60 {
         let body =
--- a/crates/testbed/tests/disks.rs
+++ b/crates/testbed/tests/disks.rs
@@ -4,8 +4,8 @@
 
 use testbed::prelude::*;
 
-fn frail_fleet(nodes: usize, engines: usize) -> Fleet {
-    Fleet::start(FleetPlan { nodes, engines, frail: true, ..FleetPlan::small() }).unwrap()
+fn faulty_disk_fleet(nodes: usize, engines: usize) -> Fleet {
+    Fleet::start(FleetPlan { nodes, engines, faulty_disks: true, ..FleetPlan::small() }).unwrap()
 }
 
 fn chain(fleet: &Fleet) -> Vec<String> {
@@ -17,7 +17,7 @@
 fn change_taken(fleet: &Fleet, kind: &str) -> u64 {
     let mut edition = None;
     let taken = wait_until(Duration::from_secs(40), || {
-        fleet.sample();
+        fleet.sample_routers();
         edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", kind]})).ok();
         edition.is_some()
     });
@@ -27,30 +27,30 @@
 
 #[test]
 fn slow_and_stalled_disks_at_each_place_of_the_chain_stop_nobody() {
-    let fleet = frail_fleet(2, 3);
+    let fleet = faulty_disk_fleet(2, 3);
     let (calling, calls) = fleet.start_caller("day", 30, 20, 17).unwrap();
     for place in [0, 1, 3] {
         let members = chain(&fleet);
         let troubled = fleet.keepers.iter().position(|keeper| keeper.id == members[place]).unwrap();
-        fleet.trouble_disk(troubled, "slow 120").unwrap();
+        fleet.set_disk_fault(troubled, "slow 120").unwrap();
         change_taken(&fleet, &format!("slow{place}"));
         assert_eq!(fleet.complete(0, 0, &format!("while a disk is slow {place}")).unwrap().0, 200);
-        fleet.trouble_disk(troubled, "stall").unwrap();
+        fleet.set_disk_fault(troubled, "stall").unwrap();
         change_taken(&fleet, &format!("stalled{place}"));
         let left_out = wait_until(Duration::from_secs(30), || !chain(&fleet).contains(&members[place]));
         assert!(left_out, "a keeper whose disk stands still leaves the chain: {:?}", fleet.fleet_page());
-        fleet.trouble_disk(troubled, "").unwrap();
-        fleet.wait_core(4).unwrap();
+        fleet.set_disk_fault(troubled, "").unwrap();
+        fleet.wait_for_chain(4).unwrap();
     }
     calling.join().unwrap().unwrap();
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
     assert!(report.outcomes["whole"] > 300, "{}", report.text());
 }
 
 #[test]
 fn power_lost_right_after_an_acknowledgement_loses_nothing_acknowledged() {
-    let mut fleet = frail_fleet(0, 0);
+    let mut fleet = faulty_disk_fleet(0, 0);
     for round in 0..4 {
         let kind = format!("kept{round}");
         let edition = change_taken(&fleet, &kind);
@@ -62,7 +62,7 @@
         }
         let mut seen = (0, Value::Null);
         let back = wait_until(Duration::from_secs(40), || {
-            let asked = fleet.operate(Method::GET, "/v1/desired-state", None, None);
+            let asked = fleet.operator_request(Method::GET, "/v1/desired-state", None, None);
             asked.is_ok_and(|answer| {
                 seen = answer;
                 seen.0 == 200
@@ -83,24 +83,30 @@
 }
 
 fn refuses(fleet: &Fleet, number: usize) -> bool {
-    fleet.gauge(&fleet.keepers[number].door, "haremount_keeper_disk_refuses") == Some(1)
+    fleet.metric(&fleet.keepers[number].operator_address, "haremount_keeper_disk_refuses") == Some(1)
 }
 
 /// The kinds that a keeper's own door tells.
 fn kinds_at(fleet: &Fleet, number: usize) -> Value {
-    let asked = fleet.operate_at(&fleet.keepers[number].door, Method::GET, "/v1/desired-state", None, None);
+    let asked = fleet.operator_request_at(
+        &fleet.keepers[number].operator_address,
+        Method::GET,
+        "/v1/desired-state",
+        None,
+        None,
+    );
     asked.map_or(Value::Null, |(_, answer)| answer["kinds"].clone())
 }
 
 #[test]
 fn a_keeper_whose_disk_refuses_is_left_out_and_comes_back_by_itself() {
-    let mut fleet = frail_fleet(2, 3);
+    let mut fleet = faulty_disk_fleet(2, 3);
     let (calling, calls) = fleet.start_caller("day", 60, 20, 23).unwrap();
     for (place, wish) in [(0, "full"), (1, "fail"), (3, "full"), (3, "fail")] {
         let members = chain(&fleet);
         let troubled = fleet.keepers.iter().position(|keeper| keeper.id == members[place]).unwrap();
         let id = fleet.keepers[troubled].process.as_ref().unwrap().id();
-        fleet.trouble_disk(troubled, wish).unwrap();
+        fleet.set_disk_fault(troubled, wish).unwrap();
         let edition = change_taken(&fleet, &format!("{wish}{place}"));
         let left_out = wait_until(Duration::from_secs(30), || !chain(&fleet).contains(&members[place]));
         assert!(
@@ -109,17 +115,17 @@
             fleet.fleet_page()
         );
         assert!(refuses(&fleet, troubled));
-        let door = fleet.keepers[troubled].door.clone();
+        let door = fleet.keepers[troubled].operator_address.clone();
         assert_eq!(fleet.is_ready(&door), Ok(false));
         let change = json!({"kinds": ["own"]});
-        let own = fleet.operate_at(&door, Method::PATCH, "/v1/desired-state", Some(&change), Some(edition));
+        let own = fleet.operator_request_at(&door, Method::PATCH, "/v1/desired-state", Some(&change), Some(edition));
         assert!(own.as_ref().is_ok_and(|(status, _)| *status != 200), "it acknowledges nothing: {own:?}");
         let last_kind = format!("{wish}{place}-meanwhile");
         change_taken(&fleet, &last_kind);
         assert_eq!(fleet.complete(0, 0, &last_kind).unwrap().0, 200);
         assert!(is_running(&mut fleet, troubled), "{}", log_of(&fleet, troubled));
-        fleet.trouble_disk(troubled, "").unwrap();
-        fleet.wait_core(4).unwrap();
+        fleet.set_disk_fault(troubled, "").unwrap();
+        fleet.wait_for_chain(4).unwrap();
         assert!(wait_until(Duration::from_secs(20), || fleet.is_ready(&door) == Ok(true)));
         let level = || kinds_at(&fleet, troubled).to_string().contains(&last_kind);
         assert!(wait_until(Duration::from_secs(20), level), "{}", kinds_at(&fleet, troubled));
@@ -128,28 +134,28 @@
         assert!(log.contains("event=disk_refuses") && log.contains("event=disk_takes_again"), "{log}");
     }
     calling.join().unwrap().unwrap();
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
     assert!(report.outcomes["whole"] > 600, "{}", report.text());
 }
 
 #[test]
 fn a_core_whose_disks_all_refuse_acknowledges_nothing_and_goes_on_after_it() {
-    let mut fleet = frail_fleet(0, 0);
+    let mut fleet = faulty_disk_fleet(0, 0);
     for wish in ["full", "fail"] {
         let edition = change_taken(&fleet, &format!("before-{wish}"));
         for number in 0..4 {
-            fleet.trouble_disk(number, wish).unwrap();
+            fleet.set_disk_fault(number, wish).unwrap();
         }
         let lost = fleet.patch_document(&json!({"kinds": [format!("while-{wish}")]}));
         assert!(lost.is_err(), "acknowledged while no disk takes writes: {lost:?}");
         assert!((0..4).any(|number| refuses(&fleet, number)));
         assert!((0..4).all(|number| is_running(&mut fleet, number)));
         for number in 0..4 {
-            fleet.trouble_disk(number, "").unwrap();
+            fleet.set_disk_fault(number, "").unwrap();
         }
         assert!(change_taken(&fleet, &format!("after-{wish}")) > edition);
-        fleet.wait_core(4).unwrap();
+        fleet.wait_for_chain(4).unwrap();
         assert!((0..4).all(|number| is_running(&mut fleet, number)));
     }
 }
@@ -157,13 +163,13 @@
 /// Whatever a disk that failed has shown meanwhile, what was acknowledged after it outlives the loss of power.
 #[test]
 fn power_lost_after_disks_refused_loses_nothing_acknowledged() {
-    let mut fleet = frail_fleet(0, 0);
+    let mut fleet = faulty_disk_fleet(0, 0);
     for (round, wish) in ["fail", "full", "fail"].into_iter().enumerate() {
         for number in [round, (round + 1) % 4] {
-            fleet.trouble_disk(number, wish).unwrap();
+            fleet.set_disk_fault(number, wish).unwrap();
             change_taken(&fleet, &format!("while-{number}-{wish}"));
-            fleet.trouble_disk(number, "").unwrap();
-            fleet.wait_core(4).unwrap();
+            fleet.set_disk_fault(number, "").unwrap();
+            fleet.wait_for_chain(4).unwrap();
         }
         let kind = format!("kept{round}");
         let edition = change_taken(&fleet, &kind);
@@ -176,21 +182,21 @@
         let back = wait_until(Duration::from_secs(40), || kinds_at(&fleet, 0).to_string().contains(&kind));
         assert!(back, "acknowledged as {edition}, lost: {}", kinds_at(&fleet, 0));
         assert!(fleet.desired_edition().unwrap() >= edition);
-        fleet.wait_core(4).unwrap();
+        fleet.wait_for_chain(4).unwrap();
     }
 }
 
 #[test]
 fn a_keeper_started_on_a_disk_that_refuses_waits_until_it_takes_writes() {
-    let mut fleet = frail_fleet(0, 0);
+    let mut fleet = faulty_disk_fleet(0, 0);
     for (number, wish, is_new) in [(1, "full", false), (2, "fail", false), (3, "full", true)] {
         fleet.keepers[number].process = None;
         if is_new {
             std::fs::remove_dir_all(&fleet.keepers[number].data).unwrap();
         }
         change_taken(&fleet, &format!("without-{number}"));
-        fleet.trouble_disk(number, wish).unwrap();
-        let control = fleet.disk_control(number);
+        fleet.set_disk_fault(number, wish).unwrap();
+        let control = fleet.disk_fault_file(number);
         let began = boot_millis();
         let healing = std::thread::spawn(move || {
             wait_until(Duration::from_secs(3), || false);
@@ -200,7 +206,7 @@
         healing.join().unwrap();
         assert!(boot_millis() >= began + 3000, "{wish}: it began on a disk that refuses");
         assert!(log_of(&fleet, number).contains("event=disk_refuses"), "{}", log_of(&fleet, number));
-        fleet.wait_core(4).unwrap();
+        fleet.wait_for_chain(4).unwrap();
         change_taken(&fleet, &format!("with-{number}"));
         assert!(is_running(&mut fleet, number));
     }
@@ -208,18 +214,18 @@
 
 #[test]
 fn a_keeper_that_waits_for_its_disk_ends_when_told_to() {
-    let mut fleet = frail_fleet(0, 0);
-    fleet.trouble_disk(1, "full").unwrap();
+    let mut fleet = faulty_disk_fleet(0, 0);
+    fleet.set_disk_fault(1, "full").unwrap();
     change_taken(&fleet, "full");
     assert!(wait_until(Duration::from_secs(20), || refuses(&fleet, 1)));
     let process = fleet.keepers[1].process.as_mut().unwrap();
-    process.ask_to_stop();
-    assert_eq!(process.wait_end(Duration::from_secs(5)), Some(0), "while it runs");
+    process.terminate();
+    assert_eq!(process.wait_for_exit(Duration::from_secs(5)), Some(0), "while it runs");
     fleet.keepers[1].process = None;
-    let (program, arguments) = fleet.keeper_call(1, false);
-    let mut process = Process::begin(program, "keeper1", &arguments, &fleet.folder).unwrap();
+    let (program, arguments) = fleet.keeper_command(1, false);
+    let mut process = Process::spawn(program, "keeper1", &arguments, &fleet.folder).unwrap();
     let waits = || log_of(&fleet, 1).matches("event=disk_refuses").count() >= 2;
     assert!(wait_until(Duration::from_secs(20), waits), "{}", log_of(&fleet, 1));
-    process.ask_to_stop();
-    assert_eq!(process.wait_end(Duration::from_secs(5)), Some(0), "at its start");
+    process.terminate();
+    assert_eq!(process.wait_for_exit(Duration::from_secs(5)), Some(0), "at its start");
 }
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -15,7 +15,7 @@
     let began = boot_millis();
     let sample_until = |fleet: &Fleet, millis: u64| {
         wait_until(Duration::from_secs(90), || {
-            fleet.sample();
+            fleet.sample_routers();
             boot_millis() >= began + millis
         })
     };
@@ -24,16 +24,16 @@
     fleet.keepers[2].process = None;
     fleet.nodes[0].router = None;
     sample_until(&fleet, 5000);
-    let leases = fleet.gauge(&fleet.router_address(1), LEASE_LEFT);
+    let leases = fleet.metric(&fleet.router_address(1), LEASE_LEFT);
     assert_eq!(leases, Some(0), "without a majority nobody may start");
     fleet.start_keeper(0, false).unwrap();
     fleet.start_keeper(2, false).unwrap();
     fleet.start_router(0).unwrap();
-    fleet.note(EventLine::LastFaultOver { at: boot_millis() });
+    fleet.record_event(EventLine::LastFaultOver { at: boot_millis() });
     sample_until(&fleet, 33_000);
-    fleet.note(EventLine::RunEnds { at: boot_millis() });
+    fleet.record_event(EventLine::RunEnds { at: boot_millis() });
     calling.join().unwrap().unwrap();
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
 }
 
@@ -43,13 +43,13 @@
     for router in 0..2 {
         let address = fleet.router_address(router);
         // The lease is looked at first: should it come back meanwhile, then only with the edition.
-        let lease_left = fleet.gauge(&address, LEASE_LEFT).unwrap();
-        let seen = fleet.gauge(&address, EDITION).unwrap();
+        let lease_left = fleet.metric(&address, LEASE_LEFT).unwrap();
+        let seen = fleet.metric(&address, EDITION).unwrap();
         if seen >= edition {
             continue;
         }
         assert_eq!(lease_left, 0, "router {router} may start and is at {seen}, acknowledged was {edition}");
-        fleet.wait_served(edition).unwrap();
+        fleet.wait_until_served(edition).unwrap();
     }
 }
 
@@ -58,7 +58,7 @@
     let fleet = Fleet::start(FleetPlan { nodes: 1, engines: 1, ..FleetPlan::small() }).unwrap();
     fleet.keepers[1].process.as_ref().unwrap().limit_file_size(Some(4096));
     let edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "fuller"]})).unwrap();
-    let refuses = || fleet.gauge(&fleet.keepers[1].door, "haremount_keeper_disk_refuses") == Some(1);
+    let refuses = || fleet.metric(&fleet.keepers[1].operator_address, "haremount_keeper_disk_refuses") == Some(1);
     assert!(wait_until(Duration::from_secs(20), refuses), "the keeper says that its disk refuses");
     (fleet, edition)
 }
@@ -76,7 +76,7 @@
     let process = fleet.keepers[1].process.as_mut().unwrap();
     assert!(process.is_running(), "a full disk ends no keeper");
     process.limit_file_size(None);
-    fleet.wait_core(4).unwrap();
+    fleet.wait_for_chain(4).unwrap();
     assert!(fleet.keepers[1].process.as_mut().unwrap().is_running());
     assert_eq!(fleet.desired_edition().unwrap(), edition);
 }
@@ -87,7 +87,7 @@
     std::fs::write(fleet.keepers[1].data.join("ledger.redb"), "this is no ledger").unwrap();
     let process = fleet.keepers[1].process.as_mut().unwrap();
     process.limit_file_size(None);
-    assert_eq!(process.wait_end(Duration::from_secs(20)), Some(1));
+    assert_eq!(process.wait_for_exit(Duration::from_secs(20)), Some(1));
     let log = std::fs::read_to_string(fleet.folder.join("keeper1.log")).unwrap();
     assert!(log.contains("data: ") && log.contains("ledger"), "{log}");
     assert_eq!(fleet.desired_edition().unwrap(), edition);
@@ -102,8 +102,9 @@
         fleet.list_engine(old, "leaving").unwrap();
         let new_name = fleet.engines[new].name.clone();
         let taken = wait_until(Duration::from_secs(20), || {
-            fleet.sample();
-            let running = fleet.gauge(&fleet.engines[old].address, "vllm:num_requests_running{model_name=\"model\"}");
+            fleet.sample_routers();
+            let running =
+                fleet.metric(&fleet.engines[old].address, "vllm:num_requests_running{model_name=\"model\"}");
             let page = fleet.fleet_page().unwrap_or_default();
             let confirmed = page["engines"].as_array().is_some_and(|engines| {
                 engines.iter().any(|engine| engine["name"] == new_name && engine["weights"] == 1)
@@ -115,7 +116,7 @@
         fleet.engines[old].process = None;
     }
     calling.join().unwrap().unwrap();
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
     assert!(report.outcomes["whole"] > 300, "{}", report.text());
     let new_starts: u64 = (4..8).filter_map(|number| report.engine_starts.get(&format!("engine{number}"))).sum();
@@ -156,31 +157,31 @@
     let page = fleet.fleet_page().unwrap();
     let tail_id = page["view"]["chain"][3].as_str().unwrap().to_owned();
     let tail = fleet.keepers.iter().position(|keeper| keeper.id == tail_id).unwrap();
-    fleet.keepers[tail].relay.as_ref().unwrap().set(Passage::Stalled);
+    fleet.keepers[tail].relay.as_ref().unwrap().set_mode(RelayMode::Stalled);
     let mended = wait_until(Duration::from_secs(30), || {
         fleet.fleet_page().is_ok_and(|page| !page["view"]["chain"].to_string().contains(&tail_id))
     });
     assert!(mended, "a tail that hears nothing is taken out: {:?}", fleet.fleet_page());
-    fleet.keepers[tail].relay.as_ref().unwrap().set(Passage::Open);
-    fleet.wait_core(4).unwrap();
+    fleet.keepers[tail].relay.as_ref().unwrap().set_mode(RelayMode::Open);
+    fleet.wait_for_chain(4).unwrap();
     let edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "cut"]})).unwrap();
-    fleet.wait_served(edition).unwrap();
+    fleet.wait_until_served(edition).unwrap();
     for keeper in &fleet.keepers {
-        keeper.relay.as_ref().unwrap().set(Passage::Cut);
+        keeper.relay.as_ref().unwrap().set_mode(RelayMode::Cut);
     }
     // A lease that is gone may come back until then: its renewal was granted before the cut.
     let cut = boot_millis();
     wait_until(LEASE + Duration::from_secs(10), || boot_millis() >= cut + LEASE.as_millis() as u64);
     for router in 0..2 {
-        let lease_left = fleet.gauge(&fleet.router_address(router), LEASE_LEFT);
+        let lease_left = fleet.metric(&fleet.router_address(router), LEASE_LEFT);
         assert_eq!(lease_left, Some(0), "leases end when the core is cut off");
     }
     let refused = fleet.complete(0, 0, "nobody may start").unwrap();
     assert_eq!((refused.0, refused.1["error"]["type"].as_str()), (503, Some("no_lease")));
     for keeper in &fleet.keepers {
-        keeper.relay.as_ref().unwrap().set(Passage::Open);
+        keeper.relay.as_ref().unwrap().set_mode(RelayMode::Open);
     }
-    fleet.wait_served(edition).unwrap();
+    fleet.wait_until_served(edition).unwrap();
     assert_eq!(fleet.desired_edition().unwrap(), edition);
     assert_eq!(check_record(&fleet.record(&[])), []);
 }
@@ -196,8 +197,8 @@
     let first = holder(&fleet);
     let stopped = fleet.keepers.iter().position(|keeper| keeper.id == first).unwrap();
     let process = fleet.keepers[stopped].process.as_mut().unwrap();
-    process.ask_to_stop();
-    assert_eq!(process.wait_end(Duration::from_secs(10)), Some(0));
+    process.terminate();
+    assert_eq!(process.wait_for_exit(Duration::from_secs(10)), Some(0));
     fleet.keepers[stopped].process = None;
     let log = std::fs::read_to_string(fleet.folder.join(format!("keeper{stopped}.log"))).unwrap();
     assert!(log.contains("event=duty_handed_over"), "{log}");
--- a/crates/testbed/tests/later.rs
+++ b/crates/testbed/tests/later.rs
@@ -6,7 +6,7 @@
 use testbed::prelude::*;
 
 fn console(fleet: &Fleet, words: &[&str]) -> (Option<i32>, String) {
-    let door = fleet.keepers.iter().map(|keeper| keeper.door.clone()).collect::<Vec<_>>().join(",");
+    let door = fleet.keepers.iter().map(|keeper| keeper.operator_address.clone()).collect::<Vec<_>>().join(",");
     let output = Command::new(program_path("console").unwrap())
         .args(["--door", door.as_str()])
         .args(words)
@@ -25,7 +25,10 @@
 }
 
 fn plan_page(fleet: &Fleet, plan: u64) -> Value {
-    fleet.operate(Method::GET, &format!("/v1/plans/{plan}"), None, None).map(|answer| answer.1).unwrap_or(Value::Null)
+    fleet
+        .operator_request(Method::GET, &format!("/v1/plans/{plan}"), None, None)
+        .map(|answer| answer.1)
+        .unwrap_or(Value::Null)
 }
 
 fn wait_plan(fleet: &Fleet, plan: u64, status: &str) {
@@ -84,7 +87,7 @@
 
     let weights = intend(&fleet, &["move-weights", "model", "2"]);
     assert_eq!(console(&fleet, &["plan", "confirm", &weights.to_string()]).0, Some(0));
-    fleet.note(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
+    fleet.record_event(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
     let holder = fleet.fleet_page().unwrap()["duties"]["conductor"]["holder"].as_str().unwrap().to_owned();
     let lost = fleet.keepers.iter().position(|keeper| keeper.id == holder).unwrap();
     fleet.keepers[lost].process = None;
@@ -174,7 +177,7 @@
         let question = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", fleet.tenants[tenant].1))
             .header("idempotency-key", key);
-        fleet.ask_question(&fleet.router_address(router), question).unwrap()
+        fleet.send_request(&fleet.router_address(router), question).unwrap()
     };
     let first = ask(0, 0, "order-7", "model");
     assert_eq!(first.0, 200, "{}", first.1);
@@ -200,7 +203,7 @@
 fn missing_blocks_are_fetched_and_a_store_that_comes_back_empty_does_no_harm() {
     let mut fleet = Fleet::start(FleetPlan { nodes: 1, engines: 2, ..FleetPlan::small() }).unwrap();
     let fetched =
-        |fleet: &Fleet| fleet.gauge(&fleet.router_address(0), "haremount_router_fetch_blocks_total").unwrap_or(0);
+        |fleet: &Fleet| fleet.metric(&fleet.router_address(0), "haremount_router_fetch_blocks_total").unwrap_or(0);
     let prompt = |number: usize| format!("{}{number}", "a shared prefix of some length ".repeat(80));
     assert_eq!(fleet.complete(0, 0, &prompt(0)).unwrap().0, 200);
     let was_fetched = wait_until(Duration::from_secs(20), || {
@@ -226,10 +229,10 @@
 
 #[test]
 fn a_recorded_day_is_placed_alike_offline() {
-    let fleet = Fleet::start(FleetPlan { records: true, ..FleetPlan::small() }).unwrap();
+    let fleet = Fleet::start(FleetPlan { records_days: true, ..FleetPlan::small() }).unwrap();
     let (calling, calls) = fleet.start_caller("day", 4, 30, 5).unwrap();
     calling.join().unwrap().unwrap();
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
     let folder = fleet.folder.join("days");
     let files = || -> Vec<String> {
--- a/crates/testbed/tests/path.rs
+++ b/crates/testbed/tests/path.rs
@@ -12,10 +12,11 @@
         assert_eq!(answer["choices"][0]["finish_reason"], "length");
     }
     let edition = fleet.desired_edition().unwrap();
-    let stale = fleet.operate(Method::PATCH, "/v1/desired-state", Some(&json!({})), Some(edition - 1)).unwrap();
+    let stale =
+        fleet.operator_request(Method::PATCH, "/v1/desired-state", Some(&json!({})), Some(edition - 1)).unwrap();
     assert_eq!(stale.0, 412, "{}", stale.1);
     let refused = fleet
-        .operate(
+        .operator_request(
             Method::PATCH,
             "/v1/desired-state",
             Some(&json!({"kinds": 3, "tenants": {"x": {"y": 1}}})),
@@ -32,7 +33,7 @@
     assert!(paths.contains(&"kinds") && paths.contains(&"tenants.x.y"), "{paths:?}");
     assert_eq!(fleet.desired_edition().unwrap(), edition, "a refused change changes nothing");
 
-    let withdrawn = fleet.operate(Method::DELETE, "/v1/tenants/tenant0/keys/main", None, None).unwrap();
+    let withdrawn = fleet.operator_request(Method::DELETE, "/v1/tenants/tenant0/keys/main", None, None).unwrap();
     assert_eq!(withdrawn.0, 200, "{}", withdrawn.1);
     for router in 0..2 {
         let (status, _) = fleet.complete(router, 0, "after the key").unwrap();
@@ -40,7 +41,8 @@
         let (status, _) = fleet.complete(router, 1, "another key").unwrap();
         assert_eq!(status, 200);
     }
-    let unknown_key = fleet.ask(&fleet.keepers[1].door, Method::GET, "/v1/desired-state", None).unwrap();
+    let unknown_key =
+        fleet.request(&fleet.keepers[1].operator_address, Method::GET, "/v1/desired-state", None).unwrap();
     assert_eq!(unknown_key.0, 401);
     assert_eq!(check_record(&fleet.record(&[])), []);
 }
@@ -52,7 +54,7 @@
     let began = boot_millis();
     let at = |fleet: &Fleet, millis: u64| {
         wait_until(Duration::from_secs(60), || {
-            fleet.sample();
+            fleet.sample_routers();
             boot_millis() >= began + millis
         })
     };
@@ -68,9 +70,9 @@
     fleet.start_agent(1).unwrap();
     fleet.start_keeper(3, false).unwrap();
     calling.join().unwrap().unwrap();
-    fleet.wait_core(4).unwrap();
+    fleet.wait_for_chain(4).unwrap();
     let record = fleet.record(&[calls]);
-    let report = DayReport::of(&record);
+    let report = DayReport::from_record(&record);
     assert_eq!(report.violations, [], "{}", report.text());
     assert!(report.outcomes.get("whole").copied().unwrap_or(0) > 100, "{}", report.text());
     for router in 0..2 {
--- a/crates/testbed/tests/places.rs
+++ b/crates/testbed/tests/places.rs
@@ -30,16 +30,16 @@
     fleet.start_engine(0, 1).unwrap();
     fleet.start_agent(0).unwrap();
     fleet.start_router(0).unwrap();
-    fleet.note(EventLine::LastFaultOver { at: boot_millis() });
-    fleet.wait_core(4).unwrap();
-    fleet.wait_served(edition.unwrap()).unwrap();
+    fleet.record_event(EventLine::LastFaultOver { at: boot_millis() });
+    fleet.wait_for_chain(4).unwrap();
+    fleet.wait_until_served(edition.unwrap()).unwrap();
     wait_until(Duration::from_secs(60), || {
-        fleet.sample();
+        fleet.sample_routers();
         boot_millis() >= began + 33_000
     });
-    fleet.note(EventLine::RunEnds { at: boot_millis() });
+    fleet.record_event(EventLine::RunEnds { at: boot_millis() });
     calling.join().unwrap().unwrap();
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
 }
 
@@ -95,7 +95,7 @@
         assert!(took_its_seat, "replacement {seed}: {:?}", fleet.fleet_page());
     }
     let edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "moved"]})).unwrap();
-    fleet.wait_served(edition).unwrap();
+    fleet.wait_until_served(edition).unwrap();
     assert!(served_within(&fleet, 0, Duration::from_secs(20)));
     assert_eq!(check_record(&fleet.record(&[])), []);
 }
--- a/crates/testbed/tests/settings.rs
+++ b/crates/testbed/tests/settings.rs
@@ -50,7 +50,7 @@
 #[test]
 fn the_console_covers_the_operators_work() {
     let fleet = Fleet::start(FleetPlan { nodes: 1, engines: 1, ..FleetPlan::small() }).unwrap();
-    let door = fleet.keepers.iter().map(|keeper| keeper.door.clone()).collect::<Vec<_>>().join(",");
+    let door = fleet.keepers.iter().map(|keeper| keeper.operator_address.clone()).collect::<Vec<_>>().join(",");
     let console = |words: &[&str]| {
         let mut arguments = vec!["--door", door.as_str()];
         arguments.extend(words);
@@ -108,7 +108,7 @@
         "the new seed is dialled: {}",
         log()
     );
-    agent.ask_to_stop();
-    assert_eq!(agent.wait_end(Duration::from_secs(10)), Some(0));
+    agent.terminate();
+    assert_eq!(agent.wait_for_exit(Duration::from_secs(10)), Some(0));
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/testbed/tests/strangers.rs
+++ b/crates/testbed/tests/strangers.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_split_pool_prefills_here_and_decodes_there() {
-    let fleet = Fleet::start(FleetPlan { engines: 3, split: true, ..FleetPlan::small() }).unwrap();
+    let fleet = Fleet::start(FleetPlan { engines: 3, split_roles: true, ..FleetPlan::small() }).unwrap();
     let prompt = "a long score, prefilled in one place and decoded in another ".repeat(20);
     for round in 0..4 {
         let (status, answer) = fleet.complete(round % 2, 0, &prompt).unwrap();
@@ -51,7 +51,7 @@
         &json!({"prompt": prompt, "cache_salt": "w9.x"}),
     )
     .header("x-haremount-weights", "9");
-    let (status, answer) = fleet.ask_question(&fleet.engines[0].address, other_weights).unwrap();
+    let (status, answer) = fleet.send_request(&fleet.engines[0].address, other_weights).unwrap();
     assert_eq!((status, answer["error"]["type"].as_str()), (409, Some("other_weights")), "{answer}");
     assert_eq!(check_record(&record), []);
 }
@@ -61,7 +61,7 @@
     let fleet = Fleet::start(FleetPlan { nodes: 1, engines: 2, ..FleetPlan::small() }).unwrap();
     for engine in &fleet.engines {
         let slow = json!({"link_us": 900_000});
-        assert_eq!(fleet.ask(&engine.address, Method::POST, "/v1/faults", Some(&slow)).unwrap().0, 200);
+        assert_eq!(fleet.request(&engine.address, Method::POST, "/v1/faults", Some(&slow)).unwrap().0, 200);
     }
     let prompt = |number: usize| format!("{}{number}", "a prefix that somebody else keeps ".repeat(80));
     assert_eq!(fleet.complete(0, 0, &prompt(0)).unwrap().0, 200);
@@ -73,7 +73,7 @@
                 scope.spawn(move || assert_eq!(fleet.complete(0, 0, &asked_prompt).unwrap().0, 200));
             }
         });
-        fleet.gauge(&fleet.router_address(0), "haremount_router_fetch_blocks_total").unwrap_or(0) > 0
+        fleet.metric(&fleet.router_address(0), "haremount_router_fetch_blocks_total").unwrap_or(0) > 0
     });
     assert!(planned, "a fetch was planned");
     assert_eq!(check_record(&fleet.record(&[])), []);
--- a/crates/testbed/tests/withdrawn.rs
+++ b/crates/testbed/tests/withdrawn.rs
@@ -104,7 +104,7 @@
 fn hasten_engines(fleet: &Fleet) {
     for engine in &fleet.engines {
         let hastened = json!({"decode_us": 0});
-        let (status, _) = fleet.ask(&engine.address, Method::POST, "/v1/faults", Some(&hastened)).unwrap();
+        let (status, _) = fleet.request(&engine.address, Method::POST, "/v1/faults", Some(&hastened)).unwrap();
         assert_eq!(status, 200);
     }
 }
@@ -114,18 +114,18 @@
 fn withdraw(fleet: &Fleet, tenant: usize) -> u64 {
     let (name, key) = fleet.tenants[tenant].clone();
     let page = format!("/v1/tenants/{name}/keys/main");
-    let (mut status, mut told) = fleet.operate(Method::DELETE, &page, None, None).unwrap();
+    let (mut status, mut told) = fleet.operator_request(Method::DELETE, &page, None, None).unwrap();
     let request = told["request"].as_str().unwrap_or_default().to_owned();
     let is_known = wait_until(SETTING_UP_CAP, || {
         if status == 504 {
             let page = format!("/v1/requests/{request}");
-            (status, told) = fleet.operate(Method::GET, &page, None, None).unwrap();
+            (status, told) = fleet.operator_request(Method::GET, &page, None, None).unwrap();
         }
         status != 504
     });
     assert!(is_known && status == 200, "{told}");
     let at = boot_millis();
-    fleet.note(EventLine::KeyWithdrawn { at, key });
+    fleet.record_event(EventLine::KeyWithdrawn { at, key });
     at
 }
 
@@ -150,7 +150,7 @@
         assert!(line.last_at < at + 1000, "{} ms after the acknowledgement", line.last_at - at);
     }
     let (status, _) = fleet
-        .ask_question(
+        .send_request(
             &fleet.router_address(0),
             web::prelude::OutgoingRequest::get(&format!("/v1/runs/{}", held.run))
                 .header("authorization", format!("Bearer {}", fleet.tenants[3].1)),
@@ -171,7 +171,7 @@
     fleet.nodes[0].agent.as_ref().unwrap().freeze();
     withdraw(&fleet, 3);
     let (line, text) = caller.end();
-    fleet.nodes[0].agent.as_ref().unwrap().wake();
+    fleet.nodes[0].agent.as_ref().unwrap().resume();
     assert!(text.contains("event: error") && text.contains("no_lease"), "{text}");
     let ended = wait_until(Duration::from_secs(10), || fleet.record(&[]).ends().len() == 1);
     assert!(ended);
@@ -201,8 +201,8 @@
     assert!(other_line.last_at > other_began + LONGEST_ALLOWANCE_MS, "no single allowance is so long");
     let all_ended = wait_until(Duration::from_secs(10), || ended_shots(&fleet) == 2);
     assert!(all_ended);
-    frozen_router.wake();
-    frozen_agent.wake();
+    frozen_router.resume();
+    frozen_agent.resume();
     let (line, text) = caller.end();
     assert!(text.contains("event: error"), "{text}");
     let mut record = fleet.record(&[]);
