--- a/crates/verdict/src/adapters.rs
+++ b/crates/verdict/src/adapters.rs
@@ -1,12 +1,13 @@
-//! Judges of requests that run on adapters: by their own alone, and each answered once, whole and in time.
+//! Rule 13 and the check of questions: requests run only on their tenant's adapter, and each question is answered
+//! once, completely and in time.
 
 use crate::prelude::*;
 
-/// A revision that gave way may still be begun on for so long: by a router whose lease lasts, and what passed
-/// it before.
+/// How long after a switch attempts may still start on the previous revision: a router with a valid lease may not
+/// have applied the switch yet, and requests that it sent earlier may be in flight.
 pub const ADAPTER_SWITCH_GRACE_MS: u64 = 3_000;
 
-/// The adapters that a tenant's requests ran on, one after the other, and since when.
+/// For each tenant, the adapters that its requests were bound to, in order, each with the time of its binding.
 type Bindings<'a> = BTreeMap<&'a str, Vec<(u64, &'a str)>>;
 
 fn bindings(record: &Record) -> Bindings<'_> {
@@ -19,8 +20,8 @@
     bound
 }
 
-/// Whether what began at some moment may run on an adapter: on that in force then, on one that gave way a
-/// moment before, or on one that takes over a moment later.
+/// Whether an attempt that started at a time may run on an adapter: the one bound at that time, one replaced within
+/// the grace before it, or one bound within the grace after it.
 fn may_run_on(bound: &[(u64, &str)], adapter: &str, at: u64) -> bool {
     bound.iter().enumerate().any(|(place, (since, known))| {
         let until = bound.get(place + 1).map_or(u64::MAX, |(next, _)| next + ADAPTER_SWITCH_GRACE_MS);
@@ -28,10 +29,10 @@
     })
 }
 
-/// Work of a bound tenant runs on its adapter alone, that of others on none; answers name what they ran on;
-/// no kept block crosses between adapters; none begins on an adapter that gave way at its own router before
-/// its first byte went out.
-pub(crate) fn adapters_are_own(record: &Record) -> Vec<String> {
+/// Rule 13: requests of a tenant bound to an adapter run only on that adapter, those of other tenants on the base
+/// model; responses name the adapter they ran on; no cached block is shared between adapters; and no attempt runs on
+/// an adapter that its own router had already replaced when it wrote the attempt's first byte.
+pub(crate) fn adapters_match_tenants(record: &Record) -> Vec<String> {
     let bound = bindings(record);
     let tenants: BTreeMap<&str, &str> =
         record.callers.iter().map(|caller| (caller.run.as_str(), caller.tenant.as_str())).collect();
@@ -40,11 +41,11 @@
     for work in record.work_starts() {
         ran_on.insert(&work.attempt, &work.adapter);
         let Some(tenant) = tenants.get(run_of_attempt(&work.attempt)) else { continue };
-        let is_own = match bound.get(tenant) {
+        let is_allowed = match bound.get(tenant) {
             None => work.adapter.is_empty(),
             Some(own) => may_run_on(own, &work.adapter, work.at),
         };
-        if !is_own {
+        if !is_allowed {
             found.push(format!(
                 "attempt {} of {tenant} ran on adapter {:?} at {}",
                 work.attempt, work.adapter, work.at
@@ -54,19 +55,24 @@
     for caller in record.callers.iter().filter(|caller| caller.outcome == "whole" && !caller.attempt.is_empty()) {
         let Some(adapter) = ran_on.get(caller.attempt.as_str()) else { continue };
         if caller.adapter != *adapter {
-            found.push(format!("run {} was answered as {:?}, made on {adapter:?}", caller.run, caller.adapter));
+            found.push(format!(
+                "run {} names adapter {:?} in its response, but ran on {adapter:?}",
+                caller.run, caller.adapter
+            ));
         }
     }
     for line in &record.events {
         match line {
             EventLine::AdapterMemoryUsed { attempt, adapter, made_under, .. } => {
-                found.push(format!("attempt {attempt} on adapter {adapter:?} used memory made under {made_under:?}"));
+                found.push(format!(
+                    "attempt {attempt} on adapter {adapter:?} used a block computed under {made_under:?}"
+                ));
             }
             EventLine::Written { attempt, adapter, .. } => {
-                let began_on = ran_on.get(attempt.as_str()).filter(|began_on| *began_on != adapter);
-                found.extend(began_on.map(|began_on| {
+                let started_on = ran_on.get(attempt.as_str()).filter(|started_on| *started_on != adapter);
+                found.extend(started_on.map(|started_on| {
                     format!(
-                        "attempt {attempt} ran on {began_on:?}, but its router had {adapter:?} in force at its first byte"
+                        "attempt {attempt} ran on {started_on:?}, but its router had {adapter:?} in force at its first byte"
                     )
                 }));
             }
@@ -76,9 +82,8 @@
     found
 }
 
-/// Every question must have been answered whole exactly once, within so long after it was first asked. One
-/// that may not be repeated may end without an answer only if the engine or the router that it ran on was
-/// lost meanwhile.
+/// Every question must be answered completely exactly once, within the limit after it was first asked. A question
+/// that is not repeatable may stay unanswered only if its engine or router was lost while it ran.
 pub fn check_questions(record: &Record, limit_ms: u64) -> Vec<String> {
     let mut asked: BTreeMap<&str, Vec<&CallerLine>> = BTreeMap::new();
     for caller in record.callers.iter().filter(|caller| !caller.question.is_empty()) {
@@ -93,7 +98,7 @@
         match whole.as_slice() {
             [answer] if answer.ended <= first_asked + limit_ms => {}
             [answer] => {
-                found.push(format!("question {question} was answered after {} ms", answer.ended - first_asked))
+                found.push(format!("question {question} was answered only after {} ms", answer.ended - first_asked))
             }
             [] if lines.iter().any(|line| is_excused(record, &engines, line)) => {}
             [] => {
@@ -106,12 +111,12 @@
     found
 }
 
-/// Whether an attempt may have run, may not be repeated, and lost its engine or router under way. One that
-/// no engine began was on its way to an engine as that was lost.
+/// Whether a request may have run, is not repeatable, and lost its engine or router while it ran. If no engine logged
+/// a start of the run, the request may have been in flight to any engine that was lost.
 fn is_excused(record: &Record, engines: &BTreeMap<&str, &str>, line: &CallerLine) -> bool {
     let may_have_run = matches!(line.outcome.as_str(), "unknown" | "cut" | "no_answer");
-    let began_at = engines.get(line.run.as_str()).copied();
-    let is_its_engine = |what: &str| match began_at {
+    let engine_of_run = engines.get(line.run.as_str()).copied();
+    let is_its_engine = |what: &str| match engine_of_run {
         Some(engine) => what == engine,
         None => engines.values().any(|engine| what == *engine),
     };
@@ -162,7 +167,7 @@
         EventLine::AdapterInForce { at, tenant: tenant.into(), adapter: adapter.into() }
     }
 
-    /// One tenant on `x@1` and, from 10,000 on, `x@2`; one on `y@1`; one on the bare model.
+    /// Tenant a on `x@1`, and on `x@2` from 10,000 ms on; tenant b on `y@1`; tenant c on the base model.
     fn clean_record() -> Record {
         Record {
             callers: vec![asked("r.1", "a", "x@1"), asked("r.2", "b", "y@1"), asked("r.3", "c", "")],
@@ -185,7 +190,7 @@
     type Change = fn(&mut Record);
 
     #[test]
-    fn each_foreign_stale_or_bare_answer_is_caught() {
+    fn each_answer_from_a_wrong_adapter_is_reported() {
         assert_eq!(rules(&clean_record()), [0u8; 0]);
         let changes: [Change; 9] = [
             |record| record.engines[0] = start(1_000, "r.1.1", "y@1"),
@@ -217,7 +222,7 @@
     }
 
     #[test]
-    fn each_question_unanswered_late_or_answered_twice_is_caught() {
+    fn each_question_unanswered_late_or_answered_twice_is_reported() {
         let limit_ms = 5_000;
         assert_eq!(check_questions(&clean_record(), limit_ms), [""; 0]);
         let changes: [Change; 4] = [
@@ -234,8 +239,8 @@
         let mut lost = clean_record();
         lost.callers[0].outcome = "unknown".into();
         lost.events.push(EventLine::Lost { at: 1_500, what: "e1".into() });
-        assert_eq!(check_questions(&lost, limit_ms), [""; 0], "it ran on the engine that was lost");
+        assert_eq!(check_questions(&lost, limit_ms), [""; 0], "the request ran on the engine that was lost");
         lost.callers[0].repeatable = true;
-        assert_eq!(check_questions(&lost, limit_ms).len(), 1, "it could have been asked again");
+        assert_eq!(check_questions(&lost, limit_ms).len(), 1, "a repeatable question can be asked again");
     }
 }
--- a/crates/verdict/src/check.rs
+++ b/crates/verdict/src/check.rs
@@ -1,39 +1,39 @@
-//! One judge for each of the rules.
+//! Runs the oracle of each rule over a record.
 
 use crate::prelude::*;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule's number.
+    /// Number of the violated rule.
     pub rule: u8,
-    /// What broke it.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// What one rule's judge found.
-type Judge = fn(&Record) -> Vec<String>;
+/// The oracle of one rule; returns a description of each violation.
+type Oracle = fn(&Record) -> Vec<String>;
 
-/// Everything that broke a rule; empty for a clean run.
+/// All violations in a record; empty if every rule holds.
 pub fn check_record(record: &Record) -> Vec<Violation> {
     let mut violations = Vec::new();
-    let judges: [(u8, Judge); 13] = [
-        (1, runs_once),
+    let oracles: [(u8, Oracle); 13] = [
+        (1, no_duplicate_runs),
         (2, answers_are_whole),
         (3, streams_are_whole),
-        (4, memory_is_of_its_weights),
-        (5, memory_keeps_to_walls),
-        (6, withdrawn_keys_do_nothing),
-        (7, engines_listed_away_get_nothing),
-        (8, desired_states_hold),
-        (9, old_weights_end),
-        (10, one_holder_orders),
-        (11, retries_are_few),
-        (12, service_returns),
-        (13, adapters_are_own),
+        (4, cache_matches_weights),
+        (5, cache_respects_walls),
+        (6, withdrawn_keys_get_no_work),
+        (7, delisted_engines_get_no_requests),
+        (8, acknowledged_states_in_force),
+        (9, old_weights_retired),
+        (10, single_holder_orders),
+        (11, retries_within_budget),
+        (12, service_recovers),
+        (13, adapters_match_tenants),
     ];
-    for (rule, judge_rule) in judges {
-        violations.extend(judge_rule(record).into_iter().map(|what| Violation { rule, what }));
+    for (rule, check_rule) in oracles {
+        violations.extend(check_rule(record).into_iter().map(|what| Violation { rule, what }));
     }
     violations
 }
--- a/crates/verdict/src/lib.rs
+++ b/crates/verdict/src/lib.rs
@@ -1,6 +1,7 @@
-//! The oracles. They read three sorts of lines, all with boot-time milliseconds: what callers saw,
-//! what engines started and were ordered, and what operators, the platform and the test did. The same
-//! code judges simulated runs, whole-program tests and replayed days.
+//! Oracles that check a recorded run against the system's rules. They read three kinds of log lines, all
+//! timestamped in milliseconds of the boot-time clock: what callers observed, what engines started and which
+//! orders they received, and what operators, the platform and the test did. The same oracles check simulated
+//! runs, whole-program tests and replayed days.
 
 #![warn(missing_docs)]
 
--- a/crates/verdict/src/lines.rs
+++ b/crates/verdict/src/lines.rs
@@ -1,139 +1,139 @@
-//! The lines that are judged.
+//! The log lines that the oracles read.
 
 use crate::prelude::*;
 
-/// What one caller saw of one request.
+/// One request as its caller observed it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CallerLine {
-    /// When it asked.
+    /// When the request was sent.
     pub at: u64,
-    /// When its answer was over.
+    /// When the response ended.
     pub ended: u64,
-    /// The router it asked.
+    /// The router that the request was sent to.
     pub router: String,
-    /// Empty if no run was named.
+    /// The run that the response named; empty if none.
     pub run: String,
-    /// The tenant whose key it used.
+    /// The tenant whose key was used.
     pub tenant: String,
-    /// The key's hash.
+    /// The hash of the key.
     pub key: String,
     /// The kind of request.
     pub kind: String,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// The idempotency key it asked under; empty if none.
+    /// The idempotency key of the request; empty if none.
     pub idempotency: String,
-    /// Whether it asked for a stream.
+    /// Whether a streamed response was requested.
     pub streams: bool,
-    /// The status of the answer; 0 if none came.
+    /// The HTTP status of the response; 0 if there was none.
     pub status: u16,
-    /// whole, not_run, unknown, cut, refused, no_answer, cancelled.
+    /// One of `whole`, `not_run`, `unknown`, `cut`, `refused`, `no_answer` and `cancelled`.
     pub outcome: String,
-    /// How long the first piece took.
+    /// Time to the first piece of output.
     pub first_ms: Option<u64>,
-    /// The attempt whose pieces came; empty if none did.
+    /// The attempt that produced the received pieces; empty if none arrived.
     #[serde(rename = "shot")]
     pub attempt: String,
-    /// When the last piece came; 0 if none did.
+    /// When the last piece arrived; 0 if none did.
     pub last_at: u64,
-    /// Pieces that came.
+    /// Number of pieces received.
     pub pieces: u64,
-    /// Blocks of the prompt, as the answer told.
+    /// Blocks in the prompt, as the response reports.
     pub prompt_blocks: u64,
-    /// Blocks of it that its engine kept, as the answer told.
+    /// Prompt blocks that the engine had cached, as the response reports.
     pub cached_blocks: u64,
-    /// What is wrong with the answer; empty if nothing.
+    /// What the caller's own check found wrong with the response; empty if nothing.
     pub wrong: String,
-    /// The adapter that the answer names, as `name@revision`; empty if none.
+    /// The adapter named in the response, as `name@revision`; empty if none.
     #[serde(default)]
     pub adapter: String,
-    /// What is asked, however often its caller asks again; empty where that is not told.
+    /// Identifies the question across the caller's retries; empty if not recorded.
     #[serde(default)]
     pub question: String,
 }
 
-/// What else happened, and was acknowledged when.
+/// An event outside callers and engines: an operator's change, a platform listing, a fault or a sample.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
 pub enum EventLine {
-    /// A key's end was acknowledged.
+    /// The withdrawal of a key was acknowledged.
     KeyWithdrawn {
-        /// When.
+        /// When it happened.
         at: u64,
-        /// The key's hash.
+        /// The hash of the key.
         key: String,
     },
-    /// An engine is listed as leaving or gone.
+    /// The platform lists an engine as leaving or gone.
     ListedAway {
-        /// When.
+        /// When it happened.
         at: u64,
         /// The engine.
         engine: String,
     },
-    /// An engine is listed open.
+    /// The platform lists an engine as open.
     ListedOpen {
-        /// When.
+        /// When it happened.
         at: u64,
         /// The engine.
         engine: String,
     },
-    /// A change was acknowledged.
+    /// A change of the desired state was acknowledged.
     Acked {
-        /// When.
+        /// When it happened.
         at: u64,
-        /// The number of the state that holds it.
+        /// The edition of the desired state that contains the change.
         edition: u64,
     },
-    /// Newer weights were acknowledged as confirmed everywhere.
+    /// The move to newer weights was acknowledged as confirmed on every engine.
     WeightsAcked {
-        /// When.
+        /// When it happened.
         at: u64,
-        /// The weights.
+        /// The newer weights edition.
         weights: u64,
     },
-    /// A tenant's wall was acknowledged.
+    /// Isolation of a tenant's cached blocks (its wall) was acknowledged.
     Walled {
-        /// When.
+        /// When it happened.
         at: u64,
         /// The tenant.
         tenant: String,
     },
-    /// The tenant's wall may be down from here on.
+    /// The tenant's wall may be removed from this moment on.
     Unwalled {
-        /// When.
+        /// When it happened.
         at: u64,
         /// The tenant.
         tenant: String,
     },
-    /// A kept block served an attempt though it was made on other weights or for another tenant.
+    /// A cached block was reused by an attempt though it was computed on other weights or for another tenant.
     MemoryUsed {
-        /// When.
+        /// When it happened.
         at: u64,
-        /// The attempt it served.
+        /// The attempt that reused the block.
         #[serde(rename = "shot")]
         attempt: String,
-        /// The weights the attempt ran on.
+        /// The weights that the attempt ran on.
         weights: u64,
-        /// The weights the block was made on.
+        /// The weights that the block was computed on.
         made_on: u64,
         /// The tenant of the attempt.
         tenant: String,
-        /// The tenant the block was made for.
+        /// The tenant that the block was computed for.
         made_for: String,
     },
-    /// From here on, and a moment before, the tenant's requests run on this adapter, as `name@revision`.
+    /// The tenant's requests run on this adapter from this moment on; the switch may take effect slightly earlier.
     AdapterInForce {
-        /// When.
+        /// When it happened.
         at: u64,
         /// The tenant.
         tenant: String,
-        /// The adapter.
+        /// The adapter, as `name@revision`.
         adapter: String,
     },
-    /// A router wrote an attempt's first byte while it had in force that the tenant's requests run on this adapter;
-    /// empty for the bare model.
+    /// A router wrote the first byte of an attempt while its snapshot bound the tenant to this adapter; empty for the
+    /// base model.
     Written {
-        /// When.
+        /// When it happened.
         at: u64,
         /// The attempt.
         #[serde(rename = "shot")]
@@ -141,77 +141,77 @@
         /// The adapter, as `name@revision`.
         adapter: String,
     },
-    /// A kept block that was made under one adapter served an attempt under another; empty for the bare model.
+    /// A cached block computed under one adapter was reused by an attempt under another; empty for the base model.
     AdapterMemoryUsed {
-        /// When.
+        /// When it happened.
         at: u64,
-        /// The attempt it served.
+        /// The attempt that reused the block.
         #[serde(rename = "shot")]
         attempt: String,
-        /// The adapter the attempt ran on.
+        /// The adapter that the attempt ran on.
         adapter: String,
-        /// The adapter the block was made under.
+        /// The adapter that the block was computed under.
         made_under: String,
     },
-    /// A machine or process was lost, by the name that callers and attempts know it by.
+    /// A machine or process was lost, by its name in caller and engine lines.
     Lost {
-        /// When.
+        /// When it happened.
         at: u64,
         /// The engine, router or machine.
         what: String,
     },
-    /// A router seen holding a lease with this edition in force.
+    /// A sample of a router's state.
     Sample {
-        /// When.
+        /// When it happened.
         at: u64,
         /// The router.
         router: String,
-        /// The number of the state in force there.
+        /// The edition of the desired state in force at the router.
         edition: u64,
         /// Whether it held a lease.
         leased: bool,
-        /// Attempts and second attempts of this router so far.
+        /// Attempts of this router so far, retries included.
         #[serde(rename = "shots")]
         attempts: u64,
-        /// Second attempts among them.
+        /// Retries among them.
         retries: u64,
     },
-    /// A fault was caused.
+    /// A fault was injected.
     Fault {
-        /// When.
+        /// When it happened.
         at: u64,
-        /// Which.
+        /// The fault.
         what: String,
     },
-    /// From here on nothing is disturbed.
+    /// The last fault is over; no fault is injected after this moment.
     LastFaultOver {
-        /// When.
+        /// When it happened.
         at: u64,
     },
-    /// The run is over.
+    /// The run ended.
     RunEnds {
-        /// When.
+        /// When it happened.
         at: u64,
     },
 }
 
-/// All lines of a run.
+/// All log lines of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// What callers saw.
+    /// Requests as their callers observed them.
     pub callers: Vec<CallerLine>,
-    /// What engines started and were ordered.
+    /// Work that engines started and orders that they received.
     pub engines: Vec<EngineLogLine>,
-    /// What operators, the platform and the test did.
+    /// Actions of operators, the platform and the test.
     pub events: Vec<EventLine>,
-    /// Attempts and second attempts as the routers counted them, if known.
+    /// Attempts as the routers counted them, retries included; 0 if unknown.
     pub attempts: u64,
-    /// Second attempts among them.
+    /// Retries among them.
     pub retries: u64,
 }
 
 impl Record {
-    /// Every start of an attempt on an engine.
+    /// All starts of attempts on engines.
     pub fn starts(&self) -> impl Iterator<Item = &StartLine> {
         self.engines.iter().filter_map(|line| match line {
             EngineLogLine::Start(start) => Some(start),
@@ -222,7 +222,7 @@
         })
     }
 
-    /// Every beginning of work on a prompt: starts, and prefills for starts elsewhere.
+    /// All starts of work on a prompt: attempts, and prefills for attempts that decode on another engine.
     pub fn work_starts(&self) -> impl Iterator<Item = &StartLine> {
         self.engines.iter().filter_map(|line| match line {
             EngineLogLine::Start(start) | EngineLogLine::Prefill(start) => Some(start),
@@ -230,17 +230,17 @@
         })
     }
 
-    /// Whenever an engine was asked for anything on behalf of a prompt, in any way.
+    /// The times of all requests to an engine on behalf of a prompt: attempts, prefills and block fetches.
     pub fn requests_to<'a>(&'a self, engine_name: &'a str) -> impl Iterator<Item = u64> + 'a {
-        let works = self.work_starts().map(|start| (start.engine.as_str(), start.at));
+        let work_starts = self.work_starts().map(|start| (start.engine.as_str(), start.at));
         let fetches = self.engines.iter().filter_map(|line| match line {
             EngineLogLine::Asked { at, engine } => Some((engine.as_str(), *at)),
             _ => None,
         });
-        works.chain(fetches).filter(move |(engine, _)| *engine == engine_name).map(|(_, at)| at)
+        work_starts.chain(fetches).filter(move |(engine, _)| *engine == engine_name).map(|(_, at)| at)
     }
 
-    /// How the work on each attempt ended, as its engine told: when, after how many pieces, whether whole.
+    /// The end of each attempt as its engine reported it.
     pub fn ends(&self) -> BTreeMap<&str, AttemptEnd> {
         let ends = self.engines.iter().filter_map(|line| match line {
             EngineLogLine::End { at, attempt, pieces, whole, .. } => {
@@ -255,18 +255,18 @@
     }
 }
 
-/// How the work on an attempt ended.
+/// How the work on an attempt ended, as its engine reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptEnd {
-    /// When.
+    /// When it ended.
     pub at: u64,
-    /// After how many pieces.
+    /// Number of pieces produced.
     pub pieces: u64,
-    /// Whether it was worked to its end.
+    /// Whether the engine completed the attempt.
     pub whole: bool,
 }
 
-/// The run an attempt belongs to: the attempt's name without its last part.
+/// The run that an attempt belongs to: the attempt's name without its last component.
 pub fn run_of_attempt(attempt: &str) -> &str {
     attempt.rsplit_once('.').map_or(attempt, |(run, _)| run)
 }
--- a/crates/verdict/src/prelude.rs
+++ b/crates/verdict/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files, and of whoever judges a run.
+//! Imports shared by the files of this package, and the public API for checking a run.
 
 pub use crate::adapters::*;
 pub(crate) use crate::answers::*;
--- a/crates/verdict/src/register.rs
+++ b/crates/verdict/src/register.rs
@@ -1,108 +1,112 @@
-//! Whether what operators were answered can have come from one register that changes at one instant for each
-//! change: linearizability, searched after Wing and Gong, with positions met before left out (Lowe).
+//! A linearizability checker for operators' changes and reads: whether the responses can come from one register in
+//! which each call takes effect at a single instant between its invocation and its response. It uses the search of
+//! Wing and Gong with Lowe's memoization of visited states.
 //!
-//! The register holds a revision. A change names the revision it builds on and the one it makes; the same change
-//! sent again after it was taken is answered as taken and changes nothing.
+//! The register holds a revision. A change names the revision that it is based on and the one that it produces. If
+//! the same change is sent again after it was applied, it is answered as applied and changes nothing.
 
 use crate::prelude::*;
 
-/// What an operator asked for.
+/// The operation of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegisterOperation {
-    /// Make `revision` of `base`; `change` is the same where the very same change is sent again.
+    /// Replaces `base` by `revision`; a resent change has the same `change`.
     Change {
-        /// Which change this is.
+        /// Identifies the change across resends.
         change: u64,
-        /// The revision it builds on.
+        /// The revision that the change is based on.
         base: u64,
-        /// The revision it makes.
+        /// The revision that the change produces.
         revision: u64,
     },
-    /// Tell the revision in force.
+    /// Reads the revision in force.
     Read,
 }
 
-/// What an operator was answered.
+/// The response to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegisterAnswer {
-    /// The change is in force, or was.
+    /// The change was applied, now or by an earlier send.
     Taken,
-    /// Another revision is in force than the one that the change builds on.
+    /// The revision in force is not the one that the change is based on.
     Stale,
-    /// This revision is in force.
+    /// The revision in force.
     Revision(u64),
-    /// Nothing is known: it may have been done, or may yet be done.
+    /// Unknown: the call may have taken effect, may do so later, or never.
     Unclear,
 }
 
-/// One call, from its sending to its answer; instants only have to be in order.
+/// One call with its invocation and response times; only the order of the times matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisterCall {
-    /// When it was sent.
+    /// When the call was sent.
     pub called: u64,
-    /// When its answer came; the end of time for one that is unclear.
+    /// When the response arrived; [`NEVER`] if the outcome is unclear.
     pub returned: u64,
-    /// What was asked for.
+    /// The operation.
     pub operation: RegisterOperation,
-    /// What was answered.
+    /// The response.
     pub answer: RegisterAnswer,
 }
 
-/// The instant at which a call without a clear answer returns.
+/// The response time of a call whose outcome is unclear.
 pub const NEVER: u64 = u64::MAX;
 
-/// Where a search stands: which calls are placed, and the revision after them.
+/// A search state: the calls that are linearized (as a bit set), and the revision after them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Position {
-    placed: Vec<u64>,
+struct SearchState {
+    linearized: Vec<u64>,
     revision: u64,
 }
 
 const WORD_BITS: usize = 64;
 
-impl Position {
-    fn start(call_count: usize, revision: u64) -> Position {
-        Position { placed: vec![0; call_count.div_ceil(WORD_BITS)], revision }
+impl SearchState {
+    fn start(call_count: usize, revision: u64) -> SearchState {
+        SearchState { linearized: vec![0; call_count.div_ceil(WORD_BITS)], revision }
     }
 
-    fn has(&self, call: usize) -> bool {
-        self.placed[call / WORD_BITS] & (1 << (call % WORD_BITS)) != 0
+    fn contains(&self, call: usize) -> bool {
+        self.linearized[call / WORD_BITS] & (1 << (call % WORD_BITS)) != 0
     }
 
-    fn with(&self, call: usize, revision: u64) -> Position {
-        let mut placed = self.placed.clone();
-        placed[call / WORD_BITS] |= 1 << (call % WORD_BITS);
-        Position { placed, revision }
+    fn with(&self, call: usize, revision: u64) -> SearchState {
+        let mut linearized = self.linearized.clone();
+        linearized[call / WORD_BITS] |= 1 << (call % WORD_BITS);
+        SearchState { linearized, revision }
     }
 }
 
-/// Whether the calls can have been carried out one by one, each between its sending and its answer, on a register
-/// that began with a revision; else the calls of which none can come next where the search came furthest.
+/// Checks that the calls are linearizable on a register that starts at `first_revision`. The error names the calls of
+/// which none can come next in the state with the most linearized calls.
 pub fn check_register(calls: &[RegisterCall], first_revision: u64) -> Result<(), String> {
     let clear_count = calls.iter().filter(|call| call.answer != RegisterAnswer::Unclear).count();
-    let mut met: BTreeSet<Position> = BTreeSet::new();
-    let mut open = vec![Position::start(calls.len(), first_revision)];
+    let mut visited: BTreeSet<SearchState> = BTreeSet::new();
+    let mut open = vec![SearchState::start(calls.len(), first_revision)];
     let mut furthest = (0, String::new());
-    while let Some(position) = open.pop() {
-        let is_placed = |place: usize| position.has(place);
-        let placed_count = (0..calls.len())
-            .filter(|place| is_placed(*place) && calls[*place].answer != RegisterAnswer::Unclear)
+    while let Some(state) = open.pop() {
+        let is_linearized = |place: usize| state.contains(place);
+        let linearized_count = (0..calls.len())
+            .filter(|place| is_linearized(*place) && calls[*place].answer != RegisterAnswer::Unclear)
             .count();
-        if placed_count == clear_count {
+        if linearized_count == clear_count {
             return Ok(());
         }
         let earliest_return =
-            (0..calls.len()).filter(|place| !is_placed(*place)).map(|place| calls[place].returned).min();
+            (0..calls.len()).filter(|place| !is_linearized(*place)).map(|place| calls[place].returned).min();
         let may_be_next = |place: &usize| {
-            !is_placed(*place) && earliest_return.is_none_or(|earliest| calls[*place].called <= earliest)
+            !is_linearized(*place) && earliest_return.is_none_or(|earliest| calls[*place].called <= earliest)
         };
         let candidates: Vec<usize> = (0..calls.len()).filter(may_be_next).collect();
-        if placed_count >= furthest.0 {
+        if linearized_count >= furthest.0 {
             let named: Vec<String> = candidates.iter().map(|place| format!("{:?}", calls[*place])).collect();
-            furthest = (placed_count, format!("at revision {} none of: {}", position.revision, named.join("; ")));
+            furthest = (
+                linearized_count,
+                format!("at revision {}, none of these calls can come next: {}", state.revision, named.join("; ")),
+            );
         }
-        for next in positions_after(calls, &position, &candidates) {
-            if met.insert(next.clone()) {
+        for next in next_states(calls, &state, &candidates) {
+            if visited.insert(next.clone()) {
                 open.push(next);
             }
         }
@@ -110,40 +114,39 @@
     Err(furthest.1)
 }
 
-/// Where a search goes on from a position. A call that fits and changes nothing is placed at once: whatever may
-/// follow without it may follow after it. Of calls without an answer that ask for the same change, the one sent
-/// first stands for all.
-fn positions_after(calls: &[RegisterCall], position: &Position, candidates: &[usize]) -> Vec<Position> {
+/// The states that follow a state. A call that fits and changes nothing is linearized at once: every order that is
+/// possible without it is also possible after it. Of unclear calls of the same change, only the first is tried.
+fn next_states(calls: &[RegisterCall], state: &SearchState, candidates: &[usize]) -> Vec<SearchState> {
     let mut unclear_changes = BTreeSet::new();
     let mut after = Vec::new();
     for place in candidates.iter().copied() {
-        let Some(revision) = apply(calls, position, place) else { continue };
-        if revision == position.revision {
-            return vec![position.with(place, revision)];
+        let Some(revision) = apply(calls, state, place) else { continue };
+        if revision == state.revision {
+            return vec![state.with(place, revision)];
         }
         let is_another = match (calls[place].answer, calls[place].operation) {
             (RegisterAnswer::Unclear, RegisterOperation::Change { change, .. }) => unclear_changes.insert(change),
             _ => true,
         };
         if is_another {
-            after.push(position.with(place, revision));
+            after.push(state.with(place, revision));
         }
     }
     after
 }
 
-/// The revision after a call, if its answer is the one that the register gives there. One without a clear answer
-/// counts only where it changes something; elsewhere it need not be placed.
-fn apply(calls: &[RegisterCall], position: &Position, place: usize) -> Option<u64> {
+/// The revision after a call, if the register would give the call's response in this state. An unclear call counts
+/// only if it changes the revision; otherwise it can be left out.
+fn apply(calls: &[RegisterCall], state: &SearchState, place: usize) -> Option<u64> {
     let call = &calls[place];
-    let now = position.revision;
+    let now = state.revision;
     let RegisterOperation::Change { change, base, revision } = call.operation else {
         return (call.answer == RegisterAnswer::Revision(now)).then_some(now);
     };
     let was_taken = (0..calls.len()).any(|other| {
         let is_same =
             matches!(calls[other].operation, RegisterOperation::Change { change: known, .. } if known == change);
-        is_same && position.has(other) && calls[other].answer != RegisterAnswer::Stale
+        is_same && state.contains(other) && calls[other].answer != RegisterAnswer::Stale
     });
     match call.answer {
         RegisterAnswer::Taken if was_taken => Some(now),
--- a/crates/verdict/src/withdrawn.rs
+++ b/crates/verdict/src/withdrawn.rs
@@ -1,16 +1,16 @@
-//! Rules 6 and 7: withdrawn keys and engines listed away get nothing done.
+//! Rules 6 and 7: no work for withdrawn keys, and no requests to engines that the platform lists as leaving or gone.
 
 use crate::prelude::*;
 
-/// So long after its end was acknowledged, nothing is done for a key any more.
+/// All work for a key ends within this time after its withdrawal was acknowledged.
 pub const KEY_LIMIT_MS: u64 = 5_000;
-/// So long after it was listed away, an engine is asked for nothing any more.
+/// Requests to an engine end within this time after it was listed as leaving or gone.
 pub const LISTING_LIMIT_MS: u64 = 3_000;
 
-/// Work is judged, not starts alone: no attempt may begin, go on at its engine, or bring its caller a
-/// piece, later than the limit after the acknowledgement.
-pub(crate) fn withdrawn_keys_do_nothing(record: &Record) -> Vec<String> {
-    let works = by_run(record.work_starts());
+/// Rule 6: later than the limit after the acknowledgement, no attempt starts, no engine works on one, and no caller
+/// receives a piece.
+pub(crate) fn withdrawn_keys_get_no_work(record: &Record) -> Vec<String> {
+    let starts = starts_by_run(record.work_starts());
     let ends = record.ends();
     let mut found = Vec::new();
     for line in &record.events {
@@ -19,18 +19,26 @@
         for caller in record.callers.iter().filter(|caller| caller.key == *withdrawn_key && !caller.run.is_empty()) {
             if caller.last_at > limit {
                 found.push(format!(
-                    "run {} brought a piece {} ms after its key's end",
+                    "run {} delivered a piece {} ms after its key was withdrawn",
                     caller.run,
                     caller.last_at - at
                 ));
             }
-            for start in works.get(caller.run.as_str()).into_iter().flatten() {
+            for start in starts.get(caller.run.as_str()).into_iter().flatten() {
                 if start.at > limit {
-                    found.push(format!("run {} began {} ms after its key's end", caller.run, start.at - at));
+                    found.push(format!(
+                        "run {} started {} ms after its key was withdrawn",
+                        caller.run,
+                        start.at - at
+                    ));
                 }
                 let late_end = ends.get(start.attempt.as_str()).filter(|end| end.at > limit && start.at <= limit);
                 if let Some(end) = late_end {
-                    found.push(format!("run {} was worked on {} ms after its key's end", caller.run, end.at - at));
+                    found.push(format!(
+                        "run {} was still being worked on {} ms after its key was withdrawn",
+                        caller.run,
+                        end.at - at
+                    ));
                 }
             }
         }
@@ -38,21 +46,23 @@
     found
 }
 
-pub(crate) fn engines_listed_away_get_nothing(record: &Record) -> Vec<String> {
+/// Rule 7: no request reaches an engine later than the limit after it was listed as leaving or gone, until it is
+/// listed as open again.
+pub(crate) fn delisted_engines_get_no_requests(record: &Record) -> Vec<String> {
     let mut found = Vec::new();
-    for (place, line) in record.events.iter().enumerate() {
-        let EventLine::ListedAway { at, engine: left_engine } = line else { continue };
-        let later_lines = &record.events[place..];
-        let back_at = later_lines.iter().find_map(|later| match later {
-            EventLine::ListedOpen { at: opened, engine } if engine == left_engine => Some(*opened),
+    for (index, line) in record.events.iter().enumerate() {
+        let EventLine::ListedAway { at, engine: delisted_engine } = line else { continue };
+        let later_lines = &record.events[index..];
+        let reopened_at = later_lines.iter().find_map(|later| match later {
+            EventLine::ListedOpen { at: opened, engine } if engine == delisted_engine => Some(*opened),
             _ => None,
         });
-        let back_at = back_at.unwrap_or(u64::MAX);
-        for asked_at in record.requests_to(left_engine) {
-            if asked_at > at + LISTING_LIMIT_MS && asked_at < back_at {
+        let reopened_at = reopened_at.unwrap_or(u64::MAX);
+        for asked_at in record.requests_to(delisted_engine) {
+            if asked_at > at + LISTING_LIMIT_MS && asked_at < reopened_at {
                 let late = asked_at - at;
                 found.push(format!(
-                    "engine {left_engine} was asked {late} ms after it was listed away, at {asked_at}"
+                    "engine {delisted_engine} got a request at {asked_at}, {late} ms after it was listed as leaving or gone"
                 ));
             }
         }
--- a/crates/verdict/tests/judge.rs
+++ b/crates/verdict/tests/judge.rs
@@ -1,4 +1,4 @@
-//! A clean record is clean; one change to it breaks just the rule it names.
+//! A record that follows all rules has no violations; each change to it violates exactly the rule given with it.
 
 use contract::prelude::{EngineLogLine, StartLine};
 use verdict::prelude::*;
@@ -38,7 +38,7 @@
     CallerLine { run: run.into(), outcome: outcome.into(), ..CallerLine::default() }
 }
 
-/// A record that breaks no rule, with something for each judge to look at.
+/// A record without violations that gives every oracle something to check.
 fn clean_record() -> Record {
     let mut callers = vec![caller("r.1", "whole"), caller("r.2", "not_run"), caller("r.3", "whole")];
     callers[0].tenant = "a".into();
@@ -76,19 +76,19 @@
 }
 
 #[test]
-fn a_clean_record_is_clean() {
+fn a_clean_record_has_no_violations() {
     assert_eq!(check_record(&clean_record()), []);
     let mut unwalled = clean_record();
     unwalled.events.push(EventLine::Unwalled { at: 500, tenant: "a".into() });
     unwalled.events.push(used(900, 2, "b", "a"));
-    assert_eq!(check_record(&unwalled), [], "memory may be shared once the wall is down");
+    assert_eq!(check_record(&unwalled), [], "blocks may be shared once the wall is removed");
 }
 
-/// One change to the clean record.
+/// A change to the clean record.
 type Change = fn(&mut Record);
 
 #[test]
-fn each_judge_catches_its_violation() {
+fn each_oracle_reports_its_violation() {
     let changes: [(u8, Change); 29] = [
         (1, |record| record.engines.push(start(101, "e2", "r.1.2", 1))),
         (1, |record| record.engines.push(start(101, "e2", "r.2.1", 3))),
--- a/crates/verdict/tests/register.rs
+++ b/crates/verdict/tests/register.rs
@@ -1,4 +1,4 @@
-//! The check of operators' answers against one register: what can have happened passes, and what cannot is found.
+//! The linearizability checker accepts histories that one register can produce and rejects all others.
 
 use verdict::prelude::*;
 
@@ -21,15 +21,15 @@
 use RegisterAnswer::{Stale, Taken};
 
 #[test]
-fn what_one_register_can_have_answered_passes() {
+fn linearizable_histories_pass() {
     let first = change(1, 0, 3);
     let histories = [
         vec![call(1, 2, first, Taken), read(3, 4, 3)],
-        // A read beside a change may see either.
+        // A read concurrent with a change may see either revision.
         vec![call(1, 9, first, Taken), read(2, 3, 0), read(4, 5, 3)],
-        // Two on one base: one is taken.
+        // Of two concurrent changes on one base, one is applied.
         vec![call(1, 5, first, Taken), call(1, 5, change(2, 0, 4), Stale), read(6, 7, 3)],
-        // The same sent again, beside itself, later and after another change.
+        // The same change sent again: concurrently, later, and after another change.
         vec![
             call(1, 5, first, Taken),
             call(2, 4, first, Taken),
@@ -37,11 +37,11 @@
             call(8, 9, first, Taken),
             read(10, 11, 8),
         ],
-        // Without an answer: done at once, done later, never done.
+        // An unclear change: applied at once, applied later, never applied.
         vec![unclear(1, first), read(2, 3, 3)],
         vec![unclear(1, first), read(2, 3, 0), read(4, 5, 3)],
         vec![unclear(1, first), call(2, 3, change(2, 0, 4), Taken), read(4, 5, 4)],
-        // Sent again after no answer, and only then done.
+        // An unclear change that is applied only when it is sent again.
         vec![unclear(1, first), read(2, 3, 0), call(4, 5, first, Taken), read(6, 7, 3)],
     ];
     for history in histories {
@@ -50,24 +50,24 @@
 }
 
 #[test]
-fn what_no_register_can_have_answered_is_found() {
+fn histories_that_are_not_linearizable_are_rejected() {
     let first = change(1, 0, 3);
     let histories = [
-        ("an older state after a newer one", vec![call(1, 2, first, Taken), read(3, 4, 0)]),
-        ("reads that go back", vec![call(1, 9, first, Taken), read(2, 3, 3), read(4, 5, 0)]),
-        ("two on one base", vec![call(1, 2, first, Taken), call(1, 2, change(2, 0, 4), Taken)]),
-        ("two on one base, apart", vec![call(1, 2, first, Taken), call(3, 4, change(2, 0, 4), Taken)]),
-        ("one number for two changes", vec![call(1, 2, first, Taken), call(3, 4, change(2, 0, 3), Taken)]),
+        ("a read of an older revision after a newer one", vec![call(1, 2, first, Taken), read(3, 4, 0)]),
+        ("reads that go backwards", vec![call(1, 9, first, Taken), read(2, 3, 3), read(4, 5, 0)]),
+        ("two concurrent changes on one base", vec![call(1, 2, first, Taken), call(1, 2, change(2, 0, 4), Taken)]),
+        ("two successive changes on one base", vec![call(1, 2, first, Taken), call(3, 4, change(2, 0, 4), Taken)]),
+        ("one revision for two changes", vec![call(1, 2, first, Taken), call(3, 4, change(2, 0, 3), Taken)]),
         (
-            "an acknowledged one lost",
+            "a lost acknowledged change",
             vec![call(1, 2, first, Taken), call(3, 4, change(2, 0, 4), Taken), read(5, 6, 4)],
         ),
-        ("refused after it was taken", vec![call(1, 2, first, Taken), call(3, 4, first, Stale)]),
-        ("refused though its base holds", vec![call(1, 2, first, Stale), read(3, 4, 0)]),
-        ("in force though refused", vec![call(1, 2, change(1, 5, 6), Stale), read(3, 4, 6)]),
-        ("a state that nobody made", vec![read(1, 2, 7)]),
+        ("a resent change refused after it was applied", vec![call(1, 2, first, Taken), call(3, 4, first, Stale)]),
+        ("a change refused though its base is in force", vec![call(1, 2, first, Stale), read(3, 4, 0)]),
+        ("a refused change in force", vec![call(1, 2, change(1, 5, 6), Stale), read(3, 4, 6)]),
+        ("a revision that no change produces", vec![read(1, 2, 7)]),
         (
-            "an unclear one done twice",
+            "an unclear change applied twice",
             vec![unclear(1, first), read(2, 3, 3), call(4, 5, change(2, 3, 8), Taken), read(6, 7, 3)],
         ),
     ];
@@ -76,9 +76,9 @@
     }
 }
 
-/// Many calls without an answer do not make the search grow beyond reason.
+/// Many unclear calls do not make the search exponential.
 #[test]
-fn a_long_history_with_many_unclear_calls_is_judged() {
+fn a_long_history_with_many_unclear_calls_is_checked() {
     let mut history = Vec::new();
     let mut base = 0;
     for number in 0..200u64 {
