--- a/crates/replay/src/words.rs
+++ b/crates/replay/src/command_line.rs
@@ -9,7 +9,7 @@
   check FILE...                  read recordings and say what is in them
   offline FILE...                place every recorded run again, from what was known at its pick
       --policy FILE              under this policy ({\"weight\": W, \"rules\": [...]}) instead of the recorded one
-  play FILE...                   play the day against a fleet; texts are made up from the block names
+  play FILE...                   play the day against a fleet; prompts are generated from the block hashes
       --routers IP:PORT,...      where to send it
       --keys FILE                JSON: [[tenant, key], ...]
       --speed N                  how many times faster than recorded, 1 to 100 (default 1)
@@ -20,8 +20,9 @@
 
 Exit codes: 0 done, 1 refused, damaged or different, 2 wrong usage.";
 
+/// The parsed command line.
 #[derive(Debug, Default)]
-pub struct Words {
+pub struct Arguments {
     pub command: String,
     pub files: Vec<String>,
     pub policy: Option<String>,
@@ -29,18 +30,18 @@
     pub keys: Option<String>,
     pub speed: u64,
     pub seconds: u64,
-    pub uses_cut: bool,
+    pub allows_truncated: bool,
 }
 
-/// Nothing if help or version was printed.
-pub fn read_words() -> Result<Option<Words>, Report> {
-    let mut words = Words { speed: 1, seconds: 60, ..Words::default() };
+/// Parses the command line; `None` if help or version was printed.
+pub fn read_arguments() -> Result<Option<Arguments>, Report> {
+    let mut arguments = Arguments { speed: 1, seconds: 60, ..Arguments::default() };
     let mut parser = lexopt::Parser::from_env();
     let fault = |fault: lexopt::Error| miette!("{fault}; see replay --help");
-    let number = |parser: &mut lexopt::Parser, name: &str, most: u64| {
+    let number = |parser: &mut lexopt::Parser, name: &str, maximum: u64| {
         let text = parser.value().map_err(fault)?.into_string().map_err(|_| miette!("--{name}: not UTF-8"))?;
-        let read = text.parse().ok().filter(|number| (1..=most).contains(number));
-        read.ok_or_else(|| miette!("--{name}: {text} is not 1 to {most}"))
+        let read = text.parse().ok().filter(|number| (1..=maximum).contains(number));
+        read.ok_or_else(|| miette!("--{name}: {text} is not 1 to {maximum}"))
     };
     let text = |parser: &mut lexopt::Parser| {
         parser.value().map_err(fault)?.into_string().map_err(|_| miette!("not UTF-8; see replay --help"))
@@ -55,28 +56,28 @@
                 println!("replay {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
-            lexopt::Arg::Long("policy") => words.policy = Some(text(&mut parser)?),
+            lexopt::Arg::Long("policy") => arguments.policy = Some(text(&mut parser)?),
             lexopt::Arg::Long("routers") => {
-                words.routers = text(&mut parser)?.split(',').map(str::to_owned).collect()
+                arguments.routers = text(&mut parser)?.split(',').map(str::to_owned).collect()
             }
-            lexopt::Arg::Long("keys") => words.keys = Some(text(&mut parser)?),
-            lexopt::Arg::Long("speed") => words.speed = number(&mut parser, "speed", 100)?,
-            lexopt::Arg::Long("seconds") => words.seconds = number(&mut parser, "seconds", 3600)?,
-            lexopt::Arg::Long("use-cut") => words.uses_cut = true,
+            lexopt::Arg::Long("keys") => arguments.keys = Some(text(&mut parser)?),
+            lexopt::Arg::Long("speed") => arguments.speed = number(&mut parser, "speed", 100)?,
+            lexopt::Arg::Long("seconds") => arguments.seconds = number(&mut parser, "seconds", 3600)?,
+            lexopt::Arg::Long("use-cut") => arguments.allows_truncated = true,
             lexopt::Arg::Value(word) => {
                 let word = word.into_string().map_err(|_| miette!("not UTF-8; see replay --help"))?;
-                if words.command.is_empty() { words.command = word } else { words.files.push(word) }
+                if arguments.command.is_empty() { arguments.command = word } else { arguments.files.push(word) }
             }
             other => return Err(fault(other.unexpected())),
         }
     }
-    match words.command.as_str() {
+    match arguments.command.as_str() {
         "check" | "offline" | "play" => {}
         "" => return Err(miette!("a command is missing; see replay --help")),
         other => return Err(miette!("unknown command: {other}; see replay --help")),
     }
-    if words.files.is_empty() {
+    if arguments.files.is_empty() {
         return Err(miette!("a recording is missing; see replay --help"));
     }
-    Ok(Some(words))
+    Ok(Some(arguments))
 }
--- a/crates/replay/src/live.rs
+++ b/crates/replay/src/live.rs
@@ -1,17 +1,20 @@
-//! Live: the recorded runs are sent again at a chosen speed. A block's text is made up from its name,
-//! so prompts share prefixes exactly where the recorded ones did; no text was recorded.
+//! Live replay: sends the recorded runs to a fleet at a chosen speed. Recordings hold no text, so each block's text
+//! is generated from its hash; prompts then share prefixes exactly where the recorded ones did.
 
 use crate::prelude::*;
 
 const BLOCK_BYTES: usize = 64;
-const MOST_AT_ONCE: usize = 512;
+const MAX_CONCURRENT_RUNS: usize = 512;
+const RUN_TIMEOUT: Duration = Duration::from_secs(15);
 
+/// Outcomes and times to the first piece of the replayed runs.
 #[derive(Debug, Default)]
-pub struct LiveSums {
+pub struct LiveTotals {
     pub outcomes: BTreeMap<String, u64>,
     pub first_ms: Vec<u64>,
 }
 
+/// Where, with which keys (by tenant) and how fast runs are replayed.
 pub struct LivePlan {
     pub routers: Vec<String>,
     pub keys: BTreeMap<String, String>,
@@ -19,11 +22,11 @@
     pub seconds: u64,
 }
 
-/// Text for a prompt of these blocks, one fixed text for each name, and a tail for what was not named.
-fn made_up_prompt(run: &RecordedRun) -> String {
+/// Generates a prompt: a fixed text for each block hash, and a tail for blocks without a recorded hash.
+fn generated_prompt(run: &RecordedRun) -> String {
     let mut prompt = String::new();
-    for name in &run.block_hashes {
-        let mut block_text = format!("{name} ").repeat(BLOCK_BYTES / (name.len() + 1) + 1);
+    for hash in &run.block_hashes {
+        let mut block_text = format!("{hash} ").repeat(BLOCK_BYTES / (hash.len() + 1) + 1);
         block_text.truncate(BLOCK_BYTES);
         prompt.push_str(&block_text);
     }
@@ -33,62 +36,64 @@
     prompt
 }
 
-pub async fn play(runs: Vec<RecordedRun>, plan: LivePlan) -> LiveSums {
-    let sums = Arc::new(Mutex::new(LiveSums::default()));
+/// Replays the runs with their recorded spacing, divided by the speed; a limited number of them at a time.
+pub async fn play(runs: Vec<RecordedRun>, plan: LivePlan) -> LiveTotals {
+    let totals = Arc::new(Mutex::new(LiveTotals::default()));
     let plan = Arc::new(plan);
-    let first_began = runs.first().map_or(0, |run| run.began);
+    let first_run_began = runs.first().map_or(0, |run| run.began);
     let began = boot_now();
-    let seats = Arc::new(tokio::sync::Semaphore::new(MOST_AT_ONCE));
-    let mut playing = tokio::task::JoinSet::new();
-    for (place, run) in runs.into_iter().enumerate() {
-        let offset = Span::millis(run.began.saturating_sub(first_began) / plan.speed);
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_RUNS));
+    let mut tasks = tokio::task::JoinSet::new();
+    for (index, run) in runs.into_iter().enumerate() {
+        let offset = Span::millis(run.began.saturating_sub(first_run_began) / plan.speed);
         if offset >= Span::seconds(plan.seconds) {
             break;
         }
         tokio::time::sleep((began + offset).since(boot_now()).as_duration()).await;
-        let Ok(seat) = Arc::clone(&seats).acquire_owned().await else { break };
-        let (plan, sums) = (Arc::clone(&plan), Arc::clone(&sums));
-        playing.spawn(async move {
-            let router = plan.routers[place % plan.routers.len()].clone();
-            let (outcome, first_ms) = ask(&run, &router, &plan).await;
-            if let Ok(mut sums) = sums.lock() {
-                *sums.outcomes.entry(outcome).or_default() += 1;
-                sums.first_ms.extend(first_ms);
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { break };
+        let (plan, totals) = (Arc::clone(&plan), Arc::clone(&totals));
+        tasks.spawn(async move {
+            let router = plan.routers[index % plan.routers.len()].clone();
+            let (outcome, first_ms) = send(&run, &router, &plan).await;
+            if let Ok(mut totals) = totals.lock() {
+                *totals.outcomes.entry(outcome).or_default() += 1;
+                totals.first_ms.extend(first_ms);
             }
-            drop(seat);
+            drop(permit);
         });
     }
-    while playing.join_next().await.is_some() {}
-    let mut sums = sums.lock().map(|mut sums| std::mem::take(&mut *sums)).unwrap_or_default();
-    sums.first_ms.sort();
-    sums
+    while tasks.join_next().await.is_some() {}
+    let mut totals = totals.lock().map(|mut totals| std::mem::take(&mut *totals)).unwrap_or_default();
+    totals.first_ms.sort();
+    totals
 }
 
-async fn ask(run: &RecordedRun, router: &str, plan: &LivePlan) -> (String, Option<u64>) {
+/// Sends one run; returns its outcome and the time to its first piece in milliseconds.
+async fn send(run: &RecordedRun, router: &str, plan: &LivePlan) -> (String, Option<u64>) {
     let Some(key) = plan.keys.get(&run.tenant) else { return ("no_key".into(), None) };
     let body = json!({
-        "model": run.model, "prompt": made_up_prompt(run), "max_tokens": run.max_tokens, "stream": run.streams,
+        "model": run.model, "prompt": generated_prompt(run), "max_tokens": run.max_tokens, "stream": run.streams,
         "kind": run.kind, "repeatable": run.repeatable,
     });
-    let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
+    let request = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
         .header("authorization", format!("Bearer {key}"));
     let began = boot_now();
-    let whole_call = async {
+    let exchange = async {
         let stream = open_stream(router, Span::seconds(1)).await.map_err(|_| "no_answer")?;
-        let mut replied = stream.send(question).await.map_err(|_| "no_answer")?;
-        if replied.status.as_u16() != 200 {
-            return Err(if replied.status.as_u16() == 503 { "not_run" } else { "refused" });
+        let mut response = stream.send(request).await.map_err(|_| "no_answer")?;
+        if response.status.as_u16() != 200 {
+            return Err(if response.status.as_u16() == 503 { "not_run" } else { "refused" });
         }
         let mut first_ms = None;
         loop {
-            match replied.next_chunk().await {
+            match response.next_chunk().await {
                 Ok(Some(_)) => first_ms = first_ms.or(Some(boot_now().since(began).as_millis())),
                 Ok(None) => return Ok(first_ms),
                 Err(_) => return Err("cut"),
             }
         }
     };
-    match tokio::time::timeout(Duration::from_secs(15), whole_call).await {
+    match tokio::time::timeout(RUN_TIMEOUT, exchange).await {
         Ok(Ok(first_ms)) => ("whole".into(), first_ms),
         Ok(Err(outcome)) => (outcome.into(), None),
         Err(_) => ("no_answer".into(), None),
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -1,22 +1,23 @@
-//! The replay tool: reads recorded days, places them again offline, or plays them against a fleet.
+//! The `replay` tool: checks recorded days, repeats their placement decisions offline, or replays them against a
+//! fleet.
 
+mod command_line;
 mod live;
 mod offline;
 mod prelude;
-mod words;
 
 use crate::prelude::*;
 
 fn main() -> ExitCode {
-    let words = match read_words() {
-        Ok(Some(words)) => words,
+    let arguments = match read_arguments() {
+        Ok(Some(arguments)) => arguments,
         Ok(None) => return ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("replay: {report}");
             return ExitCode::from(EXIT_USAGE);
         }
     };
-    match work(&words) {
+    match run(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("replay: {report}");
@@ -25,21 +26,21 @@
     }
 }
 
-fn work(words: &Words) -> Result<(), Report> {
+fn run(arguments: &Arguments) -> Result<(), Report> {
     let mut days = Vec::new();
-    for path in &words.files {
+    for path in &arguments.files {
         let bytes = std::fs::read(path).map_err(|fault| miette!("{path}: {fault}"))?;
         let text = String::from_utf8(bytes).map_err(|_| miette!("{path}: not UTF-8"))?;
-        let day = read_day(&text, words.uses_cut).map_err(|reason| miette!("{path}: {reason}"))?;
+        let day = read_day(&text, arguments.allows_truncated).map_err(|reason| miette!("{path}: {reason}"))?;
         if let Some(line) = day.cut_line {
-            println!("{path}: line {line} is cut and was left out");
+            println!("{path}: line {line} is truncated and was left out");
         }
         println!("{path}: router {}, {} runs", day.head.router, day.runs.len());
         days.push(day);
     }
-    match words.command.as_str() {
-        "offline" => place_offline(words, &days),
-        "play" => play_live(words, days),
+    match arguments.command.as_str() {
+        "offline" => place_offline(arguments, &days),
+        "play" => play_live(arguments, days),
         _ => {
             let mut outcomes: BTreeMap<&str, u64> = BTreeMap::new();
             for run in days.iter().flat_map(|day| &day.runs) {
@@ -52,12 +53,12 @@
     }
 }
 
-fn place_offline(words: &Words, days: &[Day]) -> Result<(), Report> {
-    let table = words.policy.as_ref().map(|path| read_policy(path, days)).transpose()?;
+fn place_offline(arguments: &Arguments, days: &[Day]) -> Result<(), Report> {
+    let table = arguments.policy.as_ref().map(|path| read_policy(path, days)).transpose()?;
     let comparison = compare(days, table.as_ref());
     println!("picks {} same {} different {}", comparison.picks, comparison.same, comparison.differences.len());
-    println!("recorded: {}", comparison.recorded.words(comparison.picks));
-    println!("replayed: {}", comparison.replayed.words(comparison.picks));
+    println!("recorded: {}", comparison.recorded.summary(comparison.picks));
+    println!("replayed: {}", comparison.replayed.summary(comparison.picks));
     for difference in comparison.differences.iter().take(20) {
         println!("  {difference}");
     }
@@ -68,11 +69,11 @@
     Ok(())
 }
 
-fn play_live(words: &Words, days: Vec<Day>) -> Result<(), Report> {
-    if words.routers.is_empty() {
+fn play_live(arguments: &Arguments, days: Vec<Day>) -> Result<(), Report> {
+    if arguments.routers.is_empty() {
         return Err(miette!("--routers is missing; see replay --help"));
     }
-    let keys_path = words.keys.as_ref().ok_or_else(|| miette!("--keys is missing; see replay --help"))?;
+    let keys_path = arguments.keys.as_ref().ok_or_else(|| miette!("--keys is missing; see replay --help"))?;
     let keys_text = std::fs::read_to_string(keys_path).map_err(|fault| miette!("{keys_path}: {fault}"))?;
     let pairs: Vec<(String, String)> =
         serde_json::from_str(&keys_text).map_err(|fault| miette!("{keys_path}: {fault}"))?;
@@ -83,26 +84,26 @@
     recorded_first.sort();
     let run_count = runs.len();
     let plan = LivePlan {
-        routers: words.routers.clone(),
+        routers: arguments.routers.clone(),
         keys: pairs.into_iter().collect(),
-        speed: words.speed,
-        seconds: words.seconds,
+        speed: arguments.speed,
+        seconds: arguments.seconds,
     };
     let runtime = small_runtime(2).map_err(|fault| miette!("{fault}"))?;
-    let sums = runtime.block_on(play(runs, plan));
-    let half = |sorted: &[u64]| sorted.get(sorted.len() / 2).copied().unwrap_or(0);
-    let nine = |sorted: &[u64]| sorted.get(sorted.len() * 9 / 10).copied().unwrap_or(0);
+    let totals = runtime.block_on(play(runs, plan));
+    let median = |sorted: &[u64]| sorted.get(sorted.len() / 2).copied().unwrap_or(0);
+    let p90 = |sorted: &[u64]| sorted.get(sorted.len() * 9 / 10).copied().unwrap_or(0);
     println!(
         "recorded: {run_count} runs, {recorded_whole} whole, first piece {}/{} ms (p50 p90)",
-        half(&recorded_first),
-        nine(&recorded_first)
+        median(&recorded_first),
+        p90(&recorded_first)
     );
-    let listed: Vec<String> = sums.outcomes.iter().map(|(outcome, count)| format!("{outcome}={count}")).collect();
+    let listed: Vec<String> = totals.outcomes.iter().map(|(outcome, count)| format!("{outcome}={count}")).collect();
     println!(
         "played: {}, first piece {}/{} ms (p50 p90)",
         listed.join(" "),
-        half(&sums.first_ms),
-        nine(&sums.first_ms)
+        median(&totals.first_ms),
+        p90(&totals.first_ms)
     );
     Ok(())
 }
--- a/crates/replay/src/offline.rs
+++ b/crates/replay/src/offline.rs
@@ -1,26 +1,28 @@
-//! Offline: every recorded pick is made again from the candidates as they were scored then, under the
-//! recorded weights or another policy. The same policy must give the same engine.
+//! Offline replay: repeats every recorded pick from the candidates and scores in the recording, with the recorded
+//! weights or another policy. The same policy must choose the same engine.
 
 use crate::prelude::*;
 
+/// Recorded and replayed picks, compared.
 #[derive(Debug, Default)]
 pub struct Comparison {
     pub picks: u64,
     pub same: u64,
     pub differences: Vec<String>,
-    pub recorded: PlacementSums,
-    pub replayed: PlacementSums,
+    pub recorded: PlacementTotals,
+    pub replayed: PlacementTotals,
 }
 
+/// Totals over the engines that were picked.
 #[derive(Debug, Default)]
-pub struct PlacementSums {
+pub struct PlacementTotals {
     prompt_blocks: u64,
     prefill_blocks: u64,
     decode_blocks: u64,
     engines: BTreeMap<String, u64>,
 }
 
-impl PlacementSums {
+impl PlacementTotals {
     fn add(&mut self, run: &RecordedRun, score: &RecordedScore) {
         self.prompt_blocks += run.prompt_blocks;
         self.prefill_blocks += score.prefill_blocks;
@@ -28,19 +30,19 @@
         *self.engines.entry(score.engine.clone()).or_default() += 1;
     }
 
-    pub fn words(&self, picks: u64) -> String {
-        let most = self.engines.values().max().copied().unwrap_or(0);
+    pub fn summary(&self, picks: u64) -> String {
+        let busiest = self.engines.values().max().copied().unwrap_or(0);
         format!(
             "reused {:.1} % of blocks, {:.1} blocks in work where placed, busiest engine {:.1} % of picks, {} engines",
             100.0 * (1.0 - self.prefill_blocks as f64 / self.prompt_blocks.max(1) as f64),
             self.decode_blocks as f64 / picks.max(1) as f64,
-            100.0 * most as f64 / picks.max(1) as f64,
+            100.0 * busiest as f64 / picks.max(1) as f64,
             self.engines.len()
         )
     }
 }
 
-/// The table another policy compiles to for the recorded tenants and kinds.
+/// Reads a policy from a file and compiles it for the recorded tenants and kinds.
 pub fn read_policy(path: &str, days: &[Day]) -> Result<WeightTable, Report> {
     let text = std::fs::read_to_string(path).map_err(|fault| miette!("{path}: {fault}"))?;
     let policy_value = parse_bounded(&text, DOCUMENT_BOUNDS).map_err(|complaint| miette!("{path}: {complaint}"))?;
@@ -62,6 +64,7 @@
     Ok(policy.compile(&tenants, &desired.kinds))
 }
 
+/// Repeats every recorded pick and compares the chosen engines.
 pub fn compare(days: &[Day], table: Option<&WeightTable>) -> Comparison {
     let mut comparison = Comparison::default();
     for day in days {
@@ -69,7 +72,7 @@
         for run in &day.runs {
             let Some(pick) = &run.pick else { continue };
             let Some(recorded) = pick.candidates.iter().find(|score| score.engine == pick.chosen) else { continue };
-            let Some(replayed) = place_again(router, run, pick, table) else { continue };
+            let Some(replayed) = pick_again(router, run, pick, table) else { continue };
             comparison.picks += 1;
             comparison.recorded.add(run, recorded);
             comparison.replayed.add(run, replayed);
@@ -83,6 +86,7 @@
     comparison
 }
 
+/// The cost of a candidate under another policy; the recorded cost without one, or if the engine only decodes.
 fn new_cost(run: &RecordedRun, score: &RecordedScore, table: Option<&WeightTable>) -> f64 {
     let Some(table) = table.filter(|_| !score.decodes) else { return score.cost };
     let band = LoadBand::of(BlockCount(score.decode_blocks));
@@ -90,19 +94,20 @@
     cost(weight, BlockCount(score.prefill_blocks), BlockCount(score.decode_blocks)) + score.distance_blocks as f64
 }
 
-fn place_again<'a>(
+/// Picks the cheapest candidate, with the router's own order of ties.
+fn pick_again<'a>(
     router: NodeId,
     run: &RecordedRun,
     pick: &'a RecordedPick,
     table: Option<&WeightTable>,
 ) -> Option<&'a RecordedScore> {
     let tie_name: BlockHash = pick.tie_name.parse().unwrap_or(BlockHash(0));
-    let spread = |score: &RecordedScore| spread_of(tie_name, router, &EngineName(score.engine.clone()));
+    let tie_break = |score: &RecordedScore| spread_of(tie_name, router, &EngineName(score.engine.clone()));
     pick.candidates.iter().min_by(|left, right| {
         new_cost(run, left, table)
             .total_cmp(&new_cost(run, right, table))
             .then_with(|| left.is_far.cmp(&right.is_far))
-            .then_with(|| spread(left).cmp(&spread(right)))
+            .then_with(|| tie_break(left).cmp(&tie_break(right)))
     })
 }
 
@@ -129,7 +134,7 @@
     use crate::prelude::*;
 
     #[test]
-    fn the_same_policy_places_alike_and_another_is_explained() {
+    fn the_same_policy_picks_the_same_engine_and_another_is_explained() {
         let score = |engine: &str, prefill_blocks: u64, decode_blocks: u64| RecordedScore {
             engine: engine.into(),
             prefill_blocks,
--- a/crates/replay/src/prelude.rs
+++ b/crates/replay/src/prelude.rs
@@ -1,8 +1,8 @@
-//! The one import of this package's files.
+//! Imports shared by the files of this package.
 
+pub(crate) use crate::command_line::*;
 pub(crate) use crate::live::*;
 pub(crate) use crate::offline::*;
-pub(crate) use crate::words::*;
 pub(crate) use desired::prelude::{DOCUMENT_BOUNDS, JsonValue, parse_bounded, read_document};
 pub(crate) use placement::prelude::spread_of;
 pub(crate) use policy::prelude::{LoadBand, Policy, WeightTable, cost};
