--- a/crates/measure/src/fleets.rs
+++ b/crates/measure/src/fleets.rs
@@ -2,14 +2,14 @@
 
 use crate::prelude::*;
 
-fn quick_engines() -> Vec<String> {
+fn fast_engine_flags() -> Vec<String> {
     vec!["--prefill-us=0".into(), "--decode-us=0".into()]
 }
 
-/// A request through a router against the same request straight to the engine, turn by turn.
+/// Latency of a request through a router, alternating with the same request sent directly to the engine.
 pub fn measure_overhead() -> Result<(), String> {
     let fleet =
-        Fleet::start(FleetPlan { nodes: 1, engines: 1, engine_flags: quick_engines(), ..FleetPlan::small() })?;
+        Fleet::start(FleetPlan { nodes: 1, engines: 1, engine_flags: fast_engine_flags(), ..FleetPlan::small() })?;
     let mut direct = Vec::new();
     let mut routed = Vec::new();
     let engine = fleet.engines[0].address.clone();
@@ -26,13 +26,13 @@
             return Err(format!("{status} {answer}"));
         }
     }
-    println!("direct, us: {}", crate::spread(&mut direct));
-    println!("routed, us: {}", crate::spread(&mut routed));
+    println!("direct, us: {}", crate::quantiles_text(&mut direct));
+    println!("routed, us: {}", crate::quantiles_text(&mut routed));
     println!("ratio of medians: {:.2}", routed[routed.len() / 2] as f64 / direct[direct.len() / 2] as f64);
     Ok(())
 }
 
-/// From the moment a change is sent to its acknowledgement, nine nodes leased.
+/// Time from sending a change to its acknowledgement, while nine nodes hold leases.
 pub fn measure_acks() -> Result<(), String> {
     let fleet = Fleet::start(FleetPlan { nodes: 9, engines: 1, ..FleetPlan::small() })?;
     let mut small = Vec::new();
@@ -57,13 +57,13 @@
         large.push(boot_now().since(began).as_millis());
         small_on_large.push(patch_small(100 + round)?);
     }
-    println!("small changes of a large document, ms: {}", crate::spread(&mut small_on_large));
-    println!("small changes, ms (two round trips: read the edition, change): {}", crate::spread(&mut small));
-    println!("changes of about 170 kB, ms: {}", crate::spread(&mut large));
+    println!("small changes of a large document, ms: {}", crate::quantiles_text(&mut small_on_large));
+    println!("small changes, ms (two round trips: read the edition, change): {}", crate::quantiles_text(&mut small));
+    println!("changes of about 170 kB, ms: {}", crate::quantiles_text(&mut large));
     Ok(())
 }
 
-/// One hot prefix asked at once through nine routers, and the same through one.
+/// Concurrent requests with one hot prefix, through nine routers and through one.
 pub fn measure_pile_up() -> Result<(), String> {
     for round in 0..3 {
         for nodes in [9usize, 1] {
@@ -75,7 +75,7 @@
             }
             wait_until(Duration::from_millis(400), || false);
             let mut firsts: Vec<u64> = std::thread::scope(|scope| {
-                let asking: Vec<_> = (0..90)
+                let requests: Vec<_> = (0..90)
                     .map(|number| {
                         let (fleet, prompt) = (&fleet, format!("{prefix} own tail {number}"));
                         scope.spawn(move || {
@@ -85,7 +85,7 @@
                         })
                     })
                     .collect();
-                let answers = asking.into_iter().map(|asked| asked.join().unwrap_or((0, false)));
+                let answers = requests.into_iter().map(|request| request.join().unwrap_or((0, false)));
                 answers.filter(|(_, whole)| *whole).map(|(millis, _)| millis).collect()
             });
             let report = DayReport::from_record(&fleet.record(&[]));
@@ -94,7 +94,7 @@
             println!(
                 "{nodes} routers, 90 at once: {} whole, answer ms {}; engines used {}, starts {:?}, reused {:.1} %",
                 firsts.len(),
-                crate::spread(&mut firsts),
+                crate::quantiles_text(&mut firsts),
                 starts.len(),
                 &starts[..starts.len().min(8)],
                 report.reused_share * 100.0
@@ -104,7 +104,7 @@
     Ok(())
 }
 
-/// Resident memory of a router and a keeper over a bounded, busy run.
+/// Resident memory of a router and a keeper under load over 90 seconds.
 pub fn measure_memory() -> Result<(), String> {
     let fleet = Fleet::start(FleetPlan { nodes: 2, engines: 8, office: "sms".into(), ..FleetPlan::small() })?;
     let resident = |process: &Process| -> u64 {
@@ -123,7 +123,7 @@
             fleet.patch_document(&json!({"routing": {"events_late_ms": 2000 + step}}))?;
         }
     }
-    calling.join().map_err(|_| "the caller's thread died")??;
+    calling.join().map_err(|_| "the caller's thread panicked")??;
     println!("{}", DayReport::from_record(&fleet.record(&[calls])).text());
     Ok(())
 }
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -1,4 +1,4 @@
-//! Measurements, each by its name; docs/measurements.md tells what they gave and when.
+//! The `measure` program: runs one measurement by name. docs/measurements.md lists the results with their dates.
 
 mod fleets;
 mod picks;
@@ -39,10 +39,11 @@
     })
 }
 
-/// Quarter, half and nine tenths of some figures, and the most.
-pub fn spread(figures: &mut [u64]) -> String {
+/// Formats the p25, p50, p90 and maximum of some figures.
+pub fn quantiles_text(figures: &mut [u64]) -> String {
     figures.sort();
-    let at =
-        |share: usize| figures.get((figures.len() * share / 100).min(figures.len().max(1) - 1)).copied().unwrap_or(0);
+    let at = |percent: usize| {
+        figures.get((figures.len() * percent / 100).min(figures.len().max(1) - 1)).copied().unwrap_or(0)
+    };
     format!("p25 {} p50 {} p90 {} most {}", at(25), at(50), at(90), at(100))
 }
--- a/crates/measure/src/prelude.rs
+++ b/crates/measure/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files.
+//! Imports shared by the files of this package.
 
 pub(crate) use crate::fleets::*;
 pub(crate) use crate::picks::*;
--- a/crates/measure/src/recovery.rs
+++ b/crates/measure/src/recovery.rs
@@ -1,13 +1,13 @@
-//! Recovery of a running fleet: after losses, freezes, cuts and faults of disks.
+//! Recovery times of a running fleet after lost and frozen processes, cut connections and disk faults.
 
 use crate::prelude::*;
 
-// Places in the chain of four keepers.
+// Positions in the chain of four keepers.
 const HEAD: usize = 0;
 const MIDDLE: usize = 1;
 const TAIL: usize = 3;
 
-/// Until every router served again, and until a change was acknowledged; milliseconds.
+/// Time until every router served again, and until a change was acknowledged, in milliseconds.
 struct Recovery {
     served: u64,
     acknowledged: u64,
@@ -30,21 +30,21 @@
     for (what, mut recoveries) in figures {
         println!(
             "{what}: all routers serve, ms {}; a change acknowledged, ms {}",
-            crate::spread(&mut recoveries.served),
-            crate::spread(&mut recoveries.acknowledged)
+            crate::quantiles_text(&mut recoveries.served),
+            crate::quantiles_text(&mut recoveries.acknowledged)
         );
     }
 }
 
-/// The number of the keeper at a place in the chain.
-fn member_at(fleet: &Fleet, place: usize) -> Result<usize, String> {
+/// Index of the keeper at a position in the chain.
+fn member_at(fleet: &Fleet, position: usize) -> Result<usize, String> {
     let page = fleet.fleet_page()?;
-    let id = page["view"]["chain"][place].as_str().unwrap_or("");
+    let id = page["view"]["chain"][position].as_str().unwrap_or("");
     let member = fleet.keepers.iter().position(|keeper| keeper.id == id);
-    member.ok_or(format!("no keeper is known at place {place} of the chain"))
+    member.ok_or(format!("no known keeper at position {position} of the chain"))
 }
 
-/// From a loss (or from the putting back) until every router serves and a change is acknowledged.
+/// Time from a loss, or from the restart after it, until every router serves and a change is acknowledged.
 pub fn measure_recovery() -> Result<(), String> {
     let mut figures: BTreeMap<&str, Recoveries> = BTreeMap::new();
     for _ in 0..3 {
@@ -110,37 +110,37 @@
     Ok(())
 }
 
-/// Until every router serves again, and a change is acknowledged, from now; milliseconds.
+/// Measures the time from now until every router serves and a change is acknowledged.
 fn time_recovery(fleet: &Fleet) -> Result<Recovery, String> {
     let began = boot_now();
-    let passed = || boot_now().since(began).as_millis();
+    let elapsed = || boot_now().since(began).as_millis();
     let mut served = None;
-    let mut acked = None;
+    let mut acknowledged = None;
     wait_until(Duration::from_secs(60), || {
         let routers = fleet.nodes.len();
         if served.is_none()
             && (0..routers).all(|router| fleet.complete(router, 0, "back?").is_ok_and(|answer| answer.0 == 200))
         {
-            served = Some(passed());
+            served = Some(elapsed());
         }
         let change = json!({"routing": {"events_late_ms": 2000 + boot_millis() % 1000}});
         if served.is_some() && fleet.patch_document(&change).is_ok() {
-            acked = Some(passed());
+            acknowledged = Some(elapsed());
         }
-        acked.is_some()
+        acknowledged.is_some()
     });
-    let served = served.ok_or("never served")?;
-    let acknowledged = acked.ok_or("never acknowledged")?;
+    let served = served.ok_or("not every router served again within 60 s")?;
+    let acknowledged = acknowledged.ok_or("no change was acknowledged within 60 s")?;
     Ok(Recovery { served, acknowledged })
 }
 
-/// Cuts by relays, and faults of disks.
+/// Recovery times after connections are cut or stalled by relays, and after disk faults.
 pub fn measure_cuts() -> Result<(), String> {
     let mut figures: BTreeMap<&str, Recoveries> = BTreeMap::new();
     for _ in 0..3 {
         let mut fleet = Fleet::start(FleetPlan { nodes: 3, engines: 3, relayed: true, ..FleetPlan::small() })?;
-        let set = |fleet: &Fleet, keeper: usize, passage: RelayMode| {
-            fleet.keepers[keeper].relay.iter().for_each(|relay| relay.set_mode(passage));
+        let set_mode = |fleet: &Fleet, keeper: usize, mode: RelayMode| {
+            fleet.keepers[keeper].relay.iter().for_each(|relay| relay.set_mode(mode));
         };
         for what in [
             "tail hears nothing",
@@ -151,9 +151,9 @@
         ] {
             let tail = member_at(&fleet, TAIL)?;
             let all = 0..fleet.keepers.len();
-            let mid_cut = if what.contains("stalled") { RelayMode::Stalled } else { RelayMode::Cut };
+            let outage_mode = if what.contains("stalled") { RelayMode::Stalled } else { RelayMode::Cut };
             match what {
-                "tail hears nothing" => set(&fleet, tail, RelayMode::Stalled),
+                "tail hears nothing" => set_mode(&fleet, tail, RelayMode::Stalled),
                 "a disk full" => {
                     fleet.keepers[tail].process.iter().for_each(|process| process.limit_file_size(Some(4096)));
                 }
@@ -163,14 +163,14 @@
                     fleet.start_keeper(tail, false)?;
                 }
                 _ => {
-                    all.clone().for_each(|keeper| set(&fleet, keeper, mid_cut));
+                    all.clone().for_each(|keeper| set_mode(&fleet, keeper, outage_mode));
                     wait_until(Duration::from_secs(3), || false);
-                    all.clone().for_each(|keeper| set(&fleet, keeper, RelayMode::Open));
+                    all.clone().for_each(|keeper| set_mode(&fleet, keeper, RelayMode::Open));
                 }
             }
             let recovery = time_recovery(&fleet).map_err(|reason| format!("{what}: {reason}"))?;
             figures.entry(what).or_default().push(recovery);
-            all.for_each(|keeper| set(&fleet, keeper, RelayMode::Open));
+            all.for_each(|keeper| set_mode(&fleet, keeper, RelayMode::Open));
             if what == "a disk full" {
                 fleet.keepers[tail].process.iter().for_each(|process| process.limit_file_size(None));
             }
@@ -181,14 +181,14 @@
     Ok(())
 }
 
-/// Freezes processes for three seconds; what follows is measured from their waking.
+/// Suspends processes for three seconds; recovery is measured from their resumption.
 fn freeze_for(processes: &[Option<&Process>]) {
     processes.iter().flatten().for_each(|process| process.freeze());
     wait_until(Duration::from_secs(3), || false);
     processes.iter().flatten().for_each(|process| process.resume());
 }
 
-/// The longest stretch without a served request on any router after the tail is lost.
+/// The longest time without a served request on any router after the tail is lost.
 pub fn measure_gap() -> Result<(), String> {
     let mut fleet = Fleet::start(FleetPlan { nodes: 3, engines: 3, ..FleetPlan::small() })?;
     let mut gaps = Vec::new();
@@ -212,6 +212,6 @@
         fleet.start_keeper(tail, false)?;
         fleet.wait_for_chain(4)?;
     }
-    println!("tail lost: longest stretch without a served request, ms: {}", crate::spread(&mut gaps));
+    println!("tail lost: longest stretch without a served request, ms: {}", crate::quantiles_text(&mut gaps));
     Ok(())
 }
--- a/crates/measure/src/trials.rs
+++ b/crates/measure/src/trials.rs
@@ -1,11 +1,11 @@
-//! Trials on live traffic: a policy equal to the default must show no difference, one that is blind to
-//! kept prompts a known one; and what a hostile one does to the tenants beside it.
+//! Policy trials on live traffic. A policy equal to the default must show no difference, one that ignores cached
+//! prompts must show a known one, and a hostile one shows its effect on other tenants.
 
 use crate::prelude::*;
 
 const SECONDS: u64 = 25;
 
-/// Each office with half of a large tenant's requests on trial, policy after policy.
+/// For each office, puts half of a large tenant's requests on trial of one policy after the other.
 pub fn measure_trials() -> Result<(), String> {
     for office in ["engraving", "sms"] {
         let fleet = Fleet::start(FleetPlan::office(office))?;
@@ -17,30 +17,30 @@
                 "routing": {"trial_percent": 49 + round},
             }))?;
             let (calling, calls) = fleet.start_caller(&format!("day{round}"), SECONDS, 0, round as u64 + 1)?;
-            calling.join().map_err(|_| "the caller's thread failed")??;
-            let book = gather(&fleet)?;
-            let own = book.by_policy().remove(policy).unwrap_or_default();
-            let beside = book.default_for_tenants_of(policy).unwrap_or_default();
+            calling.join().map_err(|_| "the caller's thread panicked")??;
+            let metrics = collect_metrics(&fleet)?;
+            let trial = metrics.by_policy().remove(policy).unwrap_or_default();
+            let default = metrics.default_for_tenants_of(policy).unwrap_or_default();
             let record = fleet.record(&[calls]);
             let others = record.callers.iter().filter(|caller| caller.tenant != tenant);
             let mut firsts: Vec<u64> = others.filter_map(|caller| caller.first_ms).collect();
-            println!("{office} {policy}: trial {}", told(&own));
-            println!("{office} {policy}: default of the same tenant {}", told(&beside));
-            println!("{office} {policy}: other tenants' first piece ms {}", crate::spread(&mut firsts));
+            println!("{office} {policy}: trial {}", traffic_text(&trial));
+            println!("{office} {policy}: default of the same tenant {}", traffic_text(&default));
+            println!("{office} {policy}: other tenants' first piece ms {}", crate::quantiles_text(&mut firsts));
         }
     }
     Ok(())
 }
 
-fn gather(fleet: &Fleet) -> Result<PolicyMetrics, String> {
-    let mut book = PolicyMetrics::default();
+fn collect_metrics(fleet: &Fleet) -> Result<PolicyMetrics, String> {
+    let mut metrics = PolicyMetrics::default();
     for node in 0..fleet.nodes.len() {
-        book.merge(&PolicyMetrics::from_prometheus(&fleet.metrics(&fleet.router_address(node))?)?);
+        metrics.merge(&PolicyMetrics::from_prometheus(&fleet.metrics(&fleet.router_address(node))?)?);
     }
-    Ok(book)
+    Ok(metrics)
 }
 
-fn told(figures: &TrafficMetrics) -> String {
+fn traffic_text(figures: &TrafficMetrics) -> String {
     let quantiles: Vec<String> = [("p50", 0.5), ("p90", 0.9)]
         .iter()
         .map(|(name, share)| match figures.first.quantile(*share) {
