--- a/crates/testbed/src/documents.rs
+++ b/crates/testbed/src/documents.rs
@@ -1,15 +1,15 @@
-//! The desired state of a fleet: the first one, and changes of it.
+//! The desired state of a fleet: its initial document and changes to it.
 
 use crate::prelude::*;
 
 impl Fleet {
-    /// The number of the document in force.
+    /// The edition of the document in force.
     pub fn desired_edition(&self) -> Result<u64, String> {
         for keeper in self.keepers.iter().filter(|keeper| keeper.process.is_some()) {
-            let question = OutgoingRequest::get("/v1/desired-state")
+            let request = OutgoingRequest::get("/v1/desired-state")
                 .header("authorization", format!("Bearer {}", self.operator_key));
             let Ok((status, headers, _)) =
-                self.runtime.block_on(fetch_response(&keeper.operator_address, question, REQUEST_TIMEOUT, 4 << 20))
+                self.runtime.block_on(fetch_response(&keeper.operator_address, request, REQUEST_TIMEOUT, 4 << 20))
             else {
                 continue;
             };
@@ -20,15 +20,15 @@
                 return Ok(edition);
             }
         }
-        Err("no keeper tells the edition".into())
+        Err("no keeper returned the edition of the desired state".into())
     }
 
-    /// Replaces the document; the number of the new one.
+    /// Replaces the document and returns the new edition.
     pub fn put_document(&self, document: &Value) -> Result<u64, String> {
         self.change(Method::PUT, document)
     }
 
-    /// Changes the document; the number of the new one.
+    /// Merges a patch into the document and returns the new edition.
     pub fn patch_document(&self, patch: &Value) -> Result<u64, String> {
         self.change(Method::PATCH, patch)
     }
@@ -37,14 +37,14 @@
         let base = self.desired_edition()?;
         let (status, answer) = self.operator_request(method, "/v1/desired-state", Some(body), Some(base))?;
         if status != 200 {
-            return Err(format!("the change was answered {status}: {answer}"));
+            return Err(format!("the change was refused with status {status}: {answer}"));
         }
-        let edition = answer["edition"].as_u64().ok_or("no edition in the answer")?;
+        let edition = answer["edition"].as_u64().ok_or("the response has no edition")?;
         self.record_event(EventLine::Acked { at: boot_millis(), edition });
         Ok(edition)
     }
 
-    /// The document that a new fleet is given: eight tenants, two of them walled.
+    /// The initial document of a fleet: eight tenants, two of them walled.
     pub fn initial_document(&self) -> Value {
         let tenants: BTreeMap<String, Value> = self
             .tenants
@@ -71,7 +71,7 @@
         })
     }
 
-    /// What the desired state says of links: those between Namibian engines are clearly slower.
+    /// The link costs in the desired state; the links of the `sms` office are clearly slower.
     fn fetch_costs(&self) -> Value {
         match self.plan.office.as_str() {
             "sms" => json!({"same_zone_block_us": SLOW_LINK_US, "other_zone_block_us": SLOW_LINK_US,
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,10 +1,10 @@
-//! A seeded schedule of trouble for a whole office's day: losses, freezes, listings, configurations,
-//! keys, a trial and new weights. The same seed gives the same schedule; at its end everything is put
-//! back, and the rest of the day shows whether service returns.
+//! A seeded schedule of faults and operator actions for an office's day: lost and frozen processes, listings,
+//! configuration changes, a withdrawn key, a trial and new weights. The same seed gives the same schedule. At its end
+//! everything is restored, and the rest of the day shows whether service recovers.
 
 use crate::prelude::*;
 
-/// What can be done to a fleet.
+/// A fault or operator action.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// A keeper is killed.
@@ -21,43 +21,43 @@
     LoseEngine(usize),
     /// The prompt store is killed.
     LoseStore,
-    /// A keeper is frozen until it is put back.
+    /// A keeper is stopped until it is restored.
     FreezeKeeper(usize),
-    /// A node's agent and router are frozen until they are put back.
+    /// A node's agent and router are stopped until they are restored.
     FreezeNode(usize),
-    /// An engine is frozen until it is put back.
+    /// An engine is stopped until it is restored.
     FreezeEngine(usize),
     /// An engine is listed as leaving.
     ListAway(usize),
-    /// The keeper's disk is full until it is put back.
+    /// A keeper's disk is full until it is restored.
     FillDisk(usize),
-    /// The keeper's disk is gone; an empty machine takes its place.
+    /// A keeper is killed, its data is deleted, and it is restarted with an empty disk.
     LoseDisk(usize),
-    /// Nothing gets through to the keeper, and nothing is closed.
+    /// No traffic reaches a keeper, but its connections stay open.
     StallKeeper(usize),
-    /// Streams to the keeper are closed and new ones refused.
+    /// Connections to a keeper are closed and new ones refused.
     CutKeeper(usize),
-    /// No stream to any keeper holds.
+    /// Connections to all keepers are closed and new ones refused.
     CutCore,
-    /// An engine tells no events.
+    /// An engine sends no cache events.
     HideEvents(usize),
-    /// Fetches of an engine are slow.
+    /// Block fetches of an engine are slow.
     SlowLinks(usize),
-    /// The operator makes a small change.
+    /// The operator changes one setting of the desired state.
     ChangeDesiredState(u64),
     /// The operator withdraws a tenant's key.
     WithdrawKey,
-    /// A tenant goes on trial of another policy.
+    /// The operator starts a trial of another policy for a tenant.
     Trial,
     /// The operator moves the model to newer weights.
     MoveWeights,
-    /// What is lost, frozen, cut or listed away is put back.
+    /// Everything lost, frozen, cut or listed as leaving is restored.
     PutBack,
-    /// Everything is put back, and nothing is disturbed any more.
+    /// Everything is restored, and no further fault follows.
     Over,
 }
 
-/// Faults, and when each is due.
+/// Faults, each with the time when it is due.
 pub struct FaultSchedule {
     moments: Vec<(u64, Fault)>,
     key_withdrawn: bool,
@@ -66,29 +66,29 @@
 }
 
 impl FaultSchedule {
-    /// A schedule of faults by their moments in milliseconds, in order.
+    /// Creates a schedule from faults and their times in milliseconds, in order.
     pub fn new(moments: Vec<(u64, Fault)>) -> FaultSchedule {
         FaultSchedule { moments, key_withdrawn: false, awaited_weights: None, filled_disks: Vec::new() }
     }
 
-    /// A schedule over the first part of a day; the last twenty seconds stay calm.
+    /// Draws a random schedule; the last twenty seconds of the day are free of faults.
     pub fn random(seed: u64, seconds: u64, plan: &FleetPlan) -> FaultSchedule {
-        let mut draw = SeededRng::new(seed);
-        let calm_at = (seconds * 1000).saturating_sub(20_000).max(3_000);
+        let mut rng = SeededRng::new(seed);
+        let last_fault_at = (seconds * 1000).saturating_sub(20_000).max(3_000);
         let mut moments = vec![
             (2_000, Fault::Trial),
-            (calm_at / 3, Fault::MoveWeights),
-            (calm_at / 2, Fault::WithdrawKey),
-            (calm_at * 2 / 3, Fault::LoseDisk(seed as usize % plan.keepers)),
+            (last_fault_at / 3, Fault::MoveWeights),
+            (last_fault_at / 2, Fault::WithdrawKey),
+            (last_fault_at * 2 / 3, Fault::LoseDisk(seed as usize % plan.keepers)),
         ];
         let mut moment = 1_500;
-        while moment + 2_000 < calm_at {
+        while moment + 2_000 < last_fault_at {
             let (keeper, node, engine) = (
-                draw.below(plan.keepers as u64) as usize,
-                draw.below(plan.nodes as u64) as usize,
-                draw.below(plan.engines as u64) as usize,
+                rng.below(plan.keepers as u64) as usize,
+                rng.below(plan.nodes as u64) as usize,
+                rng.below(plan.engines as u64) as usize,
             );
-            let fault = match draw.below(20) {
+            let fault = match rng.below(20) {
                 0 => Fault::LoseKeeper(keeper),
                 1 => Fault::LoseKeepers(keeper, (keeper + 1) % plan.keepers),
                 2 => Fault::LoseRouter(node),
@@ -106,18 +106,18 @@
                 14 => Fault::CutCore,
                 15 => Fault::HideEvents(engine),
                 16 => Fault::SlowLinks(engine),
-                _ => Fault::ChangeDesiredState(draw.below(1000)),
+                _ => Fault::ChangeDesiredState(rng.below(1000)),
             };
             moments.push((moment, fault));
-            moments.push((moment + draw.between(300, 3_000), Fault::PutBack));
-            moment += draw.between(1_000, 3_500);
+            moments.push((moment + rng.between(300, 3_000), Fault::PutBack));
+            moment += rng.between(1_000, 3_500);
         }
-        moments.push((calm_at, Fault::Over));
+        moments.push((last_fault_at, Fault::Over));
         moments.sort_by_key(|(moment, _)| *moment);
         FaultSchedule::new(moments)
     }
 
-    /// Does what is due by now.
+    /// Applies all faults that are due, and records when awaited weights are confirmed.
     pub fn apply_due(&mut self, fleet: &mut Fleet, elapsed: u64) -> Result<(), String> {
         while let Some((moment, fault)) = self.moments.first().cloned() {
             if elapsed < moment {
@@ -225,7 +225,7 @@
     let _ = fleet.request(&fleet.engines[engine].address, Method::POST, "/v1/faults", Some(faults));
 }
 
-/// States an intent and confirms its plan; the plan's number if both were taken.
+/// States an intent and confirms its plan; returns the plan's number if both were accepted.
 fn state_and_confirm(fleet: &Fleet, intent: &Value) -> Option<u64> {
     let (_, plan) = fleet.operator_request(Method::POST, "/v1/intents", Some(intent), None).ok()?;
     let number = plan["plan"].as_u64()?;
@@ -234,7 +234,7 @@
     (status == 200).then_some(number)
 }
 
-/// Starts what is lost, wakes what is frozen, lists what was listed away.
+/// Restarts lost processes, resumes frozen ones, opens the relays and lists engines as open again.
 fn restore(fleet: &mut Fleet) -> Result<(), String> {
     for number in 0..fleet.keepers.len() {
         fleet.keepers[number].process.iter().for_each(Process::resume);
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,62 +1,62 @@
-//! A fleet: platform, keepers, engines, and nodes of agent and router each.
+//! A fleet: the platform, the store, keepers, engines, and nodes with an agent and a router each.
 
 use crate::prelude::*;
 
-/// The zones of an office.
+/// Zones that machines are assigned to in turn.
 pub const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// An edge machine.
+/// An edge machine, which runs an agent and a router.
 pub struct Node {
-    /// Its agent, if it runs.
+    /// The agent process, if it is running.
     pub agent: Option<Process>,
-    /// Its router, if it runs.
+    /// The router process, if it is running.
     pub router: Option<Process>,
     pub(crate) agent_address: String,
     pub(crate) router_address: String,
 }
 
-/// A core machine.
+/// A core machine, which runs a keeper.
 pub struct Keeper {
-    /// Its keeper, if it runs.
+    /// The keeper process, if it is running.
     pub process: Option<Process>,
-    /// Where keepers and agents reach it: the relay, if there is one.
+    /// Address for keepers and agents; that of the relay, if there is one.
     pub address: String,
-    /// Where operators reach it.
+    /// Address of the operators' API.
     pub operator_address: String,
-    /// Its id, as it told.
+    /// Node id, as reported in the ready line.
     pub id: String,
-    /// Its data folder.
+    /// Data folder.
     pub data: PathBuf,
-    /// The relay before it, if the fleet has such.
+    /// The relay in front of the keeper, if the fleet uses relays.
     pub relay: Option<Relay>,
     pub(crate) bound_address: String,
     pub(crate) zone: String,
 }
 
-/// An engine of the pool.
+/// An engine.
 pub struct Engine {
-    /// The engine, if it runs.
+    /// The engine process, if it is running.
     pub process: Option<Process>,
-    /// Its name in the listing.
+    /// Name in the platform's listing.
     pub name: String,
-    /// Where it is reached.
+    /// Address of the engine.
     pub address: String,
-    /// Listed as leaving for now.
+    /// Whether a fault has listed the engine as leaving.
     pub listed_away: bool,
     pub(crate) zone: String,
 }
 
-/// A running fleet; its processes end with it.
+/// A running fleet; dropping it ends its processes.
 pub struct Fleet {
-    /// What it is made of.
+    /// The plan that the fleet was started from.
     pub plan: FleetPlan,
-    /// Where its data and logs are.
+    /// Folder of data and logs.
     pub folder: PathBuf,
-    /// The stand-in for the platform.
+    /// The stand-in platform process.
     pub platform: Process,
-    /// The prompt store, if it runs.
+    /// The prompt store process, if it is running.
     pub store: Option<Process>,
-    /// Where the store is reached.
+    /// Address of the prompt store.
     pub store_address: String,
     /// The core machines.
     pub keepers: Vec<Keeper>,
@@ -66,9 +66,9 @@
     pub engines: Vec<Engine>,
     /// The key of the operator.
     pub operator_key: String,
-    /// Tenant and key, eight of them.
+    /// Names and keys of the eight tenants.
     pub tenants: Vec<(String, String)>,
-    /// What operators, the platform and the test did so far.
+    /// Recorded actions of operators, the platform and the test.
     pub events: Mutex<Vec<EventLine>>,
     pub(crate) runtime: tokio::runtime::Runtime,
     keeps_folder: bool,
@@ -80,13 +80,13 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until requests are served by every router.
+    /// Starts a fleet in a temporary folder and waits until every router serves.
     pub fn start(plan: FleetPlan) -> Result<Fleet, String> {
         let folder = std::env::temp_dir().join(format!("testbed-{}", NodeId::random()));
         Fleet::start_in(plan, folder, false)
     }
 
-    /// Starts everything in a folder, which may be kept.
+    /// Starts a fleet in a folder, which is optionally kept afterwards.
     pub fn start_in(plan: FleetPlan, folder: PathBuf, keeps_folder: bool) -> Result<Fleet, String> {
         std::fs::create_dir_all(&folder).map_err(|fault| format!("{}: {fault}", folder.display()))?;
         let runtime = small_runtime(2).map_err(|fault| fault.to_string())?;
@@ -127,7 +127,7 @@
         Ok(fleet)
     }
 
-    /// Adds a line to the record.
+    /// Adds an event to the record.
     pub fn record_event(&self, line: EventLine) {
         if let Ok(mut events) = self.events.lock() {
             events.push(line);
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,6 @@
-//! A whole fleet of real processes on one machine, on ports the system chooses. It stands in
-//! for the platform: it starts, stops, freezes and kills processes (only those it started), and keeps
-//! a record of what it did for the oracles. Tests and the `testbed` program both build on it.
+//! Runs a whole fleet of real processes on one machine, on ports assigned by the operating system. It starts,
+//! freezes and kills processes (only those it started), and records what it did for the oracles. Tests and the
+//! `testbed` program both build on it.
 
 #![warn(missing_docs)]
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: starts a whole office on this machine, plays its day, and reports.
+//! The `testbed` program: runs a fleet on this machine, plays an office's day against it, and prints a report.
 
 use process::prelude::*;
 use testbed::prelude::*;
@@ -17,7 +17,7 @@
             "sight",
             SettingKind::Choice(&["events", "history", "occupancy"]),
             Some("events"),
-            "where overlap comes from",
+            "what routers take prefix overlap from",
         ),
         setting("weight", SettingKind::Integer(0, 1000), Some("1"), "the default policy's weight"),
         setting(
@@ -26,7 +26,7 @@
             None,
             "kill and restart a keeper, a router, an agent and an engine meanwhile",
         ),
-        setting("trouble", SettingKind::Integer(0, 1 << 53), None, "seed of a schedule of trouble for the day"),
+        setting("trouble", SettingKind::Integer(0, 1 << 53), None, "seed of a random schedule of faults for the day"),
         setting("records", SettingKind::Flag, None, "routers record the day under the folder"),
         setting("serve", SettingKind::Flag, None, "serve until stopped instead of playing a day"),
         setting("folder", SettingKind::Path, None, "keep data and logs here"),
@@ -89,19 +89,19 @@
         std::thread::park_timeout(Duration::from_millis(100));
     }
     fleet.record_event(EventLine::RunEnds { at: boot_millis() });
-    calling.join().map_err(|_| "the caller's thread died")??;
+    calling.join().map_err(|_| "the caller's thread panicked")??;
     let report = DayReport::from_record(&fleet.record(&[calls]));
     println!("{}", report.text());
-    if report.violations.is_empty() { Ok(()) } else { Err("a rule was broken".into()) }
+    if report.violations.is_empty() { Ok(()) } else { Err("a rule was violated".into()) }
 }
 
-/// A keeper, a router, an agent and an engine lost one after the other, each put back before the next.
+/// Kills a keeper, a router, an agent and an engine in turn, and restores each before the next.
 fn kills(seconds: u64) -> Vec<(u64, Fault)> {
     let span = seconds * 1000;
     let losses = [Fault::LoseKeeper(0), Fault::LoseRouter(0), Fault::LoseAgent(1), Fault::LoseEngine(0)];
     let mut moments = Vec::new();
-    for (place, loss) in losses.into_iter().enumerate() {
-        let moment = span * (2 * place as u64 + 1) / 16;
+    for (index, loss) in losses.into_iter().enumerate() {
+        let moment = span * (2 * index as u64 + 1) / 16;
         moments.push((moment, loss));
         moments.push((moment + span / 16, Fault::PutBack));
     }
--- a/crates/testbed/src/monitoring.rs
+++ b/crates/testbed/src/monitoring.rs
@@ -1,43 +1,47 @@
-//! Looking at a fleet, and waiting until it is as it should be.
+//! Reads the state of a fleet and waits for conditions on it.
 
 use crate::prelude::*;
 
 impl Fleet {
-    /// The operators' page of the whole fleet.
+    /// The operators' overview of the fleet (`/v1/fleet`).
     pub fn fleet_page(&self) -> Result<Value, String> {
         let (status, page) = self.operator_request(Method::GET, "/v1/fleet", None, None)?;
-        if status == 200 { Ok(page) } else { Err(format!("fleet page answered {status}")) }
+        if status == 200 { Ok(page) } else { Err(format!("/v1/fleet returned status {status}")) }
     }
 
-    /// Waits until the chain has so many keepers.
+    /// Waits until the chain has the given number of keepers.
     pub fn wait_for_chain(&self, chain_length: usize) -> Result<(), String> {
         let formed = wait_until(Duration::from_secs(40), || {
             self.fleet_page().is_ok_and(|page| page["view"]["chain"].as_array().map(Vec::len) == Some(chain_length))
         });
-        if formed { Ok(()) } else { Err(format!("the core did not form: {:?}", self.fleet_page())) }
+        if formed {
+            Ok(())
+        } else {
+            Err(format!("the chain did not reach {chain_length} keepers: {:?}", self.fleet_page()))
+        }
     }
 
-    /// What a process says of its readiness.
+    /// Whether a process reports that it is ready.
     pub fn is_ready(&self, address: &str) -> Result<bool, String> {
-        let asked = fetch_response(address, OutgoingRequest::get("/ready"), Span::seconds(2), 1 << 10);
-        self.runtime.block_on(asked).map(|(status, _, _)| status == StatusCode::OK)
+        let response = fetch_response(address, OutgoingRequest::get("/ready"), Span::seconds(2), 1 << 10);
+        self.runtime.block_on(response).map(|(status, _, _)| status == StatusCode::OK)
     }
 
-    /// What a process says on its page of metrics.
+    /// The metrics page of a process.
     pub fn metrics(&self, address: &str) -> Result<String, String> {
-        let asked = fetch_response(address, OutgoingRequest::get("/metrics"), Span::seconds(2), 16 << 20);
-        let (_, _, body) = self.runtime.block_on(asked)?;
+        let response = fetch_response(address, OutgoingRequest::get("/metrics"), Span::seconds(2), 16 << 20);
+        let (_, _, body) = self.runtime.block_on(response)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// A figure of a process's metrics.
+    /// The value of one metric of a process.
     pub fn metric(&self, address: &str, name: &str) -> Option<u64> {
         let text = self.metrics(address).ok()?;
         let line = text.lines().find(|line| line.split(' ').next() == Some(name))?;
         line.rsplit(' ').next()?.parse().ok()
     }
 
-    /// Waits until every running router holds a lease with this edition, and every engine is confirmed.
+    /// Waits until every running router holds a lease and has this edition in force, and every engine is confirmed.
     pub fn wait_until_served(&self, edition: u64) -> Result<(), String> {
         let served = wait_until(Duration::from_secs(40), || {
             let routers_serve = self.nodes.iter().filter(|node| node.router.is_some()).all(|node| {
@@ -48,7 +52,11 @@
             });
             routers_serve && self.engines_confirmed()
         });
-        if served { Ok(()) } else { Err(format!("the fleet does not serve: {:?}", self.fleet_page())) }
+        if served {
+            Ok(())
+        } else {
+            Err(format!("the fleet does not serve edition {edition}: {:?}", self.fleet_page()))
+        }
     }
 
     /// Whether every running engine is confirmed and open.
@@ -62,7 +70,7 @@
         })
     }
 
-    /// Takes a look at every running router for the record.
+    /// Records a sample of every running router.
     pub fn sample_routers(&self) {
         for node in &self.nodes {
             let Some(router) = &node.router else { continue };
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,31 +1,31 @@
-//! What a fleet is made of.
+//! The configuration of a fleet.
 
-/// What a fleet is made of.
+/// The configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Whose day is played.
+    /// The office whose day is played.
     pub office: String,
-    /// Core machines.
+    /// Number of core machines.
     pub keepers: usize,
-    /// Edge machines.
+    /// Number of edge machines.
     pub nodes: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Flags for every engine besides the usual ones.
+    /// Additional flags for every engine.
     pub engine_flags: Vec<String>,
-    /// Where routers take overlap from: `events`, `history` or `occupancy`.
+    /// What routers take prefix overlap from: `events`, `history` or `occupancy`.
     pub overlap_source: String,
-    /// The default policy's weight.
+    /// Weight of the default policy.
     pub weight: f64,
-    /// How much agents, routers and keepers log.
+    /// Log level of agents, routers and keepers.
     pub log_level: String,
-    /// Routers record the day under the fleet's folder.
+    /// Whether routers record the day in the fleet's folder.
     pub records_days: bool,
-    /// Keepers are reached through relays, which can be cut.
+    /// Whether keepers are reached through relays, which can be cut.
     pub relayed: bool,
-    /// The first engine prefills, the others decode.
+    /// Whether the first engine only prefills and the others only decode.
     pub split_roles: bool,
-    /// Keepers are those built with pretended disks, which `set_disk_fault` makes misbehave.
+    /// Whether keepers use simulated disks, whose faults `Fleet::set_disk_fault` sets.
     pub faulty_disks: bool,
 }
 
--- a/crates/testbed/src/prelude.rs
+++ b/crates/testbed/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The one import of this package's files and tests.
+//! Imports shared by the files of this package, and the public API for tests.
 
 pub use crate::faults::*;
 pub use crate::fleet::*;
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,27 +1,27 @@
-//! One process: started, waited for until it says it is ready, and ended by its id.
+//! A child process: started, awaited until its ready line, and ended by its process id.
 
 use crate::prelude::*;
 
-const READY_CAP: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A process that said it is ready; it is killed when this is dropped.
+/// A child process; it is killed when this is dropped.
 pub struct Process {
-    /// Its name in this fleet, by which its log goes.
+    /// Name in the fleet; the log file is named after it.
     pub name: String,
-    /// What its ready line told.
+    /// The fields of the ready line.
     pub ready: BTreeMap<String, String>,
     child: Child,
 }
 
-/// The keeper with pretended disks, built apart from the ordinary programs.
-pub const FAULTY_DISK_KEEPER: &str = "frail keeper";
+/// Selects the keeper with simulated disks, which is built in a target folder of its own.
+pub const FAULTY_DISK_KEEPER: &str = "keeper with simulated disks";
 
-/// Where the built programs are: beside the running one, or one folder up from a test.
+/// Path of a built program: in the folder of the running program, or one folder above that of a test.
 pub fn program_path(program: &str) -> Result<PathBuf, String> {
     let own_path = std::env::current_exe().map_err(|fault| fault.to_string())?;
     if program == FAULTY_DISK_KEEPER {
-        let candidate = own_path.ancestors().skip(2).take(3).map(|folder| folder.join("frail/debug/keeper"));
-        let found = candidate.into_iter().find(|path| path.is_file());
+        let mut candidates = own_path.ancestors().skip(2).take(3).map(|folder| folder.join("frail/debug/keeper"));
+        let found = candidates.find(|path| path.is_file());
         return found.ok_or_else(|| {
             "build it first: cargo build -p keeper --features faults --target-dir target/frail".into()
         });
@@ -36,29 +36,29 @@
 }
 
 impl Process {
-    /// Starts a program and waits for its ready line; its log goes to `NAME.log` in the folder.
+    /// Starts a program and waits for its ready line; stderr goes to `NAME.log` in the folder.
     pub fn start(program: &str, name: &str, arguments: &[String], folder: &Path) -> Result<Process, String> {
-        Process::start_with_timeout(program, name, arguments, folder, READY_CAP)
+        Process::start_with_timeout(program, name, arguments, folder, READY_TIMEOUT)
     }
 
-    /// The same, waiting no longer than the cap.
+    /// Like [`Process::start`], with a timeout for the ready line.
     pub fn start_with_timeout(
         program: &str,
         name: &str,
         arguments: &[String],
         folder: &Path,
-        cap: Duration,
+        timeout: Duration,
     ) -> Result<Process, String> {
         let (mut child, lines) = Process::launch(program, name, arguments, folder)?;
-        let (told, ready_line) = std::sync::mpsc::channel();
+        let (ready_sender, ready_line) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
                 if line.starts_with("ready") {
-                    let _ = told.send(line);
+                    let _ = ready_sender.send(line);
                 }
             }
         });
-        let Ok(line) = ready_line.recv_timeout(cap) else {
+        let Ok(line) = ready_line.recv_timeout(timeout) else {
             let _ = child.kill();
             let _ = child.wait();
             let log = std::fs::read_to_string(folder.join(format!("{name}.log"))).unwrap_or_default();
@@ -73,7 +73,7 @@
         Ok(Process { name: name.to_owned(), ready, child })
     }
 
-    /// Starts a program and waits for nothing; it has no addresses to tell.
+    /// Starts a program without waiting for its ready line; [`Process::ready`] stays empty.
     pub fn spawn(program: &str, name: &str, arguments: &[String], folder: &Path) -> Result<Process, String> {
         let (child, _) = Process::launch(program, name, arguments, folder)?;
         Ok(Process { name: name.to_owned(), ready: BTreeMap::new(), child })
@@ -95,16 +95,16 @@
             .stderr(log)
             .spawn()
             .map_err(|fault| format!("{program}: {fault}"))?;
-        let stdout = child.stdout.take().ok_or("no output to read")?;
+        let stdout = child.stdout.take().ok_or("the child has no stdout")?;
         Ok((child, std::io::BufReader::new(stdout)))
     }
 
-    /// Its id in the system.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The address its ready line told.
+    /// The address in the ready line.
     pub fn address(&self) -> String {
         self.ready.get("address").cloned().unwrap_or_default()
     }
@@ -117,8 +117,8 @@
         }
     }
 
-    /// From now on no file of this process may grow or be written beyond so many bytes, as on a disk
-    /// that is full; with nothing, they may again.
+    /// Limits the size up to which the process can write files, which acts like a full disk; `None` removes the
+    /// limit.
     #[allow(unsafe_code)]
     pub fn limit_file_size(&self, bytes: Option<u64>) {
         let mut limit = libc::rlimit { rlim_cur: 0, rlim_max: 0 };
@@ -132,41 +132,41 @@
         }
     }
 
-    /// Stops it from running, without ending it.
+    /// Suspends the process (SIGSTOP).
     pub fn freeze(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets it run again.
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Tells it to read its settings again.
+    /// Makes the process reload its settings (SIGHUP).
     pub fn reload(&self) {
         self.signal(libc::SIGHUP);
     }
 
-    /// Tells it to stop in good order.
+    /// Requests a graceful shutdown (SIGTERM).
     pub fn terminate(&self) {
         self.signal(libc::SIGTERM);
     }
 
-    /// Whether it has not ended yet.
+    /// Whether the process has not exited yet.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Ends it at once, as a lost machine would.
+    /// Kills the process immediately, as the loss of its machine would (SIGKILL).
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its own end, at most so long; its exit code.
-    pub fn wait_for_exit(&mut self, cap: Duration) -> Option<i32> {
+    /// Waits until the process exits; returns its exit code, or `None` after the timeout.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<i32> {
         let mut ended = None;
-        wait_until(cap, || {
+        wait_until(timeout, || {
             ended = self.child.try_wait().ok().flatten();
             ended.is_some()
         });
@@ -180,11 +180,11 @@
     }
 }
 
-/// Waits for an event by asking for it, with a generous cap; false if it never came.
-pub fn wait_until(cap: Duration, mut happened: impl FnMut() -> bool) -> bool {
+/// Polls a condition until it holds; returns false if it does not hold within the timeout.
+pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let began = boot_now();
-    while !happened() {
-        if boot_now().since(began).as_duration() >= cap {
+    while !condition() {
+        if boot_now().since(began).as_duration() >= timeout {
             return false;
         }
         std::thread::park_timeout(Duration::from_millis(15));
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -1,9 +1,9 @@
-//! The record of a played day, for the oracles.
+//! Collects the record of a run for the oracles.
 
 use crate::prelude::*;
 
 impl Fleet {
-    /// What the engines wrote down.
+    /// The log lines of all engines.
     pub fn engine_lines(&self) -> Vec<EngineLogLine> {
         let mut lines = Vec::new();
         for engine in &self.engines {
@@ -14,7 +14,7 @@
         lines
     }
 
-    /// The record so far, with what the callers wrote to these files.
+    /// The record so far, including the callers' lines from these files.
     pub fn record(&self, caller_files: &[PathBuf]) -> Record {
         let mut record = Record {
             engines: self.engine_lines(),
@@ -32,7 +32,7 @@
         record
     }
 
-    /// Starts callers for a while; their lines go to the file named.
+    /// Starts the `caller` program on a thread; returns the thread and the path of the callers' lines.
     pub fn start_caller(
         &self,
         name: &str,
@@ -54,9 +54,9 @@
             format!("--seed={seed}"),
         ];
         let (folder, name) = (self.folder.clone(), name.to_owned());
-        let cap = Duration::from_secs(seconds + 60);
+        let timeout = Duration::from_secs(seconds + 60);
         let calling =
-            std::thread::spawn(move || Process::start_with_timeout("caller", &name, &arguments, &folder, cap));
+            std::thread::spawn(move || Process::start_with_timeout("caller", &name, &arguments, &folder, timeout));
         Ok((calling, out_path))
     }
 }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,33 +1,33 @@
-//! A relay between processes: streams pass through it and can be cut, or stalled without being closed,
-//! as by a network that drops everything.
+//! A TCP relay whose connections can be cut, or stalled without being closed, as by a network that drops all
+//! packets.
 
 use crate::prelude::*;
 
-/// What a relay lets through.
+/// How a relay treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayMode {
-    /// Everything.
+    /// Traffic is forwarded.
     Open,
-    /// Nothing gets through, nothing is closed.
+    /// Nothing is forwarded, and connections stay open.
     Stalled,
-    /// Streams are closed and new ones refused.
+    /// Connections are closed, and new ones are closed at once.
     Cut,
 }
 
-/// A relay before one process.
+/// A relay in front of one process.
 pub struct Relay {
-    /// Where it is reached.
+    /// Address that the relay listens on.
     pub address: String,
     mode: Arc<Mutex<RelayMode>>,
     target: Arc<Mutex<String>>,
     streams: Streams,
 }
 
-/// The open streams, both ends of each.
+/// The sockets of open connections, two for each.
 type Streams = Arc<Mutex<Vec<Weak<TcpStream>>>>;
 
 impl Relay {
-    /// Starts a relay that leads nowhere yet.
+    /// Starts a relay without a target.
     pub fn start() -> Result<Relay, String> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(|fault| fault.to_string())?;
         let address = listener.local_addr().map_err(|fault| fault.to_string())?.to_string();
@@ -56,14 +56,14 @@
         Ok(relay)
     }
 
-    /// Sets where new streams are led.
+    /// Sets the address that new connections are forwarded to.
     pub fn set_target(&self, address: &str) {
         if let Ok(mut target) = self.target.lock() {
             address.clone_into(&mut target);
         }
     }
 
-    /// Once this is over, nothing more gets through a relay that was cut.
+    /// Sets the mode. When a call with [`RelayMode::Cut`] returns, nothing more is forwarded.
     pub fn set_mode(&self, new_mode: RelayMode) {
         let Ok(mut streams) = self.streams.lock() else { return };
         if let Ok(mut mode) = self.mode.lock() {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Notes a new stream, so that a cut closes it; false if the relay is cut already.
+/// Registers a new connection, so that a cut closes it; returns false if the relay is already cut.
 fn register(streams: &Streams, mode: &Mutex<RelayMode>, ends: [&Arc<TcpStream>; 2]) -> bool {
     let Ok(mut streams) = streams.lock() else { return false };
     if current_mode(mode) == RelayMode::Cut {
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,31 +1,31 @@
-//! The report of a played day.
+//! The summary of a played day.
 
 use crate::prelude::*;
 
-/// What a played day came to.
+/// The summary of a played day.
 #[derive(Clone, Debug, Default)]
 pub struct DayReport {
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, u64>,
-    /// Milliseconds to the first piece by kind: half, nine tenths and 99 of a hundred came within.
+    /// Time to the first piece in milliseconds by kind of request: p50, p90 and p99.
     pub first_ms: BTreeMap<String, [u64; 3]>,
-    /// The share of prompts' blocks that engines had kept.
+    /// Share of prompt blocks that engines had cached.
     pub reused_share: f64,
-    /// Attempts begun by engine.
+    /// Number of attempts started by engine.
     pub engine_starts: BTreeMap<String, u64>,
-    /// Second attempts by all attempts.
+    /// Share of retries among all attempts.
     pub retry_share: f64,
-    /// What broke a rule.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
 }
 
-fn at_share(sorted: &[u64], share: f64) -> u64 {
+fn quantile(sorted: &[u64], share: f64) -> u64 {
     let place = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
     sorted.get(place).copied().unwrap_or(0)
 }
 
 impl DayReport {
-    /// The report of a record.
+    /// Summarizes a record and checks it against the rules.
     pub fn from_record(record: &Record) -> DayReport {
         let mut report = DayReport { violations: check_record(record), ..DayReport::default() };
         let mut firsts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
@@ -44,22 +44,22 @@
         }
         for (kind, mut millis) in firsts {
             millis.sort();
-            report.first_ms.insert(kind, [0.5, 0.9, 0.99].map(|share| at_share(&millis, share)));
+            report.first_ms.insert(kind, [0.5, 0.9, 0.99].map(|share| quantile(&millis, share)));
         }
         report.reused_share = cached_blocks as f64 / u64::max(prompt_blocks, 1) as f64;
         report.retry_share = record.retries as f64 / u64::max(record.attempts, 1) as f64;
         report
     }
 
-    /// The report as it is printed.
+    /// The report as text.
     pub fn text(&self) -> String {
         let mut text = String::from("requests by outcome:");
         for (outcome, count) in &self.outcomes {
             text.push_str(&format!(" {outcome}={count}"));
         }
         text.push_str("\nfirst piece, ms (p50 p90 p99):");
-        for (kind, [half, nine, most]) in &self.first_ms {
-            text.push_str(&format!(" {kind}={half}/{nine}/{most}"));
+        for (kind, [p50, p90, p99]) in &self.first_ms {
+            text.push_str(&format!(" {kind}={p50}/{p90}/{p99}"));
         }
         let counts: Vec<u64> = self.engine_starts.values().copied().collect();
         let mean = counts.iter().sum::<u64>() as f64 / counts.len().max(1) as f64;
--- a/crates/testbed/src/requests.rs
+++ b/crates/testbed/src/requests.rs
@@ -1,11 +1,11 @@
-//! Requests to the parts of a fleet: as anybody, as the operator, as a tenant.
+//! Requests to the processes of a fleet: without credentials, as the operator, or as a tenant.
 
 use crate::prelude::*;
 
 pub(crate) const REQUEST_TIMEOUT: Span = Span::seconds(12);
 
 impl Fleet {
-    /// Asks a process for a page; the status and the answer.
+    /// Sends a request with an optional JSON body and returns the status and the JSON response.
     pub fn request(
         &self,
         address: &str,
@@ -13,21 +13,21 @@
         path: &str,
         body: Option<&Value>,
     ) -> Result<(u16, Value), String> {
-        let question = match body {
+        let request = match body {
             Some(value) => OutgoingRequest::with_json(method, path, value),
             None => OutgoingRequest { method, ..OutgoingRequest::get(path) },
         };
-        self.send_request(address, question)
+        self.send_request(address, request)
     }
 
-    /// Asks a process; the status and the answer.
-    pub fn send_request(&self, address: &str, question: OutgoingRequest) -> Result<(u16, Value), String> {
-        let (status, value) = self.runtime.block_on(fetch_json(address, question, REQUEST_TIMEOUT))?;
+    /// Sends a prepared request and returns the status and the JSON response.
+    pub fn send_request(&self, address: &str, request: OutgoingRequest) -> Result<(u16, Value), String> {
+        let (status, value) = self.runtime.block_on(fetch_json(address, request, REQUEST_TIMEOUT))?;
         Ok((status.as_u16(), value))
     }
 
-    /// Asks as the operator, through the first keeper that answers; one that says it has no part in the core
-    /// now is passed over for another.
+    /// Sends a request as the operator to the first keeper that answers; a keeper that is not part of the core at the
+    /// moment (503) is skipped.
     pub fn operator_request(
         &self,
         method: Method,
@@ -35,7 +35,7 @@
         body: Option<&Value>,
         if_match: Option<u64>,
     ) -> Result<(u16, Value), String> {
-        let mut last_outcome = Err(String::from("no keeper runs"));
+        let mut last_outcome = Err(String::from("no keeper is running"));
         for keeper in self.keepers.iter().filter(|keeper| keeper.process.is_some()) {
             match self.operator_request_at(&keeper.operator_address, method.clone(), path, body, if_match) {
                 Ok((503, answer)) => last_outcome = Ok((503, answer)),
@@ -47,31 +47,31 @@
         last_outcome
     }
 
-    /// Asks one keeper as the operator.
+    /// Sends a request as the operator to one keeper.
     pub fn operator_request_at(
         &self,
-        door: &str,
+        address: &str,
         method: Method,
         path: &str,
         body: Option<&Value>,
         if_match: Option<u64>,
     ) -> Result<(u16, Value), String> {
-        let mut question = match body {
+        let mut request = match body {
             Some(value) => OutgoingRequest::with_json(method, path, value),
             None => OutgoingRequest { method, ..OutgoingRequest::get(path) },
         };
-        question = question.header("authorization", format!("Bearer {}", self.operator_key));
+        request = request.header("authorization", format!("Bearer {}", self.operator_key));
         if let Some(edition) = if_match {
-            question = question.header("if-match", format!("\"{edition}\""));
+            request = request.header("if-match", format!("\"{edition}\""));
         }
-        self.send_request(door, question)
+        self.send_request(address, request)
     }
 
-    /// One request to a router; the status and the answer.
+    /// Sends a tenant's completion request to a router and returns the status and the response.
     pub fn complete(&self, router: usize, tenant: usize, prompt: &str) -> Result<(u16, Value), String> {
         let body = json!({"model": "model", "prompt": prompt, "max_tokens": 4});
-        let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
+        let request = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", self.tenants[tenant].1));
-        self.send_request(&self.router_address(router), question)
+        self.send_request(&self.router_address(router), request)
     }
 }
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -1,13 +1,15 @@
-//! Starting the parts of a fleet, each at the address it had before, and listing its engines.
+//! Starts the processes of a fleet, each at its previous address after a restart, and lists engines with the
+//! platform.
 
 use crate::prelude::*;
 
-/// How long a block takes over the links of an office, in microseconds.
+/// Transfer time of a block in microseconds over an office's fast links.
 pub(crate) const QUICK_LINK_US: u64 = 100;
+/// Transfer time of a block in microseconds over an office's slow links.
 pub(crate) const SLOW_LINK_US: u64 = 900;
 
 impl Fleet {
-    /// Addresses of up to three keepers, those that run if any does.
+    /// Addresses of up to three keepers, preferring running ones.
     pub fn seed_addresses(&self) -> String {
         let running = self.keepers.iter().filter(|keeper| keeper.process.is_some());
         let mut addresses: Vec<&str> = running.map(|keeper| keeper.address.as_str()).collect();
@@ -18,7 +20,7 @@
         addresses.join(",")
     }
 
-    /// Adds and starts a keeper; its number.
+    /// Adds and starts a keeper; returns its index.
     pub fn add_keeper(&mut self, founds: bool) -> Result<usize, String> {
         let number = self.keepers.len();
         let data = self.folder.join(format!("keeper{number}.data"));
@@ -38,7 +40,7 @@
         Ok(number)
     }
 
-    /// The program a keeper is, and what it is told at its start.
+    /// The program and arguments that a keeper is started with.
     pub fn keeper_command(&self, number: usize, founds: bool) -> (&'static str, Vec<String>) {
         let seeds = self.seed_addresses();
         let keeper = &self.keepers[number];
@@ -67,7 +69,7 @@
         (program, arguments)
     }
 
-    /// Starts a keeper in its folder, at the address it had before.
+    /// Starts a keeper on its data folder, at its previous address.
     pub fn start_keeper(&mut self, number: usize, founds: bool) -> Result<(), String> {
         let (program, arguments) = self.keeper_command(number, founds);
         let process = Process::start(program, &format!("keeper{number}"), &arguments, &self.folder)?;
@@ -83,17 +85,18 @@
         Ok(())
     }
 
-    /// The file that says how a frail keeper's disk misbehaves.
+    /// The file that controls the faults of a keeper's simulated disk.
     pub fn disk_fault_file(&self, number: usize) -> PathBuf {
         self.folder.join(format!("keeper{number}.disk"))
     }
 
-    /// Makes a frail keeper's disk `slow MILLIS`, `stall`, `full`, `fail`, or well again with nothing.
+    /// Sets the fault of a keeper's simulated disk: `slow MILLIS`, `stall`, `full`, `fail`, or the empty string for
+    /// none.
     pub fn set_disk_fault(&self, number: usize, state: &str) -> Result<(), String> {
         std::fs::write(self.disk_fault_file(number), state).map_err(|fault| fault.to_string())
     }
 
-    /// Adds, starts and lists an engine; its number.
+    /// Adds and starts an engine and lists it as open; returns its index.
     pub fn add_engine(&mut self) -> Result<usize, String> {
         let number = self.engines.len();
         let engine = Engine {
@@ -109,7 +112,7 @@
         Ok(number)
     }
 
-    /// Starts an engine on these weights, at the address it had before.
+    /// Starts an engine on a weights edition, at its previous address.
     pub fn start_engine(&mut self, number: usize, weights: u64) -> Result<(), String> {
         let engine = &self.engines[number];
         let mut arguments = vec![
@@ -129,7 +132,7 @@
         Ok(())
     }
 
-    /// Puts an engine into the platform's listing as open, leaving or gone.
+    /// Lists an engine with the platform as `open`, `leaving` or `gone`.
     pub fn list_engine(&self, number: usize, state: &str) -> Result<(), String> {
         let engine = &self.engines[number];
         let path = format!("/v1/engines/{}", engine.name);
@@ -139,11 +142,11 @@
             (true, _) => "decode",
         };
         let body = json!({"name": engine.name, "address": engine.address, "zone": engine.zone, "model": "model", "role": role, "state": state});
-        let question = match state {
+        let request = match state {
             "gone" => OutgoingRequest { method: Method::DELETE, ..OutgoingRequest::get(&path) },
             _ => OutgoingRequest::with_json(Method::PUT, &path, &body),
         };
-        self.runtime.block_on(fetch_json(&self.platform.address(), question, REQUEST_TIMEOUT))?;
+        self.runtime.block_on(fetch_json(&self.platform.address(), request, REQUEST_TIMEOUT))?;
         let (at, engine) = (boot_millis(), engine.name.clone());
         self.record_event(if state == "open" {
             EventLine::ListedOpen { at, engine }
@@ -153,7 +156,7 @@
         Ok(())
     }
 
-    /// Adds a node and starts its agent and router; its number.
+    /// Adds a node and starts its agent and router; returns its index.
     pub fn add_node(&mut self) -> Result<usize, String> {
         let number = self.nodes.len();
         self.nodes.push(Node {
@@ -167,7 +170,7 @@
         Ok(number)
     }
 
-    /// Starts a node's agent, at the address it had before.
+    /// Starts a node's agent at its previous address.
     pub fn start_agent(&mut self, number: usize) -> Result<(), String> {
         let arguments = vec![
             format!("--listen={}", self.nodes[number].agent_address),
@@ -181,7 +184,7 @@
         Ok(())
     }
 
-    /// Starts a node's router, at the address it had before.
+    /// Starts a node's router at its previous address.
     pub fn start_router(&mut self, number: usize) -> Result<(), String> {
         let node = &self.nodes[number];
         let arguments = vec![
@@ -200,7 +203,7 @@
         Ok(())
     }
 
-    /// Where a node's router is reached.
+    /// Address of a node's router.
     pub fn router_address(&self, number: usize) -> String {
         self.nodes[number].router_address.clone()
     }
--- a/crates/testbed/tests/adapters.rs
+++ b/crates/testbed/tests/adapters.rs
@@ -1,5 +1,5 @@
-//! Tuned adapters by real processes: two regions, two customers with an adapter each, a shift of the load,
-//! the loss of a node and of an engine; and what is refused.
+//! Adapters, tested with real processes: two regions, two customers with an adapter each, a shift of the load, the
+//! loss of a node and of an engine, and requests that are refused.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,15 +11,15 @@
 const QUESTION_MS: u64 = 10_000;
 const ATTEMPT_MS: u64 = 3_500;
 const TOKENS: u64 = 4;
-/// Tenants by place: the two customers with adapters, and one on the bare model.
+/// Tenant indexes: the two customers with adapters, and one on the base model.
 const ENGRAVER: usize = 0;
 const CLINIC: usize = 1;
 const BARE: usize = 3;
-/// Routers stand in the zones a to d, of which a and b are the north.
+/// Routers by region: they run in zones a to d, of which a and b are the north.
 const NORTH: [usize; 2] = [0, 1];
 const SOUTH: [usize; 2] = [2, 3];
 
-/// Who asks, and what came of it.
+/// The load generator and the lines it has recorded.
 struct Callers {
     routers: Vec<String>,
     tenants: Vec<(String, String)>,
@@ -30,14 +30,14 @@
     lines: Mutex<Vec<CallerLine>>,
 }
 
-/// What an attempt came to, for its caller.
+/// The outcome of an attempt for its caller.
 enum Attempt {
     Over,
-    /// It surely did not run: another router or a later moment may serve it.
+    /// The request certainly did not run; it may be sent again.
     NotRun {
         pause_ms: u64,
     },
-    /// It may have run.
+    /// The request may have run.
     Uncertain,
 }
 
@@ -46,7 +46,7 @@
         self.lines.lock().unwrap().len()
     }
 
-    /// Asks at a steady rate until told to stop.
+    /// Sends questions at a steady rate until stopped.
     async fn play(self: Arc<Self>) {
         let mut pulse = tokio::time::interval(Duration::from_millis(40));
         for tick in 0u64.. {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// One question, asked again at the region's other router while that is right and there is time.
+    /// Asks one question, and retries at the region's other router while that is safe and time is left.
     async fn ask(&self, number: u64, tenant: usize, region: [usize; 2]) {
         let asked_at = boot_millis();
         let repeatable = !number.is_multiple_of(3);
@@ -112,23 +112,23 @@
         let prompt = format!("{:-<640}", format!("question {number} "));
         let body = json!({"model": "model", "prompt": prompt, "max_tokens": TOKENS, "stream": line.streams,
                           "repeatable": line.repeatable, "limit_ms": limit_ms});
-        let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
+        let request = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", line.key));
         line.outcome = "no_answer".into();
         let Ok(stream) = open_stream(router, Span::millis(700)).await else {
             return Attempt::NotRun { pause_ms: 10 };
         };
-        let sending = stream.send(question);
+        let sending = stream.send(request);
         let Ok(sent) = tokio::time::timeout(Duration::from_millis(limit_ms + 1000), sending).await else {
             return Attempt::Uncertain;
         };
-        let mut replied = match sent {
-            Ok(replied) => replied,
+        let mut response = match sent {
+            Ok(response) => response,
             Err(fault) if !fault.byte_left => return Attempt::NotRun { pause_ms: 10 },
             Err(_) => return Attempt::Uncertain,
         };
-        let header = |name: &str| replied.header(name).unwrap_or("").to_owned();
-        (line.status, line.run) = (replied.status.as_u16(), header("x-haremount-run"));
+        let header = |name: &str| response.header(name).unwrap_or("").to_owned();
+        (line.status, line.run) = (response.status.as_u16(), header("x-haremount-run"));
         line.adapter = header("x-haremount-adapter");
         if line.status != 200 {
             line.outcome = header("x-haremount-outcome");
@@ -136,23 +136,23 @@
             return if line.outcome == "not_run" { Attempt::NotRun { pause_ms } } else { Attempt::Uncertain };
         }
         let read = match line.streams {
-            true => read_stream(&mut replied, &prompt, line).await,
-            false => read_answer(replied, &prompt, line).await,
+            true => read_stream(&mut response, &prompt, line).await,
+            false => read_answer(response, &prompt, line).await,
         };
         line.outcome = if read { "whole".into() } else { "cut".into() };
         if read { Attempt::Over } else { Attempt::Uncertain }
     }
 }
 
-/// Checks that a text was made on the adapter named, for this prompt and shot.
+/// Checks that a text is the output of the named adapter for this prompt and attempt.
 fn check_text(text: &str, expected: &str, line: &mut CallerLine) {
     if text != expected {
         line.wrong = format!("{text:?} is not what {:?} makes", line.adapter);
     }
 }
 
-async fn read_answer(replied: IncomingResponse, prompt: &str, line: &mut CallerLine) -> bool {
-    let IncomingResponse { body, .. } = replied;
+async fn read_answer(response: IncomingResponse, prompt: &str, line: &mut CallerLine) -> bool {
+    let IncomingResponse { body, .. } = response;
     let Ok(body) = read_whole(body, 1 << 20, Duration::from_secs(8)).await else { return false };
     let Ok(answer) = serde_json::from_slice::<Value>(&body) else { return false };
     line.first_ms = Some(boot_millis() - line.at);
@@ -164,13 +164,13 @@
     true
 }
 
-async fn read_stream(replied: &mut IncomingResponse, prompt: &str, line: &mut CallerLine) -> bool {
+async fn read_stream(response: &mut IncomingResponse, prompt: &str, line: &mut CallerLine) -> bool {
     let mut text = String::new();
-    while let Ok(Some(bytes)) = replied.next_chunk().await {
+    while let Ok(Some(bytes)) = response.next_chunk().await {
         text.push_str(&String::from_utf8_lossy(&bytes));
         while let Some((event, rest)) = text.clone().split_once("\n\n") {
             text = rest.to_owned();
-            let Some(data) = event.lines().find_map(|told| told.strip_prefix("data: ")) else { return false };
+            let Some(data) = event.lines().find_map(|line| line.strip_prefix("data: ")) else { return false };
             if event.starts_with("event: error") {
                 return false;
             }
@@ -199,7 +199,7 @@
     line.last_at = boot_millis();
 }
 
-/// Engines that hold an adapter warm in a region, as the operators' page tells.
+/// Engines on which an adapter is warm in a region, from the operators' API.
 fn warm_in(fleet: &Fleet, adapter: &str, region: &str) -> Vec<String> {
     let Ok((200, page)) = fleet.operator_request(Method::GET, "/v1/adapters", None, None) else { return Vec::new() };
     let adapters = page["adapters"].as_array().cloned().unwrap_or_default();
@@ -241,13 +241,13 @@
     flags
 }
 
-/// Waits for so many more lines, while the load goes on.
+/// Waits until the running load has recorded the given number of further lines.
 fn await_lines(callers: &Callers, more: usize) {
     let wanted = callers.count() + more;
-    assert!(wait_until(Duration::from_secs(40), || callers.count() >= wanted), "the load stands still");
+    assert!(wait_until(Duration::from_secs(40), || callers.count() >= wanted), "the load has stopped");
 }
 
-/// Milliseconds to the first piece, in the middle and for nine in ten, of an adapter's tenant.
+/// Formats the time to the first piece of a tenant's requests in a period: p50, p90 and maximum.
 fn first_pieces(lines: &[CallerLine], tenant: &str, from: u64, to: u64) -> String {
     let of_time = lines.iter().filter(|line| line.tenant == tenant && (from..to).contains(&line.at));
     let mut firsts: Vec<u64> = of_time.filter_map(|line| line.first_ms).collect();
@@ -285,7 +285,7 @@
     let steady_from = boot_millis();
     await_lines(&callers, 200);
 
-    // The load moves south, and a node there is lost as soon as it serves the first of it.
+    // The load moves south, and a node there is lost once the first question is answered there.
     let moved_at = boot_millis();
     callers.moved.store(true, Ordering::SeqCst);
     let engraver = fleet.tenants[ENGRAVER].0.clone();
@@ -302,14 +302,14 @@
     let both_after = boot_millis() - moved_at;
     await_lines(&callers, 100);
 
-    // An engine that holds the adapter there is lost.
+    // An engine in the south on which the adapter is warm is lost.
     let lost = warm_in(&fleet, "engraver", "south")[0].clone();
     let number = fleet.engines.iter().position(|engine| engine.name == lost).unwrap();
     let lost_at = boot_millis();
     fleet.record_event(EventLine::Lost { at: lost_at, what: lost.clone() });
     fleet.engines[number].process = None;
     await_warm(&fleet, "engraver", "south", &lost, 2);
-    let made_good_after = boot_millis() - lost_at;
+    let replaced_after = boot_millis() - lost_at;
     let after_from = boot_millis();
     await_lines(&callers, 200);
     callers.stops.store(true, Ordering::SeqCst);
@@ -326,7 +326,7 @@
     );
     println!("adapters: outcomes {outcomes:?}, {} load orders", loads.count());
     println!(
-        "adapters: warm in the south {warm_after} ms after the shift, twice after {both_after} ms; the lost engine made good after {made_good_after} ms"
+        "adapters: warm in the south {warm_after} ms after the shift, twice after {both_after} ms; the lost engine replaced after {replaced_after} ms"
     );
     for (named, from, to) in
         [("before", steady_from, moved_at), ("during", moved_at, after_from), ("after", after_from, ended)]
@@ -345,13 +345,14 @@
     assert!(record.callers.iter().filter(|line| line.outcome == "whole").count() > 500);
 }
 
-/// A request to an engine or a router, with all that its head says.
-fn ask_head(address: &str, question: OutgoingRequest) -> (u16, Value, String) {
+/// Sends a request to an engine or a router; returns the status, the body and selected headers.
+fn send_for_headers(address: &str, request: OutgoingRequest) -> (u16, Value, String) {
     let runtime = small_runtime(1).unwrap();
     let (status, headers, body) =
-        runtime.block_on(web::prelude::fetch_response(address, question, Span::seconds(12), 1 << 20)).unwrap();
-    let told = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned();
-    let head = format!("{} {} {}", told("x-haremount-adapter"), told("x-haremount-outcome"), told("retry-after"));
+        runtime.block_on(web::prelude::fetch_response(address, request, Span::seconds(12), 1 << 20)).unwrap();
+    let header = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned();
+    let head =
+        format!("{} {} {}", header("x-haremount-adapter"), header("x-haremount-outcome"), header("retry-after"));
     (status.as_u16(), serde_json::from_slice(&body).unwrap_or(Value::Null), head)
 }
 
@@ -361,15 +362,15 @@
     if adapter.is_empty() {
         body.as_object_mut().unwrap().remove("cache_salt");
     }
-    let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body);
+    let request = OutgoingRequest::with_json(Method::POST, "/v1/completions", &body);
     match adapter {
-        "" => question.header("authorization", format!("Bearer {key}")),
-        adapter => question.header("x-haremount-adapter", adapter),
+        "" => request.header("authorization", format!("Bearer {key}")),
+        adapter => request.header("x-haremount-adapter", adapter),
     }
 }
 
 #[test]
-fn an_engine_refuses_what_it_does_not_hold_and_a_foreign_answer_never_passes() {
+fn an_engine_refuses_unloaded_adapters_and_a_foreign_answer_is_rejected() {
     let plan = FleetPlan { nodes: 1, engines: 1, engine_flags: adapter_flags(2), ..FleetPlan::small() };
     let fleet = Fleet::start(plan).unwrap();
     bind_adapters(&fleet, 2);
@@ -379,37 +380,37 @@
     let starts = || fleet.record(&[]).starts().count();
     let started = starts();
     for foreign in ["engraver@2", "engraver@4", "other@1"] {
-        let (status, told, _) = ask_head(&engine, completion("", foreign));
-        assert_eq!((status, told["error"]["type"].as_str()), (421, Some("adapter_not_resident")), "{foreign}");
+        let (status, answer, _) = send_for_headers(&engine, completion("", foreign));
+        assert_eq!((status, answer["error"]["type"].as_str()), (421, Some("adapter_not_resident")), "{foreign}");
     }
     assert_eq!(starts(), started, "a refusal does no work");
     for (tenant, adapter) in [(ENGRAVER, "engraver@3"), (CLINIC, "clinic@1"), (BARE, "")] {
         let key = fleet.tenants[tenant].1.clone();
-        let (status, told, head) = ask_head(&fleet.router_address(0), completion(&key, ""));
-        assert_eq!((status, head.as_str()), (200, format!("{adapter} whole ").as_str()), "{told}");
-        assert_eq!(told["adapter"].as_str().unwrap_or(""), adapter);
+        let (status, answer, head) = send_for_headers(&fleet.router_address(0), completion(&key, ""));
+        assert_eq!((status, head.as_str()), (200, format!("{adapter} whole ").as_str()), "{answer}");
+        assert_eq!(answer["adapter"].as_str().unwrap_or(""), adapter);
     }
     let salts: std::collections::BTreeSet<String> =
         fleet.record(&[]).starts().map(|start| start.salt.clone()).collect();
-    assert_eq!(salts.len(), 3, "kept blocks are named under the adapter");
+    assert_eq!(salts.len(), 3, "block hashes depend on the adapter");
     let faults = json!({"answers_as": "clinic@1"});
     assert_eq!(fleet.request(&engine, Method::POST, "/v1/faults", Some(&faults)).unwrap().0, 200);
     let key = fleet.tenants[ENGRAVER].1.clone();
-    let (status, told, _) = ask_head(&fleet.router_address(0), completion(&key, ""));
-    assert_eq!((status, told["error"]["type"].as_str()), (502, Some("unknown")), "{told}");
+    let (status, answer, _) = send_for_headers(&fleet.router_address(0), completion(&key, ""));
+    assert_eq!((status, answer["error"]["type"].as_str()), (502, Some("unknown")), "{answer}");
 }
 
 #[test]
-fn an_adapter_that_is_warm_nowhere_is_refused_at_once_and_never_the_bare_model() {
+fn a_request_for_a_cold_adapter_is_refused_and_never_runs_on_the_base_model() {
     let plan = FleetPlan { nodes: 1, engines: 1, engine_flags: adapter_flags(0), ..FleetPlan::small() };
     let fleet = Fleet::start(plan).unwrap();
     bind_adapters(&fleet, 1);
     let key = fleet.tenants[ENGRAVER].1.clone();
-    let (status, told, head) = ask_head(&fleet.router_address(0), completion(&key, ""));
-    assert_eq!((status, told["error"]["type"].as_str(), head.as_str()), (503, Some("adapter_cold"), " not_run 2"));
+    let (status, answer, head) = send_for_headers(&fleet.router_address(0), completion(&key, ""));
+    assert_eq!((status, answer["error"]["type"].as_str(), head.as_str()), (503, Some("adapter_cold"), " not_run 2"));
     assert_eq!(fleet.record(&[]).starts().count(), 0);
     let bare = fleet.tenants[BARE].1.clone();
-    assert_eq!(ask_head(&fleet.router_address(0), completion(&bare, "")).0, 200);
+    assert_eq!(send_for_headers(&fleet.router_address(0), completion(&bare, "")).0, 200);
     let document = json!({"adapters": {"engraver": {"owners": ["nobody"]}}});
     assert!(fleet.patch_document(&document).unwrap_err().contains("unknown tenant nobody"));
 }
--- a/crates/testbed/tests/core.rs
+++ b/crates/testbed/tests/core.rs
@@ -1,16 +1,16 @@
-//! The core by real processes: loss of each place in the chain, restart of all from disk, an empty
-//! replacement, founding refused where a fleet exists, and what a damaged folder says.
+//! The core, tested with real processes: loss of each position in the chain, restart of all keepers from disk, an
+//! empty replacement, founding refused where a fleet exists, and the error for a damaged data folder.
 
 use testbed::prelude::*;
 
-/// A fleet without engines or nodes: the core alone.
+/// A fleet of keepers only.
 fn core_only() -> Fleet {
     Fleet::start(FleetPlan { nodes: 0, engines: 0, ..FleetPlan::small() }).unwrap()
 }
 
-fn chain_place(fleet: &Fleet, place: usize) -> usize {
+fn keeper_at(fleet: &Fleet, position: usize) -> usize {
     let page = fleet.fleet_page().unwrap();
-    let id = page["view"]["chain"][place].as_str().unwrap().to_owned();
+    let id = page["view"]["chain"][position].as_str().unwrap().to_owned();
     fleet.keepers.iter().position(|keeper| keeper.id == id).unwrap()
 }
 
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn loss_of_head_middle_and_tail_is_mended() {
+fn the_chain_recovers_from_loss_of_head_middle_and_tail() {
     let mut fleet = core_only();
     for (round, place) in [0, 1, 3].into_iter().enumerate() {
         let edition = fleet.patch_document(&json!({"kinds": [format!("before{round}")]})).unwrap();
-        let lost = chain_place(&fleet, place);
+        let lost = keeper_at(&fleet, place);
         fleet.keepers[lost].process = None;
         let next_edition = wait_change(&fleet, &format!("after{round}"));
         assert!(next_edition > edition);
@@ -64,7 +64,7 @@
 fn a_lost_disk_is_replaced_by_an_empty_machine_elsewhere() {
     let mut fleet = core_only();
     let edition = fleet.patch_document(&json!({"kinds": ["kept"]})).unwrap();
-    let lost = chain_place(&fleet, 0);
+    let lost = keeper_at(&fleet, 0);
     let lost_id = fleet.keepers[lost].id.clone();
     fleet.keepers[lost].process = None;
     std::fs::remove_dir_all(&fleet.keepers[lost].data).unwrap();
@@ -106,14 +106,14 @@
     statuses.sort();
     assert_eq!(statuses, [200, 412], "{first:?} {second:?}");
     let (winner, loser) = if first.0 == 200 { (first, second) } else { (second, first) };
-    assert_eq!(loser.1["now"], winner.1["edition"], "the loser sees what moved");
+    assert_eq!(loser.1["now"], winner.1["edition"], "the refused operator is told the edition in force");
     let request = winner.1["request"].as_str().unwrap();
     let again = fleet.operator_request(Method::GET, &format!("/v1/requests/{request}"), None, None).unwrap();
     assert_eq!(again.1["edition"], winner.1["edition"]);
 }
 
 #[test]
-fn founding_and_folders_are_guarded() {
+fn founding_twice_damaged_folders_and_used_ports_are_refused() {
     let fleet = core_only();
     let key_file = fleet.folder.join("operator.key").display().to_string();
     let run = |name: &str, flags: &[String]| {
@@ -148,7 +148,7 @@
 #[test]
 fn a_folder_restored_from_a_backup_catches_up() {
     let mut fleet = core_only();
-    let restored = chain_place(&fleet, 1);
+    let restored = keeper_at(&fleet, 1);
     let id = fleet.keepers[restored].id.clone();
     let process = fleet.keepers[restored].process.as_mut().unwrap();
     process.terminate();
@@ -166,6 +166,6 @@
     fleet.wait_for_chain(4).unwrap();
     assert!(fleet.desired_edition().unwrap() >= edition);
     let door = fleet.keepers[restored].operator_address.clone();
-    let own_word = fleet.operator_request_at(&door, Method::GET, "/v1/desired-state", None, None).unwrap();
-    assert_eq!(own_word.1["kinds"], json!(["made while it was away"]));
+    let own_answer = fleet.operator_request_at(&door, Method::GET, "/v1/desired-state", None, None).unwrap();
+    assert_eq!(own_answer.1["kinds"], json!(["made while it was away"]));
 }
--- a/crates/testbed/tests/data.rs
+++ b/crates/testbed/tests/data.rs
@@ -1,5 +1,5 @@
-//! The data plane by real processes: engines that crash, lie, cut and hide; engines listed away; new
-//! weights; callers that send nonsense or leave; draining.
+//! The data plane, tested with real processes: engines that crash, return wrong answers, cut streams or hide events;
+//! engines listed as leaving; new weights; callers that send invalid requests or disconnect; draining.
 
 use std::io::{Read, Write};
 use testbed::prelude::*;
@@ -9,12 +9,12 @@
     assert_eq!(answer.0, 200);
 }
 
-/// One raw exchange: what is sent, and all that comes back.
+/// Sends raw bytes and returns everything received.
 fn raw(address: &str, sent: &[u8]) -> String {
     raw_then(address, sent, false)
 }
 
-/// The same, with the sending side closed at once: a caller that leaves half-way.
+/// Like `raw`; optionally closes the sending side at once, as a caller that disconnects half-way does.
 fn raw_then(address: &str, sent: &[u8], half_closes: bool) -> String {
     let mut stream = std::net::TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -28,9 +28,9 @@
 }
 
 fn post(fleet: &Fleet, body: &Value) -> (u16, Value) {
-    let question = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/completions", body)
+    let request = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/completions", body)
         .header("authorization", format!("Bearer {}", fleet.tenants[0].1));
-    fleet.send_request(&fleet.router_address(0), question).unwrap()
+    fleet.send_request(&fleet.router_address(0), request).unwrap()
 }
 
 #[test]
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn nonsense_gets_a_clear_refusal_and_the_router_goes_on() {
+fn invalid_requests_are_refused_and_the_router_keeps_serving() {
     let fleet = Fleet::start(FleetPlan { nodes: 1, engines: 1, ..FleetPlan::small() }).unwrap();
     let refused_bodies = [
         (json!({"model": "model", "prompt": "x", "surprise": 1}), 400),
@@ -153,7 +153,7 @@
     raw_then(&address, b"\x16\x03\x01 nonsense\r\n\r\n", true);
     assert!(
         raw(&fleet.keepers[0].address, b"GET / HTTP/1.1\r\n\r\n").len() < 400,
-        "an internal link says hello and no more"
+        "an internal link sends its hello message and nothing else"
     );
     raw_then(&fleet.keepers[0].address, &[0xff; 64], true);
     assert_eq!(fleet.complete(0, 0, "still serving").unwrap().0, 200);
@@ -183,25 +183,25 @@
         stream.read_exact(&mut first_bytes).unwrap();
         stream
     };
-    let leaving = begin(150);
+    let abandoned = begin(150);
     assert_eq!(running(&fleet), Some(1));
-    drop(leaving);
-    assert!(wait_until(Duration::from_secs(5), || running(&fleet) == Some(0)), "the shot was cancelled");
-    let mut staying = begin(30);
+    drop(abandoned);
+    assert!(wait_until(Duration::from_secs(5), || running(&fleet) == Some(0)), "the attempt was cancelled");
+    let mut remaining = begin(30);
     fleet.nodes[0].router.as_ref().unwrap().terminate();
     let refused =
         wait_until(Duration::from_secs(5), || fleet.complete(0, 0, "too late").is_ok_and(|answer| answer.0 == 503));
     assert!(refused);
     let mut rest = String::new();
-    staying.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    staying.read_to_string(&mut rest).ok();
-    assert!(rest.contains("[DONE]"), "the running stream was let finish: {rest}");
+    remaining.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    remaining.read_to_string(&mut rest).ok();
+    assert!(rest.contains("[DONE]"), "the running stream was allowed to finish: {rest}");
     let code = fleet.nodes[0].router.as_mut().unwrap().wait_for_exit(Duration::from_secs(20));
     assert_eq!(code, Some(0));
 }
 
 #[test]
-fn a_frozen_router_woken_starts_nothing_on_what_it_knew() {
+fn a_resumed_router_starts_nothing_on_stale_state() {
     let fleet = Fleet::start(FleetPlan::small()).unwrap();
     let frozen = fleet.nodes[0].router.as_ref().unwrap();
     let frozen_agent = fleet.nodes[0].agent.as_ref().unwrap();
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn hidden_events_fall_back_to_own_history() {
+fn routers_fall_back_to_history_when_events_are_hidden() {
     let fleet = Fleet::start(FleetPlan { nodes: 1, ..FleetPlan::small() }).unwrap();
     for engine in 0..3 {
         engine_faults(&fleet, engine, json!({"hide_events": true}));
@@ -262,7 +262,7 @@
     engine_faults(&fleet, 1, json!({"refuse": true}));
     let count =
         |name: &str| fleet.metric(&fleet.router_address(0), &format!("haremount_router_{name}_total")).unwrap();
-    let (shots_before, retries_before) = (count("shots"), count("retries"));
+    let (attempts_before, retries_before) = (count("shots"), count("retries"));
     for number in 0..60 {
         let body =
             json!({"model": "model", "prompt": format!("again {number}"), "max_tokens": 1, "repeatable": true});
@@ -270,16 +270,16 @@
         assert_eq!((status, answer["error"]["type"].as_str()), (502, Some("unknown")), "{answer}");
     }
     let retries = count("retries") - retries_before;
-    let firsts = count("shots") - shots_before - retries;
+    let firsts = count("shots") - attempts_before - retries;
     assert_eq!(firsts, 60);
     assert!(
         (1..=8).contains(&retries),
-        "{retries} further attempts on 60 first ones; a tenth and two saved up are allowed"
+        "{retries} retries for 60 first attempts; the budget allows a tenth and two in reserve"
     );
 }
 
 #[test]
-fn a_slow_caller_is_let_go_with_a_word() {
+fn a_caller_that_sends_its_body_too_slowly_gets_408() {
     let fleet = Fleet::start(FleetPlan { nodes: 1, engines: 1, ..FleetPlan::small() }).unwrap();
     let sent = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {}\r\n\
--- a/crates/testbed/tests/disks.rs
+++ b/crates/testbed/tests/disks.rs
@@ -1,6 +1,6 @@
-//! Disks by real processes: keepers on pretended disks that are slow, stalled, failing, or lose what was
-//! not synced when power goes right after an acknowledgement. They need the keeper built with its
-//! `faults` feature, apart from the ordinary one; `./check` builds it.
+//! Disk faults, tested with real processes: keepers on simulated disks that are slow, stalled or failing, or that
+//! lose unsynced data on a power loss right after an acknowledgement. The tests need the keeper built with its
+//! `faults` feature in a target folder of its own; `./check` builds it.
 
 use testbed::prelude::*;
 
@@ -26,20 +26,20 @@
 }
 
 #[test]
-fn slow_and_stalled_disks_at_each_place_of_the_chain_stop_nobody() {
+fn slow_and_stalled_disks_at_each_place_of_the_chain_do_not_stop_the_core() {
     let fleet = faulty_disk_fleet(2, 3);
     let (calling, calls) = fleet.start_caller("day", 30, 20, 17).unwrap();
     for place in [0, 1, 3] {
         let members = chain(&fleet);
-        let troubled = fleet.keepers.iter().position(|keeper| keeper.id == members[place]).unwrap();
-        fleet.set_disk_fault(troubled, "slow 120").unwrap();
+        let faulty = fleet.keepers.iter().position(|keeper| keeper.id == members[place]).unwrap();
+        fleet.set_disk_fault(faulty, "slow 120").unwrap();
         change_taken(&fleet, &format!("slow{place}"));
         assert_eq!(fleet.complete(0, 0, &format!("while a disk is slow {place}")).unwrap().0, 200);
-        fleet.set_disk_fault(troubled, "stall").unwrap();
+        fleet.set_disk_fault(faulty, "stall").unwrap();
         change_taken(&fleet, &format!("stalled{place}"));
         let left_out = wait_until(Duration::from_secs(30), || !chain(&fleet).contains(&members[place]));
-        assert!(left_out, "a keeper whose disk stands still leaves the chain: {:?}", fleet.fleet_page());
-        fleet.set_disk_fault(troubled, "").unwrap();
+        assert!(left_out, "a keeper whose disk stalls leaves the chain: {:?}", fleet.fleet_page());
+        fleet.set_disk_fault(faulty, "").unwrap();
         fleet.wait_for_chain(4).unwrap();
     }
     calling.join().unwrap().unwrap();
@@ -86,7 +86,7 @@
     fleet.metric(&fleet.keepers[number].operator_address, "haremount_keeper_disk_refuses") == Some(1)
 }
 
-/// The kinds that a keeper's own door tells.
+/// The kinds in the desired state that one keeper returns.
 fn kinds_at(fleet: &Fleet, number: usize) -> Value {
     let asked = fleet.operator_request_at(
         &fleet.keepers[number].operator_address,
@@ -99,38 +99,41 @@
 }
 
 #[test]
-fn a_keeper_whose_disk_refuses_is_left_out_and_comes_back_by_itself() {
+fn a_keeper_whose_disk_refuses_is_removed_from_the_chain_and_rejoins_by_itself() {
     let mut fleet = faulty_disk_fleet(2, 3);
     let (calling, calls) = fleet.start_caller("day", 60, 20, 23).unwrap();
-    for (place, wish) in [(0, "full"), (1, "fail"), (3, "full"), (3, "fail")] {
+    for (place, fault) in [(0, "full"), (1, "fail"), (3, "full"), (3, "fail")] {
         let members = chain(&fleet);
-        let troubled = fleet.keepers.iter().position(|keeper| keeper.id == members[place]).unwrap();
-        let id = fleet.keepers[troubled].process.as_ref().unwrap().id();
-        fleet.set_disk_fault(troubled, wish).unwrap();
-        let edition = change_taken(&fleet, &format!("{wish}{place}"));
+        let faulty = fleet.keepers.iter().position(|keeper| keeper.id == members[place]).unwrap();
+        let id = fleet.keepers[faulty].process.as_ref().unwrap().id();
+        fleet.set_disk_fault(faulty, fault).unwrap();
+        let edition = change_taken(&fleet, &format!("{fault}{place}"));
         let left_out = wait_until(Duration::from_secs(30), || !chain(&fleet).contains(&members[place]));
         assert!(
             left_out,
-            "{wish} at {place}: a keeper that stores nothing leaves the chain: {:?}",
+            "{fault} at {place}: a keeper that stores nothing leaves the chain: {:?}",
             fleet.fleet_page()
         );
-        assert!(refuses(&fleet, troubled));
-        let door = fleet.keepers[troubled].operator_address.clone();
+        assert!(refuses(&fleet, faulty));
+        let door = fleet.keepers[faulty].operator_address.clone();
         assert_eq!(fleet.is_ready(&door), Ok(false));
         let change = json!({"kinds": ["own"]});
         let own = fleet.operator_request_at(&door, Method::PATCH, "/v1/desired-state", Some(&change), Some(edition));
-        assert!(own.as_ref().is_ok_and(|(status, _)| *status != 200), "it acknowledges nothing: {own:?}");
-        let last_kind = format!("{wish}{place}-meanwhile");
+        assert!(
+            own.as_ref().is_ok_and(|(status, _)| *status != 200),
+            "a keeper whose disk refuses writes acknowledges nothing: {own:?}"
+        );
+        let last_kind = format!("{fault}{place}-meanwhile");
         change_taken(&fleet, &last_kind);
         assert_eq!(fleet.complete(0, 0, &last_kind).unwrap().0, 200);
-        assert!(is_running(&mut fleet, troubled), "{}", log_of(&fleet, troubled));
-        fleet.set_disk_fault(troubled, "").unwrap();
+        assert!(is_running(&mut fleet, faulty), "{}", log_of(&fleet, faulty));
+        fleet.set_disk_fault(faulty, "").unwrap();
         fleet.wait_for_chain(4).unwrap();
         assert!(wait_until(Duration::from_secs(20), || fleet.is_ready(&door) == Ok(true)));
-        let level = || kinds_at(&fleet, troubled).to_string().contains(&last_kind);
-        assert!(wait_until(Duration::from_secs(20), level), "{}", kinds_at(&fleet, troubled));
-        assert_eq!(fleet.keepers[troubled].process.as_ref().unwrap().id(), id, "the very process");
-        let log = log_of(&fleet, troubled);
+        let is_caught_up = || kinds_at(&fleet, faulty).to_string().contains(&last_kind);
+        assert!(wait_until(Duration::from_secs(20), is_caught_up), "{}", kinds_at(&fleet, faulty));
+        assert_eq!(fleet.keepers[faulty].process.as_ref().unwrap().id(), id, "the same process");
+        let log = log_of(&fleet, faulty);
         assert!(log.contains("event=disk_refuses") && log.contains("event=disk_takes_again"), "{log}");
     }
     calling.join().unwrap().unwrap();
@@ -140,34 +143,34 @@
 }
 
 #[test]
-fn a_core_whose_disks_all_refuse_acknowledges_nothing_and_goes_on_after_it() {
+fn a_core_whose_disks_all_refuse_acknowledges_nothing_and_recovers_afterwards() {
     let mut fleet = faulty_disk_fleet(0, 0);
-    for wish in ["full", "fail"] {
-        let edition = change_taken(&fleet, &format!("before-{wish}"));
+    for fault in ["full", "fail"] {
+        let edition = change_taken(&fleet, &format!("before-{fault}"));
         for number in 0..4 {
-            fleet.set_disk_fault(number, wish).unwrap();
+            fleet.set_disk_fault(number, fault).unwrap();
         }
-        let lost = fleet.patch_document(&json!({"kinds": [format!("while-{wish}")]}));
+        let lost = fleet.patch_document(&json!({"kinds": [format!("while-{fault}")]}));
         assert!(lost.is_err(), "acknowledged while no disk takes writes: {lost:?}");
         assert!((0..4).any(|number| refuses(&fleet, number)));
         assert!((0..4).all(|number| is_running(&mut fleet, number)));
         for number in 0..4 {
             fleet.set_disk_fault(number, "").unwrap();
         }
-        assert!(change_taken(&fleet, &format!("after-{wish}")) > edition);
+        assert!(change_taken(&fleet, &format!("after-{fault}")) > edition);
         fleet.wait_for_chain(4).unwrap();
         assert!((0..4).all(|number| is_running(&mut fleet, number)));
     }
 }
 
-/// Whatever a disk that failed has shown meanwhile, what was acknowledged after it outlives the loss of power.
+/// Changes acknowledged after a disk has failed and recovered survive a power loss.
 #[test]
 fn power_lost_after_disks_refused_loses_nothing_acknowledged() {
     let mut fleet = faulty_disk_fleet(0, 0);
-    for (round, wish) in ["fail", "full", "fail"].into_iter().enumerate() {
+    for (round, fault) in ["fail", "full", "fail"].into_iter().enumerate() {
         for number in [round, (round + 1) % 4] {
-            fleet.set_disk_fault(number, wish).unwrap();
-            change_taken(&fleet, &format!("while-{number}-{wish}"));
+            fleet.set_disk_fault(number, fault).unwrap();
+            change_taken(&fleet, &format!("while-{number}-{fault}"));
             fleet.set_disk_fault(number, "").unwrap();
             fleet.wait_for_chain(4).unwrap();
         }
@@ -189,22 +192,22 @@
 #[test]
 fn a_keeper_started_on_a_disk_that_refuses_waits_until_it_takes_writes() {
     let mut fleet = faulty_disk_fleet(0, 0);
-    for (number, wish, is_new) in [(1, "full", false), (2, "fail", false), (3, "full", true)] {
+    for (number, fault, is_new) in [(1, "full", false), (2, "fail", false), (3, "full", true)] {
         fleet.keepers[number].process = None;
         if is_new {
             std::fs::remove_dir_all(&fleet.keepers[number].data).unwrap();
         }
         change_taken(&fleet, &format!("without-{number}"));
-        fleet.set_disk_fault(number, wish).unwrap();
+        fleet.set_disk_fault(number, fault).unwrap();
         let control = fleet.disk_fault_file(number);
         let began = boot_millis();
-        let healing = std::thread::spawn(move || {
+        let recovery = std::thread::spawn(move || {
             wait_until(Duration::from_secs(3), || false);
             std::fs::write(control, "").unwrap();
         });
         fleet.start_keeper(number, false).unwrap();
-        healing.join().unwrap();
-        assert!(boot_millis() >= began + 3000, "{wish}: it began on a disk that refuses");
+        recovery.join().unwrap();
+        assert!(boot_millis() >= began + 3000, "{fault}: it started on a disk that refuses writes");
         assert!(log_of(&fleet, number).contains("event=disk_refuses"), "{}", log_of(&fleet, number));
         fleet.wait_for_chain(4).unwrap();
         change_taken(&fleet, &format!("with-{number}"));
@@ -213,7 +216,7 @@
 }
 
 #[test]
-fn a_keeper_that_waits_for_its_disk_ends_when_told_to() {
+fn a_keeper_that_waits_for_its_disk_exits_on_request() {
     let mut fleet = faulty_disk_fleet(0, 0);
     fleet.set_disk_fault(1, "full").unwrap();
     change_taken(&fleet, "full");
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -1,15 +1,15 @@
-//! Whole-fleet faults by real processes: several machines at once, a full disk, a pool replaced engine
-//! by engine, configurations that are large or come in quick succession.
+//! Faults of a whole fleet, tested with real processes: several lost machines at once, a full disk, a pool replaced
+//! engine by engine, and large or rapidly changing configurations.
 
 use testbed::prelude::*;
 
 const EDITION: &str = "haremount_router_edition";
 const LEASE_LEFT: &str = "haremount_router_lease_left_ms";
-/// How long a router may go on after its last renewal left its machine.
+/// How long a router's lease lasts after it sent its last renewal.
 const LEASE: Duration = Duration::from_millis(2000);
 
 #[test]
-fn half_the_core_and_a_router_lost_at_once_come_back() {
+fn the_fleet_recovers_when_half_the_core_and_a_router_are_lost() {
     let mut fleet = Fleet::start(FleetPlan::small()).unwrap();
     let (calling, calls) = fleet.start_caller("day", 34, 20, 11).unwrap();
     let began = boot_millis();
@@ -25,7 +25,7 @@
     fleet.nodes[0].router = None;
     sample_until(&fleet, 5000);
     let leases = fleet.metric(&fleet.router_address(1), LEASE_LEFT);
-    assert_eq!(leases, Some(0), "without a majority nobody may start");
+    assert_eq!(leases, Some(0), "without a majority no router holds a lease");
     fleet.start_keeper(0, false).unwrap();
     fleet.start_keeper(2, false).unwrap();
     fleet.start_router(0).unwrap();
@@ -37,34 +37,34 @@
     assert_eq!(report.violations, [], "{}", report.text());
 }
 
-/// A change is in force once it is acknowledged: every router that may start anything has applied it. One
-/// whose lease ran out, as may be on a busy machine, starts nothing before it has.
+/// Asserts that an acknowledged change is in force: every router with a lease has applied it. A router whose lease
+/// expired, as can happen on a busy machine, must apply it before it starts anything.
 fn assert_in_force(fleet: &Fleet, edition: u64) {
     for router in 0..2 {
         let address = fleet.router_address(router);
-        // The lease is looked at first: should it come back meanwhile, then only with the edition.
+        // The lease is read first: if it is renewed in between, the router has the edition by then.
         let lease_left = fleet.metric(&address, LEASE_LEFT).unwrap();
         let seen = fleet.metric(&address, EDITION).unwrap();
         if seen >= edition {
             continue;
         }
-        assert_eq!(lease_left, 0, "router {router} may start and is at {seen}, acknowledged was {edition}");
+        assert_eq!(lease_left, 0, "router {router} holds a lease at edition {seen}, but {edition} was acknowledged");
         fleet.wait_until_served(edition).unwrap();
     }
 }
 
-/// A fleet with a keeper whose disk is full, and which has met that.
+/// A fleet with a keeper that has reported its disk as full; also returns the edition.
 fn fleet_with_a_full_disk() -> (Fleet, u64) {
     let fleet = Fleet::start(FleetPlan { nodes: 1, engines: 1, ..FleetPlan::small() }).unwrap();
     fleet.keepers[1].process.as_ref().unwrap().limit_file_size(Some(4096));
     let edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "fuller"]})).unwrap();
     let refuses = || fleet.metric(&fleet.keepers[1].operator_address, "haremount_keeper_disk_refuses") == Some(1);
-    assert!(wait_until(Duration::from_secs(20), refuses), "the keeper says that its disk refuses");
+    assert!(wait_until(Duration::from_secs(20), refuses), "the keeper reports that its disk refuses writes");
     (fleet, edition)
 }
 
 #[test]
-fn a_keeper_whose_disk_is_full_waits_and_the_rest_goes_on() {
+fn a_keeper_whose_disk_is_full_waits_and_the_fleet_keeps_serving() {
     let (mut fleet, _) = fleet_with_a_full_disk();
     assert_eq!(fleet.complete(0, 0, "served meanwhile").unwrap().0, 200);
     let edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "fuller", "still"]})).unwrap();
@@ -147,21 +147,21 @@
     assert_eq!(fleet.complete(0, 0, "still served").unwrap().0, 200);
     for router in 0..2 {
         let log = std::fs::read_to_string(fleet.folder.join(format!("router{router}.log"))).unwrap();
-        assert!(!log.contains("event=push_gap"), "a change was lost on its way: {log}");
+        assert!(!log.contains("event=push_gap"), "a pushed change was lost: {log}");
     }
 }
 
 #[test]
-fn a_tail_cut_off_and_a_core_cut_off_come_back() {
+fn the_fleet_recovers_when_the_tail_or_the_core_is_cut_off() {
     let fleet = Fleet::start(FleetPlan { engines: 1, relayed: true, ..FleetPlan::small() }).unwrap();
     let page = fleet.fleet_page().unwrap();
     let tail_id = page["view"]["chain"][3].as_str().unwrap().to_owned();
     let tail = fleet.keepers.iter().position(|keeper| keeper.id == tail_id).unwrap();
     fleet.keepers[tail].relay.as_ref().unwrap().set_mode(RelayMode::Stalled);
-    let mended = wait_until(Duration::from_secs(30), || {
+    let removed = wait_until(Duration::from_secs(30), || {
         fleet.fleet_page().is_ok_and(|page| !page["view"]["chain"].to_string().contains(&tail_id))
     });
-    assert!(mended, "a tail that hears nothing is taken out: {:?}", fleet.fleet_page());
+    assert!(removed, "a tail that receives nothing is removed from the chain: {:?}", fleet.fleet_page());
     fleet.keepers[tail].relay.as_ref().unwrap().set_mode(RelayMode::Open);
     fleet.wait_for_chain(4).unwrap();
     let edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "cut"]})).unwrap();
@@ -169,7 +169,7 @@
     for keeper in &fleet.keepers {
         keeper.relay.as_ref().unwrap().set_mode(RelayMode::Cut);
     }
-    // A lease that is gone may come back until then: its renewal was granted before the cut.
+    // Until then a renewal that was granted before the cut can still restore a lease.
     let cut = boot_millis();
     wait_until(LEASE + Duration::from_secs(10), || boot_millis() >= cut + LEASE.as_millis() as u64);
     for router in 0..2 {
--- a/crates/testbed/tests/later.rs
+++ b/crates/testbed/tests/later.rs
@@ -1,5 +1,5 @@
-//! Trials, intents and plans, resume, claims, fetches, the store, recordings and replay: by real
-//! processes.
+//! Trials, intents and plans, resumed streams, claims, block fetches, the prompt store, recordings and replay, tested
+//! with real processes.
 
 use std::io::{Read, Write};
 use std::process::Command;
@@ -17,8 +17,8 @@
     (output.status.code(), text(&output.stdout) + &text(&output.stderr))
 }
 
-/// States an intent through the console and gives back the plan's number.
-fn intend(fleet: &Fleet, words: &[&str]) -> u64 {
+/// States an intent through the console and returns the number of its plan.
+fn state_intent(fleet: &Fleet, words: &[&str]) -> u64 {
     let (code, text) = console(fleet, &[&["--json", "intent"], words].concat());
     assert_eq!(code, Some(0), "{text}");
     serde_json::from_str::<Value>(&text).unwrap()["plan"].as_u64().unwrap()
@@ -42,7 +42,7 @@
     fleet
         .patch_document(&json!({"policies": {"reuse": {"weight": 8, "rules": [{"band": "busy", "weight": 2}]}}}))
         .unwrap();
-    let trial = intend(&fleet, &["trial", "reuse", "tenant0"]);
+    let trial = state_intent(&fleet, &["trial", "reuse", "tenant0"]);
     assert_eq!(plan_page(&fleet, trial)["status"], "stated");
     assert_eq!(console(&fleet, &["plan", "confirm", &trial.to_string()]).0, Some(0));
     assert_eq!(console(&fleet, &["plan", "confirm", &trial.to_string()]).0, Some(0), "twice is once");
@@ -70,7 +70,7 @@
     let (_, table) = console(&fleet, &["policy", "show", "reuse"]);
     assert!(table.contains("\"busy\": 2.0") || table.contains("\"busy\": 2"), "{table}");
 
-    let moved = intend(&fleet, &["adopt", "reuse"]);
+    let moved = state_intent(&fleet, &["adopt", "reuse"]);
     fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "other"]})).unwrap();
     let (code, text) = console(&fleet, &["plan", "confirm", &moved.to_string()]);
     assert!(code == Some(1) && text.contains("stale"), "the base moved: {text}");
@@ -85,7 +85,7 @@
     }
     assert_eq!(console(&fleet, &["plan", "confirm", "999999"]).0, Some(1));
 
-    let weights = intend(&fleet, &["move-weights", "model", "2"]);
+    let weights = state_intent(&fleet, &["move-weights", "model", "2"]);
     assert_eq!(console(&fleet, &["plan", "confirm", &weights.to_string()]).0, Some(0));
     fleet.record_event(EventLine::WeightsAcked { at: boot_millis(), weights: 2 });
     let holder = fleet.fleet_page().unwrap()["duties"]["conductor"]["holder"].as_str().unwrap().to_owned();
@@ -94,13 +94,13 @@
     wait_plan(&fleet, weights, "done");
     let page = fleet.fleet_page().unwrap();
     assert!(page["engines"].as_array().unwrap().iter().all(|engine| engine["weights"] == 2), "{page}");
-    let drained = intend(&fleet, &["drain", "engine1"]);
+    let drained = state_intent(&fleet, &["drain", "engine1"]);
     assert_eq!(console(&fleet, &["plan", "confirm", &drained.to_string()]).0, Some(0));
     wait_plan(&fleet, drained, "done");
     assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
-/// Begins a resumable stream and reads so many whole events of it.
+/// Starts a stream, reads the given number of complete events, and returns the run and the event ids.
 fn begin_stream(fleet: &Fleet, router: usize, headers: &str, tokens: u64, events: usize) -> (String, Vec<String>) {
     let body = json!({"model": "model", "prompt": "to be resumed", "max_tokens": tokens, "stream": true}).to_string();
     let sent = format!(
@@ -144,7 +144,7 @@
 fn a_broken_stream_goes_on_where_it_left_off_through_any_router() {
     let slow = vec!["--prefill-us=0".to_owned(), "--decode-us=15000".to_owned()];
     let fleet = Fleet::start(FleetPlan { engines: 1, engine_flags: slow, ..FleetPlan::small() }).unwrap();
-    let doors_known = wait_until(Duration::from_secs(10), || {
+    let routers_connected = wait_until(Duration::from_secs(10), || {
         let (run, ids) = begin_stream(&fleet, 0, "x-haremount-resume: true\r\n", 40, 5);
         let last_seen = &ids[4];
         let rest = resume(&fleet, 1, 0, &run, Some(last_seen));
@@ -161,7 +161,7 @@
         assert!(resume(&fleet, 0, 2, &run, None).starts_with("HTTP/1.1 410"), "another tenant's run");
         true
     });
-    assert!(doors_known, "the routers never learnt of each other");
+    assert!(routers_connected, "the routers did not discover each other");
     let (unheld, _) = begin_stream(&fleet, 0, "", 40, 2);
     assert!(resume(&fleet, 1, 0, &unheld, None).starts_with("HTTP/1.1 410"));
     assert!(resume(&fleet, 0, 0, "0123456789abcdef.1", None).starts_with("HTTP/1.1 410"));
@@ -174,10 +174,10 @@
     let fleet = Fleet::start(FleetPlan::small()).unwrap();
     let ask = |router: usize, tenant: usize, key: &str, model: &str| {
         let body = json!({"model": model, "prompt": "pay once", "max_tokens": 2});
-        let question = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
+        let request = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/completions", &body)
             .header("authorization", format!("Bearer {}", fleet.tenants[tenant].1))
             .header("idempotency-key", key);
-        fleet.send_request(&fleet.router_address(router), question).unwrap()
+        fleet.send_request(&fleet.router_address(router), request).unwrap()
     };
     let first = ask(0, 0, "order-7", "model");
     assert_eq!(first.0, 200, "{}", first.1);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_recorded_day_is_placed_alike_offline() {
+fn a_recorded_day_is_placed_the_same_offline() {
     let fleet = Fleet::start(FleetPlan { records_days: true, ..FleetPlan::small() }).unwrap();
     let (calling, calls) = fleet.start_caller("day", 4, 30, 5).unwrap();
     calling.join().unwrap().unwrap();
--- a/crates/testbed/tests/path.rs
+++ b/crates/testbed/tests/path.rs
@@ -1,5 +1,5 @@
-//! The whole path, by real processes: a fleet forms, takes a desired state, serves, and carries every
-//! change to every router before it is acknowledged.
+//! End-to-end path, tested with real processes: a fleet forms, accepts a desired state, serves, and delivers every
+//! change to every router before the change is acknowledged.
 
 use testbed::prelude::*;
 
@@ -48,23 +48,23 @@
 }
 
 #[test]
-fn a_day_is_served_with_a_clean_verdict_through_kills() {
+fn a_day_is_served_without_violations_while_processes_are_killed() {
     let mut fleet = Fleet::start(FleetPlan::small()).unwrap();
     let (calling, calls) = fleet.start_caller("day", 14, 20, 7).unwrap();
     let began = boot_millis();
-    let at = |fleet: &Fleet, millis: u64| {
+    let sample_until = |fleet: &Fleet, millis: u64| {
         wait_until(Duration::from_secs(60), || {
             fleet.sample_routers();
             boot_millis() >= began + millis
         })
     };
-    at(&fleet, 1000);
+    sample_until(&fleet, 1000);
     fleet.keepers[3].process = None;
     fleet.engines[0].process = None;
-    at(&fleet, 2000);
+    sample_until(&fleet, 2000);
     fleet.nodes[0].router = None;
     fleet.nodes[1].agent = None;
-    at(&fleet, 3000);
+    sample_until(&fleet, 3000);
     fleet.start_engine(0, 1).unwrap();
     fleet.start_router(0).unwrap();
     fleet.start_agent(1).unwrap();
--- a/crates/testbed/tests/places.rs
+++ b/crates/testbed/tests/places.rs
@@ -1,5 +1,5 @@
-//! Whole places lost by real processes: a zone with its keeper, node and engine; an agent under a
-//! stream; every keeper that the settings name as a seed, one after the other.
+//! Correlated losses, tested with real processes: a whole zone with its keeper, node and engine; an agent during a
+//! stream; and, one after the other, every keeper named as a seed in the settings.
 
 use std::io::{BufRead, BufReader, Write};
 use testbed::prelude::*;
@@ -111,6 +111,6 @@
     assert!(served_within(&fleet, 0, Duration::from_secs(30)), "{:?}", fleet.fleet_page());
     let record = fleet.record(&[]);
     let first_weights = record.starts().next().map(|start| start.weights);
-    assert_eq!(first_weights, Some(1), "served before the first wave was through");
+    assert_eq!(first_weights, Some(1), "served before the first engines had loaded the new weights");
     assert_eq!(check_record(&record), []);
 }
--- a/crates/testbed/tests/platform_names.rs
+++ b/crates/testbed/tests/platform_names.rs
@@ -1,10 +1,10 @@
-//! What the users' platform calls things (headers, pages, fields, variables) stands in `platform/` and in no
-//! other source. The names are read from the sources of `platform/` as they are when the test runs.
+//! The platform's own names (headers, paths, fields, variables) appear in `platform/` and in no other source. The
+//! test reads the names from the sources of `platform/` when it runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Words of HTTP, of event streams and of Cargo, which are nobody's own.
+/// Standard names of HTTP, event streams and Cargo.
 const STANDARD_WORDS: [&str; 10] = [
     "cargo_pkg_version",
     "content-encoding",
@@ -18,7 +18,7 @@
     "user-agent",
 ];
 
-/// Words of the product that `platform/` has to write too, and why each is the product's own.
+/// Names of the product that `platform/` also has to use, by reason.
 const EXCEPTIONS: [(&str, &[&str]); 3] = [
     (
         "fields of the product's own document, which `platform/` writes",
@@ -59,7 +59,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).ancestors().nth(2).unwrap().to_owned()
 }
 
-/// The Rust files of a folder and of those in it, each with its text.
+/// The Rust files below a folder, each with its text.
 fn rust_files(folder: &Path) -> Vec<(PathBuf, String)> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -75,7 +75,7 @@
     found
 }
 
-/// The contents of a source's string literals, as written; comments and character literals are passed over.
+/// The contents of a source's string literals, unescaped; comments and character literals are skipped.
 fn string_literals(source: &str) -> Vec<&str> {
     let mut literals = Vec::new();
     let mut rest = source;
@@ -103,7 +103,7 @@
     literals
 }
 
-/// How long the character literal is that the text begins with; 1 if the quote begins a lifetime.
+/// Length of the character literal at the start of the text; 1 if the quote starts a lifetime.
 fn character_literal_length(text: &str) -> usize {
     let content = &text[1..];
     if content.starts_with('\\') {
@@ -128,7 +128,7 @@
     (content, "")
 }
 
-/// The fields of structs that are read from messages or written to them.
+/// The fields of structs that derive `Serialize` or `Deserialize`.
 fn message_fields(source: &str) -> Vec<&str> {
     let mut fields = Vec::new();
     for part in source.split("#[derive(").skip(1) {
@@ -145,8 +145,8 @@
     fields
 }
 
-/// A word that is a name and no plain word: a page, or several words joined by `-` or `_`.
-fn is_telling_name(word: &str) -> bool {
+/// Whether a word is specific enough to be a name: a path, or several words joined by `-` or `_`.
+fn is_specific_name(word: &str) -> bool {
     let is_page = word.len() > 1 && word.starts_with('/');
     let is_joined = !word.contains('/') && word.contains(['-', '_']);
     let has_only_words = word
@@ -156,31 +156,31 @@
     (is_page || is_joined) && has_only_words
 }
 
-/// The names in a source of `platform/`: its string literals of one word, headers that name the product, and
-/// fields of messages. Plain words (`rank`, `name`) tell nothing and are left out.
+/// The names in a source of `platform/`: string literals of one word, headers of the product, and fields of messages.
+/// Plain words (`rank`, `name`) are too general and are left out.
 fn names_in(source: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for literal in string_literals(source) {
         let mut words = literal.split([' ', '?', '{', '}', '\n', ':', ',', ';']);
         let is_one_word = !literal.contains(char::is_whitespace);
-        if let Some(first) = words.next().filter(|word| is_one_word && is_telling_name(word)) {
+        if let Some(first) = words.next().filter(|word| is_one_word && is_specific_name(word)) {
             names.insert(first.to_ascii_lowercase());
         }
         let headers = literal
             .split(|character: char| !character.is_ascii_alphanumeric() && character != '-')
             .map(str::to_ascii_lowercase)
-            .filter(|word| word.starts_with("x-haremount-") && is_telling_name(word));
+            .filter(|word| word.starts_with("x-haremount-") && is_specific_name(word));
         names.extend(headers);
     }
-    names.extend(message_fields(source).into_iter().filter(|field| is_telling_name(field)).map(str::to_owned));
+    names.extend(message_fields(source).into_iter().filter(|field| is_specific_name(field)).map(str::to_owned));
     for standard_word in STANDARD_WORDS {
         names.remove(standard_word);
     }
     names
 }
 
-/// Whether the name stands in the text, in letters of either case, not as a part of a longer name.
-fn stands_in(name: &str, lowercase_text: &str) -> bool {
+/// Whether a name appears in a lowercase text, and not as part of a longer name.
+fn appears_in(name: &str, lowercase_text: &str) -> bool {
     let joins = |character: char| {
         character.is_ascii_alphanumeric() || character == '_' || (character == '-' && name.contains('-'))
     };
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn no_name_of_the_platform_stands_outside_its_folder() {
+fn no_platform_name_appears_outside_its_folder() {
     let names: BTreeSet<String> =
         rust_files(&workspace().join("platform/src")).iter().flat_map(|(_, source)| names_in(source)).collect();
     assert!(names.len() > 40, "only {} names were found in platform/src: {names:?}", names.len());
@@ -205,10 +205,10 @@
         .into_iter()
         .filter(|(path, _)| path.components().any(|component| component.as_os_str() == "src"))
         .collect();
-    assert!(sources.len() > 80, "only {} sources were looked at", sources.len());
+    assert!(sources.len() > 80, "only {} sources were read", sources.len());
     for (path, source) in &sources {
         let text = source.to_ascii_lowercase();
-        for name in names.iter().filter(|name| stands_in(name, &text)) {
+        for name in names.iter().filter(|name| appears_in(name, &text)) {
             let place = path.strip_prefix(workspace()).unwrap().display().to_string();
             places.entry(name).or_default().push(place);
         }
@@ -218,9 +218,9 @@
     let complaints: Vec<String> = places
         .iter()
         .filter(|(name, _)| !excepted.contains(*name))
-        .map(|(name, places)| format!("{name} is a name of the platform and stands in {}", places.join(", ")))
+        .map(|(name, places)| format!("{name} is a name of the platform and appears in {}", places.join(", ")))
         .chain(excepted.iter().filter(|name| !places.contains_key(*name)).map(|name| {
-            format!("{name} is excepted without need: it stands not both in platform/ and in another source")
+            format!("the exception for {name} is not needed: the name does not appear both in platform/ and in another source")
         }))
         .collect();
     assert!(complaints.is_empty(), "\n{}", complaints.join("\n"));
@@ -276,6 +276,6 @@
         ("/v1/order", "\"/v1/orders\"", false),
         ("/v1/order", "\"/v1/order/7\"", false),
     ] {
-        assert_eq!(stands_in(name, text), is_found, "{name} in {text}");
+        assert_eq!(appears_in(name, text), is_found, "{name} in {text}");
     }
 }
--- a/crates/testbed/tests/settings.rs
+++ b/crates/testbed/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Every program as a user first meets it: help, version, wrong flags and files, exit codes; and the
-//! operators' command line against a live core.
+//! Command lines of all programs: help, version, invalid flags and files, exit codes; and the operators' console
+//! against a running core.
 
 use std::process::Command;
 use testbed::prelude::*;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn every_program_has_help_version_and_refuses_nonsense() {
+fn every_program_has_help_and_version_and_refuses_unknown_flags() {
     for program in [
         "router",
         "agent",
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn settings_are_read_again_whole_or_not_at_all() {
+fn settings_are_reloaded_completely_or_not_at_all() {
     let folder = std::env::temp_dir().join(format!("reload-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("agent.json");
--- a/crates/testbed/tests/strangers.rs
+++ b/crates/testbed/tests/strangers.rs
@@ -1,5 +1,5 @@
-//! Strangers and odd pools: another wire format, another fleet, a split pool, links that slow down, and
-//! the rule that nothing reads the wall clock to decide.
+//! Foreign peers and special pools: another wire format, another fleet, separate prefill and decode engines, slow
+//! links; and the rule that no decision uses the wall clock.
 
 use testbed::prelude::*;
 use wire::prelude::{FORMAT, Hello, Purpose, write_frame};
@@ -27,11 +27,11 @@
     let _stray = Process::start("keeper", "stray", &flags, &other.folder).unwrap();
     assert!(wait_until(Duration::from_secs(10), || log(0).contains("wrong fleet")), "{}", log(0));
     let page = fleet.fleet_page().unwrap();
-    assert_eq!(page["members"].as_array().map(Vec::len), Some(2), "a stray of another fleet joins nothing");
+    assert_eq!(page["members"].as_array().map(Vec::len), Some(2), "a keeper of another fleet does not join");
 }
 
 #[test]
-fn a_split_pool_prefills_here_and_decodes_there() {
+fn a_split_pool_prefills_and_decodes_on_different_engines() {
     let fleet = Fleet::start(FleetPlan { engines: 3, split_roles: true, ..FleetPlan::small() }).unwrap();
     let prompt = "a long score, prefilled in one place and decoded in another ".repeat(20);
     for round in 0..4 {
@@ -44,7 +44,7 @@
     assert_eq!(record.starts().count(), 4);
     let prefills: Vec<_> =
         record.engines.iter().filter(|line| matches!(line, testbed::prelude::EngineLogLine::Prefill(_))).collect();
-    assert!(!prefills.is_empty() && prefills.len() <= 4, "prefills are told as work: {prefills:?}");
+    assert!(!prefills.is_empty() && prefills.len() <= 4, "prefills are logged as work: {prefills:?}");
     let other_weights = web::prelude::OutgoingRequest::with_json(
         Method::POST,
         "/v1/prefill",
@@ -79,7 +79,7 @@
     assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
-/// Every Rust file of the workspace, with its text.
+/// Every Rust file in `crates/`, with its text.
 fn sources() -> Vec<(String, String)> {
     let crates = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap().to_owned();
     let mut folders = vec![crates];
@@ -98,9 +98,9 @@
 }
 
 #[test]
-fn the_wall_clock_is_read_for_printing_alone() {
+fn the_wall_clock_is_read_only_for_output() {
     let sources = sources();
-    assert!(sources.len() > 80, "only {} files were looked at", sources.len());
+    assert!(sources.len() > 80, "only {} files were read", sources.len());
     let clock_name = ["System", "Time"].concat();
     let reader_name = ["wall_", "millis()"].concat();
     for (path, text) in &sources {
