--- a/crates/verdict/src/adapters.rs
+++ b/crates/verdict/src/adapters.rs
@@ -72,7 +72,7 @@
                 let started_on = ran_on.get(attempt.as_str()).filter(|started_on| *started_on != adapter);
                 found.extend(started_on.map(|started_on| {
                     format!(
-                        "attempt {attempt} ran on {started_on:?}, but its router had {adapter:?} in force at its first byte"
+                        "attempt {attempt} ran on {started_on:?}, but at its first byte its router had {adapter:?}"
                     )
                 }));
             }
--- a/crates/verdict/src/cache.rs
+++ b/crates/verdict/src/cache.rs
@@ -77,7 +77,7 @@
             let EventLine::MemoryUsed { at, attempt, tenant, made_for, .. } = line else { continue };
             if tenant != made_for && in_span(*at) && (tenant == walled || made_for == walled) {
                 found.push(format!(
-                    "attempt {attempt} of {tenant} used a block computed for {made_for}; {walled} was walled at {since}"
+                    "attempt {attempt} of {tenant} used a block of {made_for}; {walled} was walled at {since}"
                 ));
             }
         }
--- a/crates/verdict/src/service.rs
+++ b/crates/verdict/src/service.rs
@@ -52,8 +52,8 @@
     windows
 }
 
-/// Rule 12: once the recovery limit after the last fault has passed, nearly all requests are served, and most requests
-/// of each router and of each kind.
+/// Rule 12: once the recovery limit after the last fault has passed, nearly all requests are served, and most
+/// requests of each router and of each kind.
 pub(crate) fn service_recovers(record: &Record) -> Vec<String> {
     let over_at = record.events.iter().rev().find_map(|line| match line {
         EventLine::LastFaultOver { at } => Some(*at),
--- a/crates/verdict/src/withdrawn.rs
+++ b/crates/verdict/src/withdrawn.rs
@@ -62,7 +62,7 @@
             if asked_at > at + LISTING_LIMIT_MS && asked_at < reopened_at {
                 let late = asked_at - at;
                 found.push(format!(
-                    "engine {delisted_engine} got a request at {asked_at}, {late} ms after it was listed as leaving or gone"
+                    "engine {delisted_engine} got a request at {asked_at}, {late} ms after it was delisted"
                 ));
             }
         }
