--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -59,7 +59,7 @@
 
 /// Faults, each with the time when it is due.
 pub struct FaultSchedule {
-    moments: Vec<(u64, Fault)>,
+    scheduled: Vec<(u64, Fault)>,
     key_withdrawn: bool,
     awaited_weights: Option<u64>,
     filled_disks: Vec<usize>,
@@ -67,22 +67,22 @@
 
 impl FaultSchedule {
     /// Creates a schedule from faults and their times in milliseconds, in order.
-    pub fn new(moments: Vec<(u64, Fault)>) -> FaultSchedule {
-        FaultSchedule { moments, key_withdrawn: false, awaited_weights: None, filled_disks: Vec::new() }
+    pub fn new(scheduled: Vec<(u64, Fault)>) -> FaultSchedule {
+        FaultSchedule { scheduled, key_withdrawn: false, awaited_weights: None, filled_disks: Vec::new() }
     }
 
     /// Draws a random schedule; the last twenty seconds of the day are free of faults.
     pub fn random(seed: u64, seconds: u64, plan: &FleetPlan) -> FaultSchedule {
         let mut rng = SeededRng::new(seed);
         let last_fault_at = (seconds * 1000).saturating_sub(20_000).max(3_000);
-        let mut moments = vec![
+        let mut scheduled = vec![
             (2_000, Fault::Trial),
             (last_fault_at / 3, Fault::MoveWeights),
             (last_fault_at / 2, Fault::WithdrawKey),
             (last_fault_at * 2 / 3, Fault::LoseDisk(seed as usize % plan.keepers)),
         ];
-        let mut moment = 1_500;
-        while moment + 2_000 < last_fault_at {
+        let mut due_at = 1_500;
+        while due_at + 2_000 < last_fault_at {
             let (keeper, node, engine) = (
                 rng.below(plan.keepers as u64) as usize,
                 rng.below(plan.nodes as u64) as usize,
@@ -108,22 +108,22 @@
                 16 => Fault::SlowLinks(engine),
                 _ => Fault::ChangeDesiredState(rng.below(1000)),
             };
-            moments.push((moment, fault));
-            moments.push((moment + rng.between(300, 3_000), Fault::PutBack));
-            moment += rng.between(1_000, 3_500);
+            scheduled.push((due_at, fault));
+            scheduled.push((due_at + rng.between(300, 3_000), Fault::PutBack));
+            due_at += rng.between(1_000, 3_500);
         }
-        moments.push((last_fault_at, Fault::Over));
-        moments.sort_by_key(|(moment, _)| *moment);
-        FaultSchedule::new(moments)
+        scheduled.push((last_fault_at, Fault::Over));
+        scheduled.sort_by_key(|(due_at, _)| *due_at);
+        FaultSchedule::new(scheduled)
     }
 
     /// Applies all faults that are due, and records when awaited weights are confirmed.
     pub fn apply_due(&mut self, fleet: &mut Fleet, elapsed: u64) -> Result<(), String> {
-        while let Some((moment, fault)) = self.moments.first().cloned() {
-            if elapsed < moment {
+        while let Some((due_at, fault)) = self.scheduled.first().cloned() {
+            if elapsed < due_at {
                 break;
             }
-            self.moments.remove(0);
+            self.scheduled.remove(0);
             fleet.record_event(EventLine::Fault { at: boot_millis(), what: format!("{fault:?}") });
             self.apply(fleet, fault)?;
         }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -20,8 +20,8 @@
 }
 
 fn quantile(sorted: &[u64], share: f64) -> u64 {
-    let place = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
-    sorted.get(place).copied().unwrap_or(0)
+    let index = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
+    sorted.get(index).copied().unwrap_or(0)
 }
 
 impl DayReport {
--- a/crates/verdict/src/adapters.rs
+++ b/crates/verdict/src/adapters.rs
@@ -23,8 +23,8 @@
 /// Whether an attempt that started at a time may run on an adapter: the one bound at that time, one replaced within
 /// the grace before it, or one bound within the grace after it.
 fn may_run_on(bound: &[(u64, &str)], adapter: &str, at: u64) -> bool {
-    bound.iter().enumerate().any(|(place, (since, known))| {
-        let until = bound.get(place + 1).map_or(u64::MAX, |(next, _)| next + ADAPTER_SWITCH_GRACE_MS);
+    bound.iter().enumerate().any(|(index, (since, known))| {
+        let until = bound.get(index + 1).map_or(u64::MAX, |(next, _)| next + ADAPTER_SWITCH_GRACE_MS);
         *known == adapter && at + ADAPTER_SWITCH_GRACE_MS >= *since && at <= until
     })
 }
@@ -213,11 +213,11 @@
                 record.events.push(EventLine::Written { at: 999, attempt: "r.1.1".into(), adapter: "x@2".into() })
             },
         ];
-        for (place, change) in changes.iter().enumerate() {
+        for (index, change) in changes.iter().enumerate() {
             let mut record = clean_record();
             change(&mut record);
             let broken = rules(&record);
-            assert!(!broken.is_empty() && broken.iter().all(|rule| *rule == 13), "change {place}: {broken:?}");
+            assert!(!broken.is_empty() && broken.iter().all(|rule| *rule == 13), "change {index}: {broken:?}");
         }
     }
 
--- a/crates/verdict/src/register.rs
+++ b/crates/verdict/src/register.rs
@@ -85,21 +85,21 @@
     let mut open = vec![SearchState::start(calls.len(), first_revision)];
     let mut furthest = (0, String::new());
     while let Some(state) = open.pop() {
-        let is_linearized = |place: usize| state.contains(place);
+        let is_linearized = |index: usize| state.contains(index);
         let linearized_count = (0..calls.len())
-            .filter(|place| is_linearized(*place) && calls[*place].answer != RegisterAnswer::Unclear)
+            .filter(|index| is_linearized(*index) && calls[*index].answer != RegisterAnswer::Unclear)
             .count();
         if linearized_count == clear_count {
             return Ok(());
         }
         let earliest_return =
-            (0..calls.len()).filter(|place| !is_linearized(*place)).map(|place| calls[place].returned).min();
-        let may_be_next = |place: &usize| {
-            !is_linearized(*place) && earliest_return.is_none_or(|earliest| calls[*place].called <= earliest)
+            (0..calls.len()).filter(|index| !is_linearized(*index)).map(|index| calls[index].returned).min();
+        let may_be_next = |index: &usize| {
+            !is_linearized(*index) && earliest_return.is_none_or(|earliest| calls[*index].called <= earliest)
         };
         let candidates: Vec<usize> = (0..calls.len()).filter(may_be_next).collect();
         if linearized_count >= furthest.0 {
-            let named: Vec<String> = candidates.iter().map(|place| format!("{:?}", calls[*place])).collect();
+            let named: Vec<String> = candidates.iter().map(|index| format!("{:?}", calls[*index])).collect();
             furthest = (
                 linearized_count,
                 format!("at revision {}, none of these calls can come next: {}", state.revision, named.join("; ")),
@@ -119,17 +119,17 @@
 fn next_states(calls: &[RegisterCall], state: &SearchState, candidates: &[usize]) -> Vec<SearchState> {
     let mut unclear_changes = BTreeSet::new();
     let mut after = Vec::new();
-    for place in candidates.iter().copied() {
-        let Some(revision) = apply(calls, state, place) else { continue };
+    for index in candidates.iter().copied() {
+        let Some(revision) = apply(calls, state, index) else { continue };
         if revision == state.revision {
-            return vec![state.with(place, revision)];
+            return vec![state.with(index, revision)];
         }
-        let is_another = match (calls[place].answer, calls[place].operation) {
+        let is_another = match (calls[index].answer, calls[index].operation) {
             (RegisterAnswer::Unclear, RegisterOperation::Change { change, .. }) => unclear_changes.insert(change),
             _ => true,
         };
         if is_another {
-            after.push(state.with(place, revision));
+            after.push(state.with(index, revision));
         }
     }
     after
@@ -137,8 +137,8 @@
 
 /// The revision after a call, if the register would give the call's response in this state. An unclear call counts
 /// only if it changes the revision; otherwise it can be left out.
-fn apply(calls: &[RegisterCall], state: &SearchState, place: usize) -> Option<u64> {
-    let call = &calls[place];
+fn apply(calls: &[RegisterCall], state: &SearchState, index: usize) -> Option<u64> {
+    let call = &calls[index];
     let now = state.revision;
     let RegisterOperation::Change { change, base, revision } = call.operation else {
         return (call.answer == RegisterAnswer::Revision(now)).then_some(now);
