--- a/crates/simulator/src/engine_work.rs
+++ b/crates/simulator/src/engine_work.rs
@@ -125,7 +125,7 @@
         let at = self.millis();
         for (_, origin) in used {
             if origin.weights != weights || origin.tenant != request.tenant {
-                self.record.world.push(WorldLine::MemoryUsed {
+                self.record.events.push(EventLine::MemoryUsed {
                     at,
                     attempt: request.to.attempt.clone(),
                     weights: weights.0,
@@ -135,7 +135,7 @@
                 });
             }
             if origin.adapter != request.adapter {
-                self.record.world.push(WorldLine::AdapterMemoryUsed {
+                self.record.events.push(EventLine::AdapterMemoryUsed {
                     at,
                     attempt: request.to.attempt.clone(),
                     adapter: adapter_text(request.adapter.as_ref()),
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -18,16 +18,16 @@
         self.check_committed(edition, pending.request, "an answer");
         self.note(format!("acked {edition} request {}", pending.request));
         let Some(kind) = pending.kind else { return };
-        self.record.world.push(WorldLine::Acked { at, edition: edition.0 });
+        self.record.events.push(EventLine::Acked { at, edition: edition.0 });
         self.check_ack(edition);
         match kind {
-            ChangeKind::KeyWithdrawn(key) => self.record.world.push(WorldLine::KeyWithdrawn { at, key }),
+            ChangeKind::KeyWithdrawn(key) => self.record.events.push(EventLine::KeyWithdrawn { at, key }),
             ChangeKind::KeyAdded { key, tenant, number } => self.live_keys.push((key, tenant, number)),
-            ChangeKind::Weights(weights) => self.record.world.push(WorldLine::WeightsAcked { at, weights }),
+            ChangeKind::Weights(weights) => self.record.events.push(EventLine::WeightsAcked { at, weights }),
             ChangeKind::Walled(tenant) => {
                 let (open_count, last_edition) = self.pending_unwalls.get(&tenant).copied().unwrap_or_default();
                 if open_count == 0 && last_edition < edition {
-                    self.record.world.push(WorldLine::Walled { at, tenant });
+                    self.record.events.push(EventLine::Walled { at, tenant });
                 }
             }
             ChangeKind::Unwalled(tenant) => {
@@ -112,7 +112,7 @@
     pub fn set_walled(&mut self, keeper: usize, tenant: String, walled: bool) {
         let at = self.millis();
         if !walled {
-            self.record.world.push(WorldLine::Unwalled { at, tenant: tenant.clone() });
+            self.record.events.push(EventLine::Unwalled { at, tenant: tenant.clone() });
             self.pending_unwalls.entry(tenant.clone()).or_default().0 += 1;
         }
         let patch = format!(r#"{{"tenants":{{"{tenant}":{{"walled":{walled}}}}}}}"#);
@@ -178,7 +178,7 @@
         let (at, engine) = (self.millis(), self.engines[number].name.0.clone());
         self.note(format!("platform: listing {} {engine} open", self.listing_number));
         self.engines[number].listed = Some(Listed::Open);
-        self.record.world.push(WorldLine::ListedOpen { at, engine });
+        self.record.events.push(EventLine::ListedOpen { at, engine });
     }
 
     /// Lists an engine as leaving or gone, unless it already is or too many are.
@@ -191,6 +191,6 @@
         let (at, engine) = (self.millis(), self.engines[number].name.0.clone());
         self.note(format!("platform: listing {} {engine} away", self.listing_number));
         self.engines[number].listed = if self.rng.chance(50) { Some(Listed::Leaving) } else { None };
-        self.record.world.push(WorldLine::ListedAway { at, engine });
+        self.record.events.push(EventLine::ListedAway { at, engine });
     }
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -170,7 +170,7 @@
         }
     }
     let at = world.millis();
-    world.record.world.push(WorldLine::RunEnds { at });
+    world.record.events.push(EventLine::RunEnds { at });
     finish(world, recovery)
 }
 
@@ -206,7 +206,7 @@
     }
     world.note(format!("lasting cut: k{keeper} {lasting:?} from k{other}"));
     let at = world.millis();
-    world.record.world.push(WorldLine::LastFaultOver { at });
+    world.record.events.push(EventLine::LastFaultOver { at });
 }
 
 fn all_routers_leased(world: &World) -> bool {
@@ -233,8 +233,10 @@
         let subscription = format!("n{number} at the end: {:?}", world.nodes[number].subscription);
         world.note(subscription);
     }
-    let mut violations: Vec<String> =
-        judge(&world.record).into_iter().map(|Violation { rule, what }| format!("rule {rule}: {what}")).collect();
+    let mut violations: Vec<String> = check_record(&world.record)
+        .into_iter()
+        .map(|Violation { rule, what }| format!("rule {rule}: {what}"))
+        .collect();
     violations.extend(world.extra_violations.iter().cloned());
     violations.extend(lost_acks(&world));
     let mut outcomes = BTreeMap::new();
@@ -242,7 +244,7 @@
         let named = if caller.status == 401 { "unknown_key" } else { caller.outcome.as_str() };
         *outcomes.entry(named.to_owned()).or_insert(0) += 1;
     }
-    let faults = world.record.world.iter().filter(|line| matches!(line, WorldLine::Fault { .. })).count();
+    let faults = world.record.events.iter().filter(|line| matches!(line, EventLine::Fault { .. })).count();
     RunOutcome {
         violations,
         starts: world.record.starts().count(),
@@ -260,8 +262,8 @@
 impl World {
     fn total_attempts(&mut self) {
         let mut last_counts: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-        for line in &self.record.world {
-            if let WorldLine::Sample { router, attempts, retries, .. } = line {
+        for line in &self.record.events {
+            if let EventLine::Sample { router, attempts, retries, .. } = line {
                 last_counts.insert(router, (*attempts, *retries));
             }
         }
--- a/crates/testbed/src/prelude.rs
+++ b/crates/testbed/src/prelude.rs
@@ -1,13 +1,13 @@
-//! The one import of this package's files and tests.
+//! Imports shared by the files of this package, and the public API for tests.
 
-pub(crate) use crate::asking::ASK_LIMIT;
 pub use crate::faults::*;
 pub use crate::fleet::*;
 pub use crate::plan::*;
 pub use crate::process::*;
 pub use crate::relay::*;
 pub use crate::report::*;
-pub(crate) use crate::starting::{QUICK_LINK_US, SLOW_LINK_US};
+pub(crate) use crate::requests::REQUEST_TIMEOUT;
+pub(crate) use crate::startup::{QUICK_LINK_US, SLOW_LINK_US};
 pub use contract::prelude::EngineLogLine;
 pub(crate) use process::prelude::sha256_hex;
 pub use serde_json::{Value, json};
@@ -19,6 +19,6 @@
 pub(crate) use std::sync::{Arc, Mutex, Weak};
 pub use std::time::Duration;
 pub(crate) use units::prelude::*;
-pub use verdict::prelude::{CallerLine, Record, Violation, WorldLine, judge};
+pub use verdict::prelude::{CallerLine, EventLine, Record, Violation, check_record};
 pub use web::prelude::{Method, StatusCode};
 pub(crate) use web::prelude::{OutgoingRequest, fetch_json, fetch_response, small_runtime};
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -1,9 +1,9 @@
-//! The record of a played day, for the oracles.
+//! Collects the record of a run for the oracles.
 
 use crate::prelude::*;
 
 impl Fleet {
-    /// What the engines wrote down.
+    /// The log lines of all engines.
     pub fn engine_lines(&self) -> Vec<EngineLogLine> {
         let mut lines = Vec::new();
         for engine in &self.engines {
@@ -14,11 +14,11 @@
         lines
     }
 
-    /// The record so far, with what the callers wrote to these files.
+    /// The record so far, including the callers' lines from these files.
     pub fn record(&self, caller_files: &[PathBuf]) -> Record {
         let mut record = Record {
             engines: self.engine_lines(),
-            world: self.world.lock().map(|world| world.clone()).unwrap_or_default(),
+            events: self.events.lock().map(|events| events.clone()).unwrap_or_default(),
             ..Record::default()
         };
         for path in caller_files {
@@ -26,13 +26,13 @@
             record.callers.extend(text.lines().filter_map(|line| serde_json::from_str::<CallerLine>(line).ok()));
         }
         for node in self.nodes.iter().filter(|node| node.router.is_some()) {
-            record.attempts += self.gauge(&node.router_address, "haremount_router_shots_total").unwrap_or(0);
-            record.retries += self.gauge(&node.router_address, "haremount_router_retries_total").unwrap_or(0);
+            record.attempts += self.metric(&node.router_address, "haremount_router_shots_total").unwrap_or(0);
+            record.retries += self.metric(&node.router_address, "haremount_router_retries_total").unwrap_or(0);
         }
         record
     }
 
-    /// Starts callers for a while; their lines go to the file named.
+    /// Starts the `caller` program on a thread; returns the thread and the path of the callers' lines.
     pub fn start_caller(
         &self,
         name: &str,
@@ -54,8 +54,9 @@
             format!("--seed={seed}"),
         ];
         let (folder, name) = (self.folder.clone(), name.to_owned());
-        let cap = Duration::from_secs(seconds + 60);
-        let calling = std::thread::spawn(move || Process::start_within("caller", &name, &arguments, &folder, cap));
+        let timeout = Duration::from_secs(seconds + 60);
+        let calling =
+            std::thread::spawn(move || Process::start_with_timeout("caller", &name, &arguments, &folder, timeout));
         Ok((calling, out_path))
     }
 }
--- a/crates/testbed/src/starting.rs
+++ b/crates/testbed/src/startup.rs
@@ -1,14 +1,16 @@
-//! Starting the parts of a fleet, each at the address it had before, and listing its engines.
+//! Starts the processes of a fleet, each at its previous address after a restart, and lists engines with the
+//! platform.
 
 use crate::prelude::*;
 
-/// How long a block takes over the links of an office, in microseconds.
+/// Transfer time of a block in microseconds over an office's fast links.
 pub(crate) const QUICK_LINK_US: u64 = 100;
+/// Transfer time of a block in microseconds over an office's slow links.
 pub(crate) const SLOW_LINK_US: u64 = 900;
 
 impl Fleet {
-    /// Addresses of up to three keepers, those that run if any does.
-    pub fn seeds(&self) -> String {
+    /// Addresses of up to three keepers, preferring running ones.
+    pub fn seed_addresses(&self) -> String {
         let running = self.keepers.iter().filter(|keeper| keeper.process.is_some());
         let mut addresses: Vec<&str> = running.map(|keeper| keeper.address.as_str()).collect();
         if addresses.is_empty() {
@@ -18,7 +20,7 @@
         addresses.join(",")
     }
 
-    /// Adds and starts a keeper; its number.
+    /// Adds and starts a keeper; returns its index.
     pub fn add_keeper(&mut self, founds: bool) -> Result<usize, String> {
         let number = self.keepers.len();
         let data = self.folder.join(format!("keeper{number}.data"));
@@ -26,11 +28,11 @@
         let keeper = Keeper {
             process: None,
             address: "127.0.0.1:0".into(),
-            door: "127.0.0.1:0".into(),
+            operator_address: "127.0.0.1:0".into(),
             id: String::new(),
             data,
             relay,
-            bound: "127.0.0.1:0".into(),
+            bound_address: "127.0.0.1:0".into(),
             zone: ZONES[number % 4].into(),
         };
         self.keepers.push(keeper);
@@ -38,13 +40,13 @@
         Ok(number)
     }
 
-    /// The program a keeper is, and what it is told at its start.
-    pub fn keeper_call(&self, number: usize, founds: bool) -> (&'static str, Vec<String>) {
-        let seeds = self.seeds();
+    /// The program and arguments that a keeper is started with.
+    pub fn keeper_command(&self, number: usize, founds: bool) -> (&'static str, Vec<String>) {
+        let seeds = self.seed_addresses();
         let keeper = &self.keepers[number];
         let mut arguments = vec![
-            format!("--listen={}", keeper.bound),
-            format!("--door={}", keeper.door),
+            format!("--listen={}", keeper.bound_address),
+            format!("--door={}", keeper.operator_address),
             format!("--data={}", keeper.data.display()),
             format!("--zone={}", keeper.zone),
             format!("--platform={}", self.platform.address()),
@@ -60,47 +62,48 @@
         } else {
             arguments.push(format!("--seeds={seeds}"));
         }
-        let program = if self.plan.frail { FRAIL_KEEPER } else { "keeper" };
-        if self.plan.frail {
-            arguments.push(format!("--disk-faults={}", self.disk_control(number).display()));
+        let program = if self.plan.faulty_disks { FAULTY_DISK_KEEPER } else { "keeper" };
+        if self.plan.faulty_disks {
+            arguments.push(format!("--disk-faults={}", self.disk_fault_file(number).display()));
         }
         (program, arguments)
     }
 
-    /// Starts a keeper in its folder, at the address it had before.
+    /// Starts a keeper on its data folder, at its previous address.
     pub fn start_keeper(&mut self, number: usize, founds: bool) -> Result<(), String> {
-        let (program, arguments) = self.keeper_call(number, founds);
+        let (program, arguments) = self.keeper_command(number, founds);
         let process = Process::start(program, &format!("keeper{number}"), &arguments, &self.folder)?;
         let keeper = &mut self.keepers[number];
         keeper.address = process.address();
-        keeper.bound = process.ready.get("bound").cloned().unwrap_or_default();
+        keeper.bound_address = process.ready.get("bound").cloned().unwrap_or_default();
         if let Some(relay) = &keeper.relay {
-            relay.lead_to(&keeper.bound);
+            relay.set_target(&keeper.bound_address);
         }
-        keeper.door = process.ready.get("door").cloned().unwrap_or_default();
+        keeper.operator_address = process.ready.get("door").cloned().unwrap_or_default();
         keeper.id = process.ready.get("id").cloned().unwrap_or_default();
         keeper.process = Some(process);
         Ok(())
     }
 
-    /// The file that says how a frail keeper's disk misbehaves.
-    pub fn disk_control(&self, number: usize) -> PathBuf {
+    /// The file that controls the faults of a keeper's simulated disk.
+    pub fn disk_fault_file(&self, number: usize) -> PathBuf {
         self.folder.join(format!("keeper{number}.disk"))
     }
 
-    /// Makes a frail keeper's disk `slow MILLIS`, `stall`, `full`, `fail`, or well again with nothing.
-    pub fn trouble_disk(&self, number: usize, state: &str) -> Result<(), String> {
-        std::fs::write(self.disk_control(number), state).map_err(|fault| fault.to_string())
+    /// Sets the fault of a keeper's simulated disk: `slow MILLIS`, `stall`, `full`, `fail`, or the empty string for
+    /// none.
+    pub fn set_disk_fault(&self, number: usize, state: &str) -> Result<(), String> {
+        std::fs::write(self.disk_fault_file(number), state).map_err(|fault| fault.to_string())
     }
 
-    /// Adds, starts and lists an engine; its number.
+    /// Adds and starts an engine and lists it as open; returns its index.
     pub fn add_engine(&mut self) -> Result<usize, String> {
         let number = self.engines.len();
         let engine = Engine {
             process: None,
             name: format!("engine{number}"),
             address: "127.0.0.1:0".into(),
-            away: false,
+            listed_away: false,
             zone: ZONES[number % 4].into(),
         };
         self.engines.push(engine);
@@ -109,7 +112,7 @@
         Ok(number)
     }
 
-    /// Starts an engine on these weights, at the address it had before.
+    /// Starts an engine on a weights edition, at its previous address.
     pub fn start_engine(&mut self, number: usize, weights: u64) -> Result<(), String> {
         let engine = &self.engines[number];
         let mut arguments = vec![
@@ -129,31 +132,31 @@
         Ok(())
     }
 
-    /// Puts an engine into the platform's listing as open, leaving or gone.
+    /// Lists an engine with the platform as `open`, `leaving` or `gone`.
     pub fn list_engine(&self, number: usize, state: &str) -> Result<(), String> {
         let engine = &self.engines[number];
         let path = format!("/v1/engines/{}", engine.name);
-        let role = match (self.plan.split, number) {
+        let role = match (self.plan.split_roles, number) {
             (false, _) => "whole",
             (true, 0) => "prefill",
             (true, _) => "decode",
         };
         let body = json!({"name": engine.name, "address": engine.address, "zone": engine.zone, "model": "model", "role": role, "state": state});
-        let question = match state {
+        let request = match state {
             "gone" => OutgoingRequest { method: Method::DELETE, ..OutgoingRequest::get(&path) },
             _ => OutgoingRequest::with_json(Method::PUT, &path, &body),
         };
-        self.runtime.block_on(fetch_json(&self.platform.address(), question, ASK_LIMIT))?;
+        self.runtime.block_on(fetch_json(&self.platform.address(), request, REQUEST_TIMEOUT))?;
         let (at, engine) = (boot_millis(), engine.name.clone());
-        self.note(if state == "open" {
-            WorldLine::ListedOpen { at, engine }
+        self.record_event(if state == "open" {
+            EventLine::ListedOpen { at, engine }
         } else {
-            WorldLine::ListedAway { at, engine }
+            EventLine::ListedAway { at, engine }
         });
         Ok(())
     }
 
-    /// Adds a node and starts its agent and router; its number.
+    /// Adds a node and starts its agent and router; returns its index.
     pub fn add_node(&mut self) -> Result<usize, String> {
         let number = self.nodes.len();
         self.nodes.push(Node {
@@ -167,11 +170,11 @@
         Ok(number)
     }
 
-    /// Starts a node's agent, at the address it had before.
+    /// Starts a node's agent at its previous address.
     pub fn start_agent(&mut self, number: usize) -> Result<(), String> {
         let arguments = vec![
             format!("--listen={}", self.nodes[number].agent_address),
-            format!("--seeds={}", self.seeds()),
+            format!("--seeds={}", self.seed_addresses()),
             format!("--zone={}", ZONES[number % 4]),
             format!("--log-level={}", self.plan.log_level),
         ];
@@ -181,7 +184,7 @@
         Ok(())
     }
 
-    /// Starts a node's router, at the address it had before.
+    /// Starts a node's router at its previous address.
     pub fn start_router(&mut self, number: usize) -> Result<(), String> {
         let node = &self.nodes[number];
         let arguments = vec![
@@ -191,7 +194,7 @@
             format!("--log-level={}", self.plan.log_level),
         ];
         let mut arguments = arguments;
-        if self.plan.records {
+        if self.plan.records_days {
             arguments.push(format!("--record={}", self.folder.join("days").display()));
         }
         let process = Process::start("router", &format!("router{number}"), &arguments, &self.folder)?;
@@ -200,7 +203,7 @@
         Ok(())
     }
 
-    /// Where a node's router is reached.
+    /// Address of a node's router.
     pub fn router_address(&self, number: usize) -> String {
         self.nodes[number].router_address.clone()
     }
--- a/crates/testbed/tests/places.rs
+++ b/crates/testbed/tests/places.rs
@@ -1,5 +1,5 @@
-//! Whole places lost by real processes: a zone with its keeper, node and engine; an agent under a
-//! stream; every keeper that the settings name as a seed, one after the other.
+//! Correlated losses, tested with real processes: a whole zone with its keeper, node and engine; an agent during a
+//! stream; and, one after the other, every keeper named as a seed in the settings.
 
 use std::io::{BufRead, BufReader, Write};
 use testbed::prelude::*;
@@ -30,16 +30,16 @@
     fleet.start_engine(0, 1).unwrap();
     fleet.start_agent(0).unwrap();
     fleet.start_router(0).unwrap();
-    fleet.note(WorldLine::LastFaultOver { at: boot_millis() });
-    fleet.wait_core(4).unwrap();
-    fleet.wait_served(edition.unwrap()).unwrap();
+    fleet.record_event(EventLine::LastFaultOver { at: boot_millis() });
+    fleet.wait_for_chain(4).unwrap();
+    fleet.wait_until_served(edition.unwrap()).unwrap();
     wait_until(Duration::from_secs(60), || {
-        fleet.sample();
+        fleet.sample_routers();
         boot_millis() >= began + 33_000
     });
-    fleet.note(WorldLine::RunEnds { at: boot_millis() });
+    fleet.record_event(EventLine::RunEnds { at: boot_millis() });
     calling.join().unwrap().unwrap();
-    let report = DayReport::of(&fleet.record(&[calls]));
+    let report = DayReport::from_record(&fleet.record(&[calls]));
     assert_eq!(report.violations, [], "{}", report.text());
 }
 
@@ -76,7 +76,7 @@
     assert!(served_within(&fleet, 0, Duration::from_secs(20)), "the router serves again");
     let received = reading.join().unwrap();
     assert!(received.contains("[DONE]"), "the stream went on: {received}");
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 #[test]
@@ -95,9 +95,9 @@
         assert!(took_its_seat, "replacement {seed}: {:?}", fleet.fleet_page());
     }
     let edition = fleet.patch_document(&json!({"kinds": ["layout", "part", "check", "moved"]})).unwrap();
-    fleet.wait_served(edition).unwrap();
+    fleet.wait_until_served(edition).unwrap();
     assert!(served_within(&fleet, 0, Duration::from_secs(20)));
-    assert_eq!(judge(&fleet.record(&[])), []);
+    assert_eq!(check_record(&fleet.record(&[])), []);
 }
 
 #[test]
@@ -111,6 +111,6 @@
     assert!(served_within(&fleet, 0, Duration::from_secs(30)), "{:?}", fleet.fleet_page());
     let record = fleet.record(&[]);
     let first_weights = record.starts().next().map(|start| start.weights);
-    assert_eq!(first_weights, Some(1), "served before the first wave was through");
-    assert_eq!(judge(&record), []);
+    assert_eq!(first_weights, Some(1), "served before the first engines had loaded the new weights");
+    assert_eq!(check_record(&record), []);
 }
--- a/crates/testbed/tests/settings.rs
+++ b/crates/testbed/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Every program as a user first meets it: help, version, wrong flags and files, exit codes; and the
-//! operators' command line against a live core.
+//! Command lines of all programs: help, version, invalid flags and files, exit codes; and the operators' console
+//! against a running core.
 
 use std::process::Command;
 use testbed::prelude::*;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn every_program_has_help_version_and_refuses_nonsense() {
+fn every_program_has_help_and_version_and_refuses_unknown_flags() {
     for program in [
         "router",
         "agent",
@@ -50,7 +50,7 @@
 #[test]
 fn the_console_covers_the_operators_work() {
     let fleet = Fleet::start(FleetPlan { nodes: 1, engines: 1, ..FleetPlan::small() }).unwrap();
-    let door = fleet.keepers.iter().map(|keeper| keeper.door.clone()).collect::<Vec<_>>().join(",");
+    let door = fleet.keepers.iter().map(|keeper| keeper.operator_address.clone()).collect::<Vec<_>>().join(",");
     let console = |words: &[&str]| {
         let mut arguments = vec!["--door", door.as_str()];
         arguments.extend(words);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn settings_are_read_again_whole_or_not_at_all() {
+fn settings_are_reloaded_completely_or_not_at_all() {
     let folder = std::env::temp_dir().join(format!("reload-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("agent.json");
@@ -108,7 +108,7 @@
         "the new seed is dialled: {}",
         log()
     );
-    agent.ask_to_stop();
-    assert_eq!(agent.wait_end(Duration::from_secs(10)), Some(0));
+    agent.terminate();
+    assert_eq!(agent.wait_for_exit(Duration::from_secs(10)), Some(0));
     std::fs::remove_dir_all(&folder).unwrap();
 }
