--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -4,7 +4,7 @@
 use process::prelude::*;
 use units::prelude::*;
 
-static TRADE: ProgramSpec = ProgramSpec {
+static PROGRAM: ProgramSpec = ProgramSpec {
     program: "agent",
     about: "Holds a machine's stream to the core and feeds its router.",
     settings: &[
@@ -16,11 +16,11 @@
 };
 
 fn main() -> std::process::ExitCode {
-    run_program(&TRADE, run)
+    run_program(&PROGRAM, run)
 }
 
 fn run(settings: Settings) -> Result<(), Report> {
-    let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
+    let logs = start_logs(PROGRAM.program, settings.text("log_level")?)?;
     let seeds = settings.addresses("seeds");
     if seeds.is_empty() {
         return Err(miette!("seeds is missing: give it in the settings file or as --seeds"));
@@ -35,7 +35,7 @@
     run_agent(config, move |handle| {
         let (stopped, reloaded) = (handle.clone(), handle.clone());
         let reload = move |settings: &Settings| reloaded.set_seeds(settings.addresses("seeds"));
-        handle_signals(&TRADE, settings, logs, move || stopped.stop(), reload)?;
+        handle_signals(&PROGRAM, settings, logs, move || stopped.stop(), reload)?;
         print_ready_line(&[("id", handle.identity.to_string()), ("address", address.to_string())]);
         Ok(())
     })
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use units::prelude::*;
 
-static TRADE: ProgramSpec = ProgramSpec {
+static PROGRAM: ProgramSpec = ProgramSpec {
     program: "keeper",
     about: "Keeps haremount's shared state: a member of the core's chain with an interface for operators.",
     settings: &[
@@ -29,11 +29,11 @@
 };
 
 fn main() -> std::process::ExitCode {
-    run_program(&TRADE, run)
+    run_program(&PROGRAM, run)
 }
 
 fn run(settings: Settings) -> Result<(), Report> {
-    let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
+    let logs = start_logs(PROGRAM.program, settings.text("log_level")?)?;
     ignore_file_size_signal()?;
     let data_folder = settings.text("data")?.to_owned();
     let listener = std::net::TcpListener::bind(settings.address("listen")?)
@@ -68,7 +68,7 @@
     let handle_signals = move |handle: KeeperHandle| {
         let reloaded = handle.clone();
         let reload = move |settings: &Settings| reloaded.set_seeds(settings.addresses("seeds"));
-        handle_signals(&TRADE, settings, logs, move || handle.stop(), reload)
+        handle_signals(&PROGRAM, settings, logs, move || handle.stop(), reload)
     };
     run_keeper(config, handle_signals, move |identity| {
         print_ready_line(&[
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -2,7 +2,7 @@
 
 use router::prelude::*;
 
-static TRADE: ProgramSpec = ProgramSpec {
+static PROGRAM: ProgramSpec = ProgramSpec {
     program: "router",
     about: "Picks an engine for each prompt and forwards the stream.",
     settings: &[
@@ -28,11 +28,11 @@
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
 fn main() -> std::process::ExitCode {
-    run_program(&TRADE, run)
+    run_program(&PROGRAM, run)
 }
 
 fn run(settings: Settings) -> Result<(), Report> {
-    let logs = start_logs(TRADE.program, settings.text("log_level")?)?;
+    let logs = start_logs(PROGRAM.program, settings.text("log_level")?)?;
     let agent_address = settings.address("agent")?.to_string();
     let drain_limit = Span::seconds(settings.whole("drain_s")?);
     let listener = bind(settings.address("listen")?)
@@ -73,7 +73,7 @@
     runtime.spawn(serve(listener, request_site));
     let stop = Arc::new(tokio::sync::Notify::new());
     let stop_notice = Arc::clone(&stop);
-    handle_signals(&TRADE, settings, logs, move || stop_notice.notify_one(), |_| {})?;
+    handle_signals(&PROGRAM, settings, logs, move || stop_notice.notify_one(), |_| {})?;
     print_ready_line(&[("id", router.to_string()), ("address", address.to_string())]);
     event!(info, "started", id = router, address = address);
     runtime.block_on(async {
