--- a/crates/console/src/main.rs
+++ b/crates/console/src/main.rs
@@ -42,10 +42,10 @@
 
 impl Client {
     /// Sends a request to the doors in turn until one answers.
-    fn send(&self, question: &OutgoingRequest) -> Result<Reply, Report> {
+    fn send(&self, request: &OutgoingRequest) -> Result<Reply, Report> {
         let mut reasons = Vec::new();
         for door in &self.doors {
-            let authorized = question.clone().header("authorization", format!("Bearer {}", self.key));
+            let authorized = request.clone().header("authorization", format!("Bearer {}", self.key));
             match self.runtime.block_on(fetch_response(door, authorized, self.limit, 16 << 20)) {
                 Ok((status, headers, body)) => return Ok((status, headers, body.to_vec())),
                 Err(reason) => reasons.push(format!("{door}: {reason}")),
@@ -74,11 +74,11 @@
         key: key.trim().to_owned(),
         limit: Span::seconds(arguments.limit_s),
     };
-    let request = match &arguments.request {
+    let request_id = match &arguments.request {
         Some(text) => text.parse::<RequestId>().map_err(|_| miette!("--request: {text} is not a request id"))?,
         None => RequestId::random(),
     };
-    let question = match action {
+    let request = match action {
         Action::Compare { routers, policy, tenant } => {
             let mut metrics = fetch_metrics(&client, &routers)?;
             filter_metrics(&mut metrics, policy.as_deref(), tenant.as_deref())?;
@@ -86,7 +86,7 @@
             return Ok(0);
         }
         Action::Post { path, body } => {
-            OutgoingRequest::with_json(Method::POST, &path, &body).header("x-request-id", request.to_string())
+            OutgoingRequest::with_json(Method::POST, &path, &body).header("x-request-id", request_id.to_string())
         }
         Action::PostFile { path, file } => {
             let text = std::fs::read_to_string(&file).map_err(|fault| miette!("{file}: {fault}"))?;
@@ -102,17 +102,17 @@
             OutgoingRequest { method, body: text.into(), ..OutgoingRequest::get("/v1/desired-state") }
                 .header("content-type", "application/json")
                 .header("if-match", format!("\"{base}\""))
-                .header("x-request-id", request.to_string())
+                .header("x-request-id", request_id.to_string())
         }
         Action::AddKey { path, key_file } => {
             let new_key = std::fs::read_to_string(&key_file).map_err(|fault| miette!("{key_file}: {fault}"))?;
             OutgoingRequest::with_json(Method::PUT, &path, &json!({"key": new_key.trim()}))
-                .header("x-request-id", request.to_string())
+                .header("x-request-id", request_id.to_string())
         }
         Action::WithdrawKey { path } => OutgoingRequest { method: Method::DELETE, ..OutgoingRequest::get(&path) }
-            .header("x-request-id", request.to_string()),
+            .header("x-request-id", request_id.to_string()),
     };
-    let (status, headers, body) = client.send(&question)?;
+    let (status, headers, body) = client.send(&request)?;
     print_response(arguments, status, &headers, &body)
 }
 
@@ -130,8 +130,8 @@
         if let Some(now) = value["now"].as_u64() {
             println!("  the current edition is {now}");
         }
-        if let Some(request) = value["request"].as_str() {
-            println!("  request {request}");
+        if let Some(request_id) = value["request"].as_str() {
+            println!("  request {request_id}");
         }
     } else if value["view"].is_object() {
         print_fleet(&value);
--- a/crates/gateway/src/caller_site.rs
+++ b/crates/gateway/src/caller_handler.rs
@@ -26,7 +26,7 @@
 }
 
 /// Serves callers.
-pub struct CallerSite {
+pub struct CallerHandler {
     pub shared: Arc<SharedState>,
     pub table: TableHandle,
     pub pool: Arc<ConnectionPool>,
@@ -50,19 +50,19 @@
     }
 }
 
-impl RequestHandler for CallerSite {
-    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
-        Box::pin(self.handle(asked))
+impl RequestHandler for CallerHandler {
+    fn handle(self: Arc<Self>, request: IncomingRequest) -> ResponseFuture {
+        Box::pin(self.handle(request))
     }
 }
 
-impl CallerSite {
-    async fn handle(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
+impl CallerHandler {
+    async fn handle(self: Arc<Self>, mut request: IncomingRequest) -> WebResponse {
         let running = RunningCount::new(&self.shared);
         self.shared.counts.requests.fetch_add(1, Ordering::Relaxed);
-        let is_chunked = asked.headers.contains_key("transfer-encoding");
-        let attempt = self.protocol.read_head(&asked.headers).map(|head| head.attempt).unwrap_or_default();
-        let mut response = match self.plan(&mut asked).await {
+        let is_chunked = request.headers.contains_key("transfer-encoding");
+        let attempt = self.protocol.read_head(&request.headers).map(|head| head.attempt).unwrap_or_default();
+        let mut response = match self.plan(&mut request).await {
             Ok(planned) => self.relay(planned, running).await,
             Err(refusal) => self.refuse(&refusal, &attempt),
         };
@@ -84,34 +84,34 @@
         gateway_response(&*self.protocol, attempt, refusal)
     }
 
-    async fn plan(&self, asked: &mut IncomingRequest) -> Result<PlannedRequest, Refusal> {
+    async fn plan(&self, request: &mut IncomingRequest) -> Result<PlannedRequest, Refusal> {
         let began = boot_now();
         let snapshot = self.shared.snapshot();
         self.check_ready(&snapshot, began)?;
         let limits = &snapshot.state.desired.limits;
         let header_bytes: usize =
-            asked.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
+            request.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
         if header_bytes as u64 > limits.header_bytes {
             let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
             return Err(Refusal::new(status, format!("at most {} bytes of headers", limits.header_bytes)));
         }
-        if asked.headers.get_all("host").iter().count() > 1 {
+        if request.headers.get_all("host").iter().count() > 1 {
             return Err(Refusal::new(StatusCode::BAD_REQUEST, "a request must have a single host header"));
         }
-        let announced = asked.header("content-length").and_then(|length| length.parse::<u64>().ok());
+        let announced = request.header("content-length").and_then(|length| length.parse::<u64>().ok());
         if announced.is_some_and(|length| length > limits.body_bytes) {
             return Err(refuse_body(BodyFault::TooLarge));
         }
-        let body = asked.read_body(limits.body_bytes as usize).await.map_err(refuse_body)?;
+        let body = request.read_body(limits.body_bytes as usize).await.map_err(refuse_body)?;
         let snapshot = self.shared.snapshot();
         self.check_ready(&snapshot, boot_now())?;
-        let host = asked.header("host").or(asked.uri.host()).unwrap_or("").to_owned();
-        let Some(route) = snapshot.routes.find(&host, asked.uri.path()).cloned() else {
+        let host = request.header("host").or(request.uri.host()).unwrap_or("").to_owned();
+        let Some(route) = snapshot.routes.find(&host, request.uri.path()).cloned() else {
             return Err(Refusal::new(StatusCode::NOT_FOUND, "no route matches this host and path"));
         };
         let head = self
             .protocol
-            .read_head(&asked.headers)
+            .read_head(&request.headers)
             .map_err(|reason| Refusal::new(StatusCode::BAD_REQUEST, reason))?;
         let tenant = find_tenant(&snapshot, &route, &head)?;
         let draw = self.draws.fetch_add(1, Ordering::Relaxed);
@@ -120,9 +120,9 @@
         };
         let limit = head.deadline.map_or(route.spec.limit, |deadline| deadline.min(route.spec.limit));
         Ok(PlannedRequest {
-            method: asked.method.clone(),
-            target: asked.uri.path_and_query().map_or_else(|| "/".into(), |target| target.as_str().to_owned()),
-            headers: end_to_end(&asked.headers),
+            method: request.method.clone(),
+            target: request.uri.path_and_query().map_or_else(|| "/".into(), |target| target.as_str().to_owned()),
+            headers: end_to_end(&request.headers),
             body,
             head,
             route,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod prelude;
 
 mod assignment;
-mod caller_site;
+mod caller_handler;
 mod candidates;
 mod connections;
 mod events;
@@ -17,8 +17,8 @@
 mod protocol;
 mod readiness;
 mod relay;
+mod relay_handler;
 mod relay_log;
-mod relay_site;
 mod request;
 mod retry_state;
 mod table;
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The one import of this crate's files, and of programs that run a gateway.
 
 pub use crate::assignment::*;
-pub use crate::caller_site::*;
+pub use crate::caller_handler::*;
 pub use crate::candidates::*;
 pub use crate::connections::*;
 pub use crate::events::*;
@@ -13,8 +13,8 @@
 pub use crate::protocol::*;
 pub use crate::readiness::*;
 pub use crate::relay::*;
+pub use crate::relay_handler::*;
 pub use crate::relay_log::*;
-pub use crate::relay_site::*;
 pub use crate::request::*;
 pub use crate::retry_state::*;
 pub use crate::table::*;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -82,10 +82,10 @@
             tokio::spawn(PeerGrantQuery { node, shared: Arc::clone(&shared) }.run());
             tokio::spawn(serve(
                 listener,
-                Arc::new(RelaySite { table: table.clone(), changes, shared: Arc::clone(&shared) }),
+                Arc::new(RelayHandler { table: table.clone(), changes, shared: Arc::clone(&shared) }),
             ));
         }
-        let caller_site = Arc::new(CallerSite {
+        let caller_handler = Arc::new(CallerHandler {
             shared: Arc::clone(&shared),
             table: table.clone(),
             pool: Arc::clone(&pool),
@@ -93,7 +93,7 @@
             draws: AtomicU64::new(node.0),
         });
         let connections = Arc::new(OpenConnections::default());
-        let serving = tokio::spawn(serve_with_timeouts(callers, caller_site, bounds, Arc::clone(&connections)));
+        let serving = tokio::spawn(serve_with_timeouts(callers, caller_handler, bounds, Arc::clone(&connections)));
         let followers =
             PartFollowers { node, shared: Arc::clone(&shared), table, pool, protocol: Arc::clone(&plan.protocol) };
         tokio::spawn(followers.run());
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -15,9 +15,9 @@
 }
 
 impl RequestHandler for Readiness {
-    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
+    fn handle(self: Arc<Self>, request: IncomingRequest) -> ResponseFuture {
         Box::pin(async move {
-            match asked.uri.path() {
+            match request.uri.path() {
                 page if page == self.ready_page => self.ready(),
                 "/metrics" => self.metrics(),
                 "/live" => bytes_response(StatusCode::OK, "text/plain", "live\n"),
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -28,16 +28,16 @@
 
 impl Relay {
     /// Creates the relay of a request that has not been sent to any engine yet.
-    pub fn new(planned: PlannedRequest, running: RunningCount, caller_site: &CallerSite) -> Relay {
+    pub fn new(planned: PlannedRequest, running: RunningCount, caller_handler: &CallerHandler) -> Relay {
         Relay {
             retry_state: RetryState::new(planned.retry_rules()),
             planned: Arc::new(planned),
             tried: Vec::new(),
             retry_after: NOT_READY_RETRY_AFTER,
-            shared: Arc::clone(&caller_site.shared),
-            table: caller_site.table.clone(),
-            pool: Arc::clone(&caller_site.pool),
-            protocol: Arc::clone(&caller_site.protocol),
+            shared: Arc::clone(&caller_handler.shared),
+            table: caller_handler.table.clone(),
+            pool: Arc::clone(&caller_handler.pool),
+            protocol: Arc::clone(&caller_handler.protocol),
             _running: running,
         }
     }
--- a/crates/gateway/src/relay_site.rs
+++ b/crates/gateway/src/relay_handler.rs
@@ -9,22 +9,22 @@
 const MAX_QUERY_BYTES: usize = 1024;
 
 /// Serves other routers' queries.
-pub struct RelaySite {
+pub struct RelayHandler {
     pub table: TableHandle,
     /// Changes whenever the log does.
     pub changes: tokio::sync::watch::Receiver<u64>,
     pub shared: Arc<SharedState>,
 }
 
-impl RequestHandler for RelaySite {
-    fn handle(self: Arc<Self>, mut asked: IncomingRequest) -> ResponseFuture {
+impl RequestHandler for RelayHandler {
+    fn handle(self: Arc<Self>, mut request: IncomingRequest) -> ResponseFuture {
         Box::pin(async move {
-            if asked.uri.path() == GRANTS_PATH {
+            if request.uri.path() == GRANTS_PATH {
                 return self.grant_report();
             }
-            let body = asked.read_body(MAX_QUERY_BYTES).await.unwrap_or_default();
+            let body = request.read_body(MAX_QUERY_BYTES).await.unwrap_or_default();
             let query = rmp_serde::from_slice::<RelayQuery>(&body);
-            let (RELAY_PATH, Ok(query)) = (asked.uri.path(), query) else {
+            let (RELAY_PATH, Ok(query)) = (request.uri.path(), query) else {
                 return bytes_response(StatusCode::BAD_REQUEST, "text/plain", "not a valid relay query\n");
             };
             match self.answer(query).await.and_then(|update| rmp_serde::to_vec(&update).ok()) {
@@ -35,7 +35,7 @@
     }
 }
 
-impl RelaySite {
+impl RelayHandler {
     fn grant_report(&self) -> WebResponse {
         let report = self.shared.with_grants(|grants| grants.report(boot_now()));
         let bytes = rmp_serde::to_vec(&report).unwrap_or_default();
--- a/crates/keeper/src/conductor_duty.rs
+++ b/crates/keeper/src/conductor_duty.rs
@@ -168,7 +168,7 @@
     let order = EngineOrder { term: term.0, holder: me.to_string(), wish: action };
     let (publisher, key) = (Arc::clone(publisher), engine.clone());
     let task = async move {
-        let question = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/orders", &json!(order));
+        let request = web::prelude::OutgoingRequest::with_json(Method::POST, "/v1/orders", &json!(order));
         let gate_publisher = Arc::clone(&publisher);
         let gate = Box::new(move || {
             let held = latest_snapshot(&gate_publisher).conductor;
@@ -177,7 +177,7 @@
         });
         let sending = async {
             let stream = open_stream(&address, OBSERVE_TIMEOUT).await?;
-            let response = stream.send_gated(question, gate).await.map_err(|fault| fault.reason)?;
+            let response = stream.send_gated(request, gate).await.map_err(|fault| fault.reason)?;
             if response.status.is_success() { Ok(()) } else { Err(format!("status {}", response.status)) }
         };
         let outcome = tokio::time::timeout(ORDER_TIMEOUT.as_duration(), sending).await;
@@ -196,8 +196,8 @@
         let (engine, address) = (engine.clone(), listed.address.clone());
         queries.spawn(async move {
             let queried_at = boot_now();
-            let question = web::prelude::OutgoingRequest::get("/v1/state");
-            let (_, _, body) = fetch_response(&address, question, OBSERVE_TIMEOUT, 1 << 16).await.ok()?;
+            let request = web::prelude::OutgoingRequest::get("/v1/state");
+            let (_, _, body) = fetch_response(&address, request, OBSERVE_TIMEOUT, 1 << 16).await.ok()?;
             let engine_state: EngineState = serde_json::from_slice(&body).ok()?;
             Some((engine, engine_state, queried_at))
         });
--- a/crates/keeper/src/directory_poller.rs
+++ b/crates/keeper/src/directory_poller.rs
@@ -106,8 +106,8 @@
     let mut engines = BTreeMap::new();
     let mut page_name: Option<String> = None;
     for pages in 1..=MAX_PAGES {
-        let question = directory.page_request(page_name.as_deref());
-        let (status, _, body) = fetch_response(&address, question, PAGE_TIMEOUT, MAX_PAGE_BYTES).await?;
+        let request = directory.page_request(page_name.as_deref());
+        let (status, _, body) = fetch_response(&address, request, PAGE_TIMEOUT, MAX_PAGE_BYTES).await?;
         if status != StatusCode::OK {
             return Err(format!("status {status}"));
         }
--- a/crates/keeper/src/listing_poller.rs
+++ b/crates/keeper/src/listing_poller.rs
@@ -68,8 +68,8 @@
         }
         event!(info, "listing_submitted", number = listing.number, engines = listing.engines.len());
         let parts = [listing.boot.as_bytes(), &listing.number.0.to_le_bytes()];
-        let request = RequestId(BlockHash::of_parts(&[b"listing", parts[0], parts[1]]).0);
-        let submission = executor.submit(request, Command::List(listing.clone()), SUBMIT_TIMEOUT);
+        let request_id = RequestId(BlockHash::of_parts(&[b"listing", parts[0], parts[1]]).0);
+        let submission = executor.submit(request_id, Command::List(listing.clone()), SUBMIT_TIMEOUT);
         let _ = tokio::time::timeout(SUBMIT_WAIT, submission).await;
     }
 }
@@ -79,8 +79,8 @@
 }
 
 async fn read_listing(platform: &str, known_tag: &str) -> Result<Option<(String, Listing)>, String> {
-    let question = web::prelude::OutgoingRequest::get("/v1/engines").header("if-none-match", known_tag);
-    let (status, headers, body) = fetch_response(platform, question, POLL_TIMEOUT, 4 << 20).await?;
+    let request = web::prelude::OutgoingRequest::get("/v1/engines").header("if-none-match", known_tag);
+    let (status, headers, body) = fetch_response(platform, request, POLL_TIMEOUT, 4 << 20).await?;
     if status == StatusCode::NOT_MODIFIED {
         return Ok(None);
     }
--- a/crates/keeper/src/operator_interface.rs
+++ b/crates/keeper/src/operator_interface.rs
@@ -18,14 +18,14 @@
 }
 
 impl RequestHandler for OperatorInterface {
-    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
-        Box::pin(self.route(asked))
+    fn handle(self: Arc<Self>, request: IncomingRequest) -> ResponseFuture {
+        Box::pin(self.route(request))
     }
 }
 
 impl OperatorInterface {
-    async fn route(self: Arc<Self>, asked: IncomingRequest) -> WebResponse {
-        let (method, segments) = asked.method_and_path();
+    async fn route(self: Arc<Self>, request: IncomingRequest) -> WebResponse {
+        let (method, segments) = request.method_and_path();
         match (method.as_str(), segments.as_slice()) {
             ("GET", ["live"]) => return bytes_response(StatusCode::OK, "text/plain", "live\n"),
             ("GET", ["ready"]) => return self.ready(),
@@ -33,7 +33,7 @@
             _ => {}
         }
         let Some(state) = self.read_state().await else { return core_unavailable() };
-        let known_key = asked.bearer_token().is_some_and(|key| state.is_operator(&sha256_hex(key)));
+        let known_key = request.bearer_token().is_some_and(|key| state.is_operator(&sha256_hex(key)));
         if !known_key {
             return error_response(StatusCode::UNAUTHORIZED, "unknown_key", "an operator's key is required");
         }
@@ -41,9 +41,9 @@
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         match (method.as_str(), parts.as_slice()) {
             ("GET", ["v1", "desired-state"]) => desired_state_response(&state),
-            ("PUT", ["v1", "desired-state"]) => self.change_document(asked, true).await,
-            ("PATCH", ["v1", "desired-state"]) => self.change_document(asked, false).await,
-            ("PUT", ["v1", "tenants", tenant, "keys", key_name]) => self.put_key(asked, tenant, key_name).await,
+            ("PUT", ["v1", "desired-state"]) => self.change_document(request, true).await,
+            ("PATCH", ["v1", "desired-state"]) => self.change_document(request, false).await,
+            ("PUT", ["v1", "tenants", tenant, "keys", key_name]) => self.put_key(request, tenant, key_name).await,
             ("DELETE", ["v1", "tenants", tenant, "keys", key_name]) => {
                 let is_known = state
                     .desired
@@ -54,17 +54,19 @@
                     return error_response(StatusCode::NOT_FOUND, "not_found", "no such tenant or key");
                 }
                 let patch = json!({"tenants": {*tenant: {"keys": {*key_name: null}}}});
-                self.submit(&asked, Command::Merge { base: None, patch: patch.to_string() }).await
+                self.submit(&request, Command::Merge { base: None, patch: patch.to_string() }).await
             }
-            ("GET", ["v1", "requests", request]) => match request.parse::<RequestId>() {
-                Ok(request) => {
-                    let answer =
-                        self.executor.query(CoreQuery::Settled { request, fingerprint: None }, READ_TIMEOUT).await;
-                    outcome_response(request, answer)
+            ("GET", ["v1", "requests", request_id]) => match request_id.parse::<RequestId>() {
+                Ok(request_id) => {
+                    let answer = self
+                        .executor
+                        .query(CoreQuery::Settled { request: request_id, fingerprint: None }, READ_TIMEOUT)
+                        .await;
+                    outcome_response(request_id, answer)
                 }
                 Err(_) => error_response(StatusCode::BAD_REQUEST, "bad_request", "a request id has 16 hex digits"),
             },
-            ("POST", ["v1", "intents"]) => self.create_plan(asked).await,
+            ("POST", ["v1", "intents"]) => self.create_plan(request).await,
             ("GET", ["v1", "plans"]) => {
                 let plans: Vec<Value> = state.plans.iter().map(|(number, plan)| show_plan(*number, plan)).collect();
                 json_response(StatusCode::OK, &json!({"plans": plans}))
@@ -74,10 +76,10 @@
                 None => error_response(StatusCode::NOT_FOUND, "not_found", "no such plan"),
             },
             ("POST", ["v1", "plans", plan, "confirm"]) => match find_plan(&state, plan) {
-                Some((number, _)) => self.submit(&asked, Command::Confirm { plan: number }).await,
+                Some((number, _)) => self.submit(&request, Command::Confirm { plan: number }).await,
                 None => error_response(StatusCode::NOT_FOUND, "not_found", "no such plan"),
             },
-            ("POST", ["v1", "policies", "check"]) => check_policy(&state, asked).await,
+            ("POST", ["v1", "policies", "check"]) => check_policy(&state, request).await,
             ("GET", ["v1", "policies", policy]) => match state.desired.policies.get(*policy) {
                 Some(found) => json_response(StatusCode::OK, &show_table(&state, found)),
                 None => error_response(StatusCode::NOT_FOUND, "not_found", "no such policy"),
@@ -98,12 +100,12 @@
         }
     }
 
-    async fn change_document(&self, mut asked: IncomingRequest, is_whole: bool) -> WebResponse {
-        let base = match read_if_match(&asked) {
+    async fn change_document(&self, mut request: IncomingRequest, is_whole: bool) -> WebResponse {
+        let base = match read_if_match(&request) {
             Ok(base) => base,
             Err(response) => return *response,
         };
-        let body = match asked.read_body(MAX_BODY_BYTES).await {
+        let body = match request.read_body(MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(web::prelude::BodyFault::TooLarge) => {
                 return error_response(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "at most 1 MiB");
@@ -128,22 +130,22 @@
         } else {
             Command::Merge { base: Some(base), patch: write_sorted(&document) }
         };
-        self.submit(&asked, command).await
+        self.submit(&request, command).await
     }
 
     /// Submits an intent and answers with the plan of steps made from it.
-    async fn create_plan(&self, mut asked: IncomingRequest) -> WebResponse {
-        let intent = match read_json_body(&mut asked).await.and_then(|document| read_intent(&document)) {
+    async fn create_plan(&self, mut request: IncomingRequest) -> WebResponse {
+        let intent = match read_json_body(&mut request).await.and_then(|document| read_intent(&document)) {
             Ok(intent) => intent,
             Err(errors) => return validation_response(&errors),
         };
-        let request = match read_request_id(&asked) {
-            Ok(request) => request,
+        let request_id = match read_request_id(&request) {
+            Ok(request_id) => request_id,
             Err(response) => return *response,
         };
-        let answer = self.executor.submit(request, Command::Intend(intent), CHANGE_TIMEOUT).await;
+        let answer = self.executor.submit(request_id, Command::Intend(intent), CHANGE_TIMEOUT).await;
         let QueryOutcome::Settled(CommandOutcome::Applied(number)) = answer else {
-            return outcome_response(request, answer);
+            return outcome_response(request_id, answer);
         };
         let Some(state) = self.read_state().await else { return core_unavailable() };
         match state.plans.get(&number) {
@@ -152,8 +154,8 @@
         }
     }
 
-    async fn put_key(&self, mut asked: IncomingRequest, tenant: &str, key_name: &str) -> WebResponse {
-        let body = asked.read_body(4096).await.unwrap_or_default();
+    async fn put_key(&self, mut request: IncomingRequest, tenant: &str, key_name: &str) -> WebResponse {
+        let body = request.read_body(4096).await.unwrap_or_default();
         let given: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let hash = match (given["key"].as_str(), given["sha256"].as_str()) {
             (Some(key), None) if key.len() >= 8 => sha256_hex(key),
@@ -164,16 +166,16 @@
             }
         };
         let patch = json!({"tenants": {tenant: {"keys": {key_name: hash}}}});
-        self.submit(&asked, Command::Merge { base: None, patch: patch.to_string() }).await
+        self.submit(&request, Command::Merge { base: None, patch: patch.to_string() }).await
     }
 
-    async fn submit(&self, asked: &IncomingRequest, command: Command) -> WebResponse {
-        let request = match read_request_id(asked) {
-            Ok(request) => request,
+    async fn submit(&self, request: &IncomingRequest, command: Command) -> WebResponse {
+        let request_id = match read_request_id(request) {
+            Ok(request_id) => request_id,
             Err(response) => return *response,
         };
-        let answer = self.executor.submit(request, command, CHANGE_TIMEOUT).await;
-        outcome_response(request, answer)
+        let answer = self.executor.submit(request_id, command, CHANGE_TIMEOUT).await;
+        outcome_response(request_id, answer)
     }
 
     fn ready(&self) -> WebResponse {
@@ -262,9 +264,9 @@
     }
 }
 
-async fn read_json_body(asked: &mut IncomingRequest) -> Result<JsonValue, Vec<ValidationError>> {
+async fn read_json_body(request: &mut IncomingRequest) -> Result<JsonValue, Vec<ValidationError>> {
     let unreadable = |reason: &str| vec![ValidationError::at("", reason)];
-    let body = asked.read_body(1 << 20).await.map_err(|fault| unreadable(&format!("{fault:?}")))?;
+    let body = request.read_body(1 << 20).await.map_err(|fault| unreadable(&format!("{fault:?}")))?;
     let text = std::str::from_utf8(&body).map_err(|_| unreadable("not UTF-8"))?;
     parse_bounded(text, DOCUMENT_BOUNDS).map_err(|error| vec![error])
 }
@@ -307,8 +309,8 @@
 }
 
 /// Validates a policy as part of the present document and shows its table, without a change.
-async fn check_policy(state: &FleetState, mut asked: IncomingRequest) -> WebResponse {
-    let document = match read_json_body(&mut asked).await {
+async fn check_policy(state: &FleetState, mut request: IncomingRequest) -> WebResponse {
+    let document = match read_json_body(&mut request).await {
         Ok(document) => document,
         Err(errors) => return validation_response(&errors),
     };
@@ -340,8 +342,8 @@
         .with_header("etag", &format!("\"{}\"", state.desired_edition))
 }
 
-fn read_if_match(asked: &IncomingRequest) -> Result<Edition, Box<WebResponse>> {
-    let Some(tag) = asked.header("if-match") else {
+fn read_if_match(request: &IncomingRequest) -> Result<Edition, Box<WebResponse>> {
+    let Some(tag) = request.header("if-match") else {
         let reason = "If-Match with the edition that this change is based on is required";
         return Err(Box::new(error_response(StatusCode::PRECONDITION_REQUIRED, "no_base", reason)));
     };
@@ -352,8 +354,8 @@
 }
 
 /// The request id under which an operator submits a change and may submit it again.
-fn read_request_id(asked: &IncomingRequest) -> Result<RequestId, Box<WebResponse>> {
-    let Some(text) = asked.header("x-request-id") else { return Ok(RequestId::random()) };
+fn read_request_id(request: &IncomingRequest) -> Result<RequestId, Box<WebResponse>> {
+    let Some(text) = request.header("x-request-id") else { return Ok(RequestId::random()) };
     text.parse().map_err(|_| {
         Box::new(error_response(StatusCode::BAD_REQUEST, "bad_request", "x-request-id has 16 hex digits"))
     })
@@ -365,10 +367,10 @@
     json_response(StatusCode::UNPROCESSABLE_ENTITY, &answer)
 }
 
-fn outcome_response(request: RequestId, outcome: QueryOutcome) -> WebResponse {
+fn outcome_response(request_id: RequestId, outcome: QueryOutcome) -> WebResponse {
     let response = match outcome {
         QueryOutcome::Settled(CommandOutcome::Applied(edition)) => {
-            json_response(StatusCode::OK, &json!({"edition": edition.0, "request": request.to_string()}))
+            json_response(StatusCode::OK, &json!({"edition": edition.0, "request": request_id.to_string()}))
                 .with_header("etag", &format!("\"{edition}\""))
         }
         QueryOutcome::Settled(CommandOutcome::Stale { now }) => {
@@ -378,9 +380,9 @@
         QueryOutcome::Settled(CommandOutcome::Refused(errors)) => validation_response(&errors),
         _ => {
             let reason = "not known to be in force; ask again under this request id";
-            let body = json!({"error": {"type": "unknown", "message": reason}, "request": request.to_string()});
+            let body = json!({"error": {"type": "unknown", "message": reason}, "request": request_id.to_string()});
             json_response(StatusCode::GATEWAY_TIMEOUT, &body)
         }
     };
-    response.with_header("x-request-id", &request.to_string())
+    response.with_header("x-request-id", &request_id.to_string())
 }
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -19,19 +19,19 @@
 }
 
 impl RequestHandler for ProtocolInterface {
-    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
-        Box::pin(self.route(asked))
+    fn handle(self: Arc<Self>, request: IncomingRequest) -> ResponseFuture {
+        Box::pin(self.route(request))
     }
 }
 
 impl ProtocolInterface {
-    async fn route(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
-        let (_, segments) = asked.method_and_path();
-        let Some(call) = self.protocol.call(&asked.method, &segments) else { return not_found_response() };
+    async fn route(self: Arc<Self>, mut request: IncomingRequest) -> WebResponse {
+        let (_, segments) = request.method_and_path();
+        let Some(call) = self.protocol.call(&request.method, &segments) else { return not_found_response() };
         if call == OperatorCall::Read {
             return self.read_back().await;
         }
-        let body = match asked.read_body(BODY_BOUNDS.bytes).await {
+        let body = match request.read_body(BODY_BOUNDS.bytes).await {
             Ok(body) => body,
             Err(web::prelude::BodyFault::TooLarge) => {
                 return error_response(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "the body is too large");
@@ -45,7 +45,7 @@
         };
         match call {
             OperatorCall::RaiseWeights => self.raise_weights(&body).await,
-            OperatorCall::Replace | OperatorCall::Patch => self.change(call, &asked.headers, &body).await,
+            OperatorCall::Replace | OperatorCall::Patch => self.change(call, &request.headers, &body).await,
             OperatorCall::Read => not_found_response(),
         }
     }
--- a/crates/router/src/allowance_extender.rs
+++ b/crates/router/src/allowance_extender.rs
@@ -51,15 +51,15 @@
 /// written sends nothing, as the allowance would be outdated.
 async fn send_allowance(address: &str, path: &str, allowance: Allowance, now: Instant) -> bool {
     let allowed_ms = allowance.left(now).as_millis().to_string();
-    let question = OutgoingRequest::with_json(Method::POST, path, &json!({})).header(LIMIT_HEADER, allowed_ms);
+    let request = OutgoingRequest::with_json(Method::POST, path, &json!({})).header(LIMIT_HEADER, allowed_ms);
     let gate = Box::new(move || match boot_now().since(now) < REQUEST_TIMEOUT {
         true => Ok(()),
         false => Err("too late".into()),
     });
     let sending = async {
         let stream = open_stream(address, REQUEST_TIMEOUT).await.ok()?;
-        stream.send_gated(question, gate).await.ok()
+        stream.send_gated(request, gate).await.ok()
     };
-    let replied = tokio::time::timeout(REQUEST_TIMEOUT.as_duration(), sending).await.ok().flatten();
-    replied.is_some_and(|replied| replied.status == StatusCode::OK)
+    let response = tokio::time::timeout(REQUEST_TIMEOUT.as_duration(), sending).await.ok().flatten();
+    response.is_some_and(|response| response.status == StatusCode::OK)
 }
--- a/crates/router/src/request_site.rs
+++ b/crates/router/src/api_handler.rs
@@ -12,7 +12,7 @@
 const PROXY_QUEUE_CAPACITY: usize = 32;
 
 /// The handlers of the router's HTTP routes.
-pub struct RequestSite {
+pub struct ApiHandler {
     /// This router's id.
     pub router: NodeId,
     /// The router's shared state.
@@ -38,21 +38,21 @@
     }
 }
 
-impl RequestHandler for RequestSite {
-    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
-        Box::pin(self.respond(asked))
+impl RequestHandler for ApiHandler {
+    fn handle(self: Arc<Self>, request: IncomingRequest) -> ResponseFuture {
+        Box::pin(self.respond(request))
     }
 }
 
-impl RequestSite {
-    async fn respond(self: Arc<Self>, asked: IncomingRequest) -> WebResponse {
-        let (method, segments) = asked.method_and_path();
+impl ApiHandler {
+    async fn respond(self: Arc<Self>, request: IncomingRequest) -> WebResponse {
+        let (method, segments) = request.method_and_path();
         match (method.as_str(), segments.as_slice()) {
-            ("POST", ["v1", "completions"]) => self.handle_prompt(asked, ApiFormat::Completion).await,
-            ("POST", ["v1", "chat", "completions"]) => self.handle_prompt(asked, ApiFormat::Chat).await,
+            ("POST", ["v1", "completions"]) => self.handle_prompt(request, ApiFormat::Completion).await,
+            ("POST", ["v1", "chat", "completions"]) => self.handle_prompt(request, ApiFormat::Chat).await,
             ("GET", ["v1", "runs", run]) => {
-                let (run, last_event) = ((*run).to_owned(), asked.header("last-event-id").map(str::to_owned));
-                self.resume(&asked, &run, last_event.as_deref()).await
+                let (run, last_event) = ((*run).to_owned(), request.header("last-event-id").map(str::to_owned));
+                self.resume(&request, &run, last_event.as_deref()).await
             }
             ("GET", ["live"]) => bytes_response(StatusCode::OK, "text/plain", "live\n"),
             ("GET", ["ready"]) => self.ready(),
@@ -63,7 +63,7 @@
 
     /// Resumes a run after the last event that the caller received; never starts one. A run held by another router
     /// is proxied from there, at most once.
-    async fn resume(&self, asked: &IncomingRequest, run: &str, last_event: Option<&str>) -> WebResponse {
+    async fn resume(&self, request: &IncomingRequest, run: &str, last_event: Option<&str>) -> WebResponse {
         let bad = |reason: &str| error_response(StatusCode::BAD_REQUEST, "bad_request", reason);
         let gone =
             || error_response(StatusCode::GONE, "gone", "this run is no longer buffered; it is not started again");
@@ -82,14 +82,14 @@
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_lease", reason).retry_after(1).into_outcome();
         }
         let snapshot = self.shared.snapshot();
-        let key_hash = asked.bearer_token().map(sha256_hex).unwrap_or_default();
+        let key_hash = request.bearer_token().map(sha256_hex).unwrap_or_default();
         let Some(tenant) = snapshot.tenants_by_key.get(&key_hash) else {
             return error_response(StatusCode::UNAUTHORIZED, "unknown_key", "the key is not known");
         };
         if named.router != self.router {
-            let may_proxy = asked.header("x-haremount-carried").is_none();
+            let may_proxy = request.header("x-haremount-carried").is_none();
             return match self.shared.address_of(named.router).filter(|_| may_proxy) {
-                Some(address) => proxy_resume(&address, asked, run, last_event).await.unwrap_or_else(|_| gone()),
+                Some(address) => proxy_resume(&address, request, run, last_event).await.unwrap_or_else(|_| gone()),
                 None => gone(),
             };
         }
@@ -103,15 +103,15 @@
     }
 
     /// Handles a prompt, or resumes a run if the request names a last event.
-    async fn handle_prompt(&self, mut asked: IncomingRequest, format: ApiFormat) -> WebResponse {
-        if let Some(last_event) = asked.header("last-event-id").map(str::to_owned) {
+    async fn handle_prompt(&self, mut request: IncomingRequest, format: ApiFormat) -> WebResponse {
+        if let Some(last_event) = request.header("last-event-id").map(str::to_owned) {
             let run = last_event.rsplit_once('.').map_or("", |(run, _)| run).to_owned();
-            return self.resume(&asked, &run, Some(&last_event)).await;
+            return self.resume(&request, &run, Some(&last_event)).await;
         }
         Counts::add(&self.shared.counts.requests, 1);
         self.shared.counts.running.fetch_add(1, Ordering::SeqCst);
         let running = RunningGuard(Arc::clone(&self.shared));
-        match self.admit(&mut asked, format).await {
+        match self.admit(&mut request, format).await {
             Ok((plan, slot)) => {
                 let run = Run {
                     plan,
@@ -137,7 +137,7 @@
     /// Checks a prompt and takes a concurrency slot for its tenant.
     async fn admit(
         &self,
-        asked: &mut IncomingRequest,
+        request: &mut IncomingRequest,
         format: ApiFormat,
     ) -> Result<(RequestPlan, ConcurrencySlot), Refusal> {
         let now = boot_now();
@@ -149,8 +149,8 @@
             let reason = "this router holds no lease";
             return Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_lease", reason).retry_after(1));
         }
-        let headers = HeaderFields::read(asked)?;
-        let body = asked.read_body(MAX_REQUEST_BYTES).await.map_err(|fault| match fault {
+        let headers = HeaderFields::read(request)?;
+        let body = request.read_body(MAX_REQUEST_BYTES).await.map_err(|fault| match fault {
             BodyFault::TooLarge => {
                 let reason = format!("at most {MAX_REQUEST_BYTES} bytes");
                 Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large", reason)
@@ -158,12 +158,12 @@
             BodyFault::TooSlow => Refusal::new(StatusCode::REQUEST_TIMEOUT, "too_slow", "the body came too slowly"),
             BodyFault::Broken(reason) => Refusal::new(StatusCode::BAD_REQUEST, "bad_request", reason),
         })?;
-        let request: CallerRequest = serde_json::from_slice(&body)
+        let caller_request: CallerRequest = serde_json::from_slice(&body)
             .map_err(|fault| Refusal::new(StatusCode::BAD_REQUEST, "bad_request", fault.to_string()))?;
         let run_number = self.next_run.fetch_add(1, Ordering::SeqCst);
         let run = (format!("{}.{run_number}", self.router), run_number);
         let snapshot = self.shared.snapshot();
-        let plan = RequestPlan::make(request, format, &headers, &snapshot, run, now)?;
+        let plan = RequestPlan::make(caller_request, format, &headers, &snapshot, run, now)?;
         if let Some(adapter) = plan.adapter(&snapshot) {
             self.shared.record_demand(&adapter.name, now);
         }
@@ -228,29 +228,30 @@
 /// Proxies the stream of a run from the router that holds it.
 async fn proxy_resume(
     address: &str,
-    asked: &IncomingRequest,
+    request: &IncomingRequest,
     run: &str,
     last_event: Option<&str>,
 ) -> Result<WebResponse, String> {
-    let mut question = OutgoingRequest::get(&format!("/v1/runs/{run}"))
-        .header("authorization", asked.header("authorization").unwrap_or(""))
+    let mut outgoing = OutgoingRequest::get(&format!("/v1/runs/{run}"))
+        .header("authorization", request.header("authorization").unwrap_or(""))
         .header("x-haremount-carried", "true");
     if let Some(last_event) = last_event {
-        question = question.header("last-event-id", last_event);
+        outgoing = outgoing.header("last-event-id", last_event);
     }
     let stream = open_stream(address, PROXY_CONNECT_TIMEOUT).await?;
-    let mut replied = stream.send(question).await.map_err(|fault| fault.reason)?;
-    if replied.status != StatusCode::OK {
-        let status = replied.status;
-        let body =
-            read_whole(&mut replied.body, MAX_PROXIED_ERROR_BYTES, PROXIED_ERROR_TIMEOUT).await.unwrap_or_default();
+    let mut upstream_response = stream.send(outgoing).await.map_err(|fault| fault.reason)?;
+    if upstream_response.status != StatusCode::OK {
+        let status = upstream_response.status;
+        let body = read_whole(&mut upstream_response.body, MAX_PROXIED_ERROR_BYTES, PROXIED_ERROR_TIMEOUT)
+            .await
+            .unwrap_or_default();
         return Ok(bytes_response(status, "application/json", body));
     }
     let (pieces, response) = streaming_response(StatusCode::OK, "text/event-stream", PROXY_QUEUE_CAPACITY);
     tokio::spawn(async move {
         loop {
             let piece = tokio::select! {
-                piece = replied.next_chunk() => piece,
+                piece = upstream_response.next_chunk() => piece,
                 () = pieces.gone() => return,
             };
             match piece {
--- a/crates/router/src/followers.rs
+++ b/crates/router/src/followers.rs
@@ -96,14 +96,14 @@
     let path = format!("/v1/kept/events?from={}&wait_ms={POLL_WAIT_MS}", cursor.next_number);
     let requested_at = boot_now();
     let (_, _, body) = stream.send_keep_alive(OutgoingRequest::get(&path), POLL_TIMEOUT, MAX_RESPONSE_BYTES).await?;
-    let answered = boot_now();
+    let answered_at = boot_now();
     let batch: EventBatch = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
     let events: Option<Vec<CacheEvent>> = batch.events.iter().map(EngineEvent::read).collect();
     let events = events.ok_or("an event is malformed")?;
     // An engine answers a long poll from its latest state, so all events until the answer are known. After a late
     // answer, only those until the request are certain.
-    let known_until = if answered.since(requested_at) < Span::millis(POLL_WAIT_MS + POLL_SLACK_MS) {
-        answered
+    let known_until = if answered_at.since(requested_at) < Span::millis(POLL_WAIT_MS + POLL_SLACK_MS) {
+        answered_at
     } else {
         requested_at
     };
--- a/crates/router/src/forward/attempt.rs
+++ b/crates/router/src/forward/attempt.rs
@@ -23,7 +23,7 @@
     pub(super) adapter: Option<AdapterId>,
     pub(super) occupancy: OccupancyGuard,
     stream: Option<OpenStream>,
-    replied: Option<IncomingResponse>,
+    response: Option<IncomingResponse>,
     reader: EventReader,
     /// Extends the engine's time allowance; ends with the attempt.
     extender: Option<AllowanceExtender>,
@@ -37,7 +37,7 @@
         occupancy: OccupancyGuard,
     ) -> Attempt {
         let reader = EventReader::default();
-        Attempt { placement, snapshot, adapter, occupancy, stream: None, replied: None, reader, extender: None }
+        Attempt { placement, snapshot, adapter, occupancy, stream: None, response: None, reader, extender: None }
     }
 
     /// The body of the request to the engine.
@@ -69,7 +69,7 @@
 
     /// Reads the next piece of the engine's stream, or its end.
     async fn read_streamed(&mut self, has_end_mark: bool) -> Input {
-        let Some(replied) = self.replied.as_mut() else { return no_connection() };
+        let Some(response) = self.response.as_mut() else { return no_connection() };
         loop {
             match self.reader.next_data() {
                 Some(data) if data == STREAM_END => return Input::EndMark,
@@ -79,7 +79,7 @@
                 }
                 None => {}
             }
-            match replied.next_chunk().await {
+            match response.next_chunk().await {
                 Ok(Some(bytes)) => {
                     if let Err(reason) = self.reader.feed(&bytes) {
                         return Input::Broken(reason);
@@ -93,8 +93,8 @@
 
     /// Reads an answer that is not streamed.
     async fn read_whole(&mut self) -> Input {
-        let Some(replied) = self.replied.as_mut() else { return no_connection() };
-        match read_whole(&mut replied.body, MAX_ANSWER_BYTES, ANSWER_READ_TIMEOUT).await {
+        let Some(response) = self.response.as_mut() else { return no_connection() };
+        match read_whole(&mut response.body, MAX_ANSWER_BYTES, ANSWER_READ_TIMEOUT).await {
             Ok(body) => read_piece(&String::from_utf8_lossy(&body), self.adapter.as_ref()),
             Err(fault) => Input::Broken(format!("answer: {fault:?}")),
         }
@@ -152,11 +152,11 @@
         let allowed_ms = allowance.left(boot_now()).as_millis().max(1);
         attempt.extender =
             Some(AllowanceExtender::spawn(shared, &attempt.placement.address, &attempt_name, plan.limit, allowance));
-        let question = OutgoingRequest::with_json(Method::POST, "/v1/completions", &json!(engine_request))
+        let request = OutgoingRequest::with_json(Method::POST, "/v1/completions", &json!(engine_request))
             .header(ATTEMPT_HEADER, attempt_name)
             .header(WEIGHTS_HEADER, basis.weights.to_string())
             .header(LIMIT_HEADER, allowed_ms.to_string());
-        let question = with_adapter_header(question, basis.adapter.as_ref());
+        let request = with_adapter_header(request, basis.adapter.as_ref());
         let refusal = Arc::new(Mutex::new(None));
         let gate = {
             let (shared, refusal) = (Arc::clone(shared), Arc::clone(&refusal));
@@ -167,8 +167,8 @@
                 })
             })
         };
-        match stream.send_gated(question, gate).await {
-            Ok(replied) => self.read_head(replied).await,
+        match stream.send_gated(request, gate).await {
+            Ok(response) => self.read_head(response).await,
             Err(SendFault { reason, byte_left }) => match *refusal.lock().expect("no holder of this lock panics") {
                 Some(found) => Input::StartRefused(found),
                 None => Input::SendFault { byte_left, reason },
@@ -177,19 +177,19 @@
     }
 
     /// Reads the head of the engine's response: the answer begins, or the reason why it does not.
-    async fn read_head(&mut self, replied: IncomingResponse) -> Input {
-        if replied.status != StatusCode::OK {
-            return self.read_error(replied).await;
+    async fn read_head(&mut self, response: IncomingResponse) -> Input {
+        if response.status != StatusCode::OK {
+            return self.read_error(response).await;
         }
         if let Some(attempt) = self.attempt.as_mut() {
-            attempt.replied = Some(replied);
+            attempt.response = Some(response);
         }
         self.awaited = Awaited::Pieces;
         Input::Head { head: ResponseClass::Success, detail: String::new() }
     }
 
-    async fn read_error(&self, mut replied: IncomingResponse) -> Input {
-        let body = read_whole(&mut replied.body, MAX_ERROR_BYTES, ERROR_READ_TIMEOUT).await.unwrap_or_default();
+    async fn read_error(&self, mut response: IncomingResponse) -> Input {
+        let body = read_whole(&mut response.body, MAX_ERROR_BYTES, ERROR_READ_TIMEOUT).await.unwrap_or_default();
         let error_body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let error_type = error_body["error"]["type"].as_str().unwrap_or("");
         let head = match error_type {
@@ -200,7 +200,7 @@
         if error_type == ADAPTER_NOT_RESIDENT {
             self.report_cold_adapter();
         }
-        Input::Head { head, detail: format!("engine answered {} {error_type}", replied.status.as_u16()) }
+        Input::Head { head, detail: format!("engine answered {} {error_type}", response.status.as_u16()) }
     }
 
     /// Reads the next piece of the answer, or an answer that is not streamed.
@@ -249,10 +249,10 @@
 }
 
 /// Names the adapter that the prompt runs on in the request's headers.
-pub(super) fn with_adapter_header(question: OutgoingRequest, adapter: Option<&AdapterId>) -> OutgoingRequest {
+pub(super) fn with_adapter_header(request: OutgoingRequest, adapter: Option<&AdapterId>) -> OutgoingRequest {
     match adapter {
-        Some(adapter) => question.header(ADAPTER_HEADER, adapter.to_string()),
-        None => question,
+        Some(adapter) => request.header(ADAPTER_HEADER, adapter.to_string()),
+        None => request,
     }
 }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -5,6 +5,7 @@
 //! without a lease.
 
 mod allowance_extender;
+mod api_handler;
 mod demand;
 mod feed;
 mod followers;
@@ -14,7 +15,6 @@
 mod plan;
 pub mod prelude;
 mod recorder;
-mod request_site;
 mod router_roster;
 mod scheduler;
 mod shared_state;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -61,7 +61,7 @@
     let runtime = small_runtime(settings.whole("threads")? as usize).map_err(|fault| miette!("{fault}"))?;
     runtime.spawn(run_followers(Arc::clone(&shared), scheduler.clone()));
     runtime.spawn(report_demand(Arc::clone(&shared), Arc::clone(&coordinator), router, zone));
-    let request_site = Arc::new(RequestSite {
+    let api_handler = Arc::new(ApiHandler {
         router,
         shared: Arc::clone(&shared),
         scheduler,
@@ -70,7 +70,7 @@
         coordinator,
         recorder,
     });
-    runtime.spawn(serve(listener, request_site));
+    runtime.spawn(serve(listener, api_handler));
     let stop = Arc::new(tokio::sync::Notify::new());
     let stop_notice = Arc::clone(&stop);
     handle_signals(&PROGRAM, settings, logs, move || stop_notice.notify_one(), |_| {})?;
--- a/crates/router/src/plan.rs
+++ b/crates/router/src/plan.rs
@@ -204,27 +204,27 @@
 
 impl HeaderFields {
     /// Parses the headers.
-    pub fn read(asked: &IncomingRequest) -> Result<HeaderFields, Refusal> {
+    pub fn read(request: &IncomingRequest) -> Result<HeaderFields, Refusal> {
         let bad = |reason: &str| Refusal::new(StatusCode::BAD_REQUEST, "bad_request", reason);
-        let limit_ms = match asked.header("x-haremount-limit-ms") {
+        let limit_ms = match request.header("x-haremount-limit-ms") {
             None => None,
             Some(text) => Some(text.parse().map_err(|_| bad("x-haremount-limit-ms: not a whole number"))?),
         };
-        let repeatable = match asked.header("x-haremount-repeatable") {
+        let repeatable = match request.header("x-haremount-repeatable") {
             None => None,
             Some("true") => Some(true),
             Some("false") => Some(false),
             Some(_) => return Err(bad("x-haremount-repeatable: must be true or false")),
         };
-        let idempotency_key = asked.header("idempotency-key").map(str::to_owned);
+        let idempotency_key = request.header("idempotency-key").map(str::to_owned);
         if idempotency_key.as_ref().is_some_and(|key| key.is_empty() || key.len() > 256) {
             return Err(bad("idempotency-key: must have 1 to 256 characters"));
         }
         Ok(HeaderFields {
             idempotency_key,
-            resumes: asked.header("x-haremount-resume") == Some("true"),
-            key_hash: asked.bearer_token().map(sha256_hex),
-            kind: asked.header("x-haremount-kind").map(str::to_owned),
+            resumes: request.header("x-haremount-resume") == Some("true"),
+            key_hash: request.bearer_token().map(sha256_hex),
+            kind: request.header("x-haremount-kind").map(str::to_owned),
             limit_ms,
             repeatable,
         })
--- a/crates/router/src/prelude.rs
+++ b/crates/router/src/prelude.rs
@@ -1,6 +1,7 @@
 //! The items that every file of this crate, and programs that embed a router, import.
 
 pub use crate::allowance_extender::*;
+pub use crate::api_handler::*;
 pub use crate::demand::*;
 pub use crate::feed::*;
 pub use crate::followers::*;
@@ -9,7 +10,6 @@
 pub use crate::pieces::*;
 pub use crate::plan::*;
 pub use crate::recorder::*;
-pub use crate::request_site::*;
 pub use crate::router_roster::*;
 pub use crate::scheduler::*;
 pub use crate::shared_state::*;
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -163,9 +163,9 @@
         self.routers().iter().find(|listed| listed.router == router).map(|listed| listed.address.clone())
     }
 
-    /// Records that the renewal requested at `asked` was granted.
-    pub fn renew_lease(&self, asked: Instant, until: Instant) {
-        self.with_grants(|grants| grants.renew(asked, until));
+    /// Records that the renewal requested at `requested_at` was granted.
+    pub fn renew_lease(&self, requested_at: Instant, until: Instant) {
+        self.with_grants(|grants| grants.renew(requested_at, until));
     }
 
     /// Gives access to the grant tracker, then updates the end of the lease from it.
