--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -184,8 +184,8 @@
             Input::Node { node, message } => self.handle_node(node, message, now),
             Input::NodeDisconnected { node } => self.forget_node(node),
             Input::NotSent { node, messages } => self.roll_back(node, &messages),
-            Input::Query { ticket, question, limit } => self.start_query(ticket, question, limit, now),
-            Input::ListingRead { read, asked } => self.listing_check.record_reading(read, asked),
+            Input::Query { ticket, query, deadline } => self.start_query(ticket, query, deadline, now),
+            Input::ListingRead { read, requested_at } => self.listing_check.record_reading(read, requested_at),
             Input::Retire => self.retire(now),
             Input::HandOver(kind) => self.hand_over(kind, now),
             Input::Seeds(seeds) => self.settings.seeds = seeds,
@@ -274,7 +274,7 @@
             CoreMessage::DutyLeaseRequest { sent } => self.handle_duty_lease_request(from, sent, now),
             CoreMessage::DutyLeaseGranted { sent, duties } => self.handle_duty_lease_granted(from, sent, duties, now),
             CoreMessage::Submit(submission) => self.handle_submit(submission),
-            CoreMessage::Query { ticket, question } => self.handle_query(sender, ticket, question, now),
+            CoreMessage::Query { ticket, query } => self.handle_query(sender, ticket, query, now),
             CoreMessage::Outcome { ticket, outcome } => self.handle_outcome(ticket, outcome),
         }
     }
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -86,7 +86,8 @@
     #[serde(rename = "Ask")]
     Query {
         ticket: u64,
-        question: CoreQuery,
+        #[serde(rename = "question")]
+        query: CoreQuery,
     },
     Outcome {
         ticket: u64,
@@ -237,13 +238,13 @@
     },
     Query {
         ticket: u64,
-        question: CoreQuery,
-        limit: Instant,
+        query: CoreQuery,
+        deadline: Instant,
     },
-    /// The platform's listing as read by this keeper, or nothing if the read failed; `asked` is when the read began.
+    /// The platform's listing as read by this keeper, or nothing if the read failed; `requested_at` is when the read began.
     ListingRead {
         read: Option<(String, ListingNumber)>,
-        asked: Instant,
+        requested_at: Instant,
     },
     /// This keeper is stopping and appoints a successor for each of its duties.
     Retire,
--- a/crates/coordinator/src/queries.rs
+++ b/crates/coordinator/src/queries.rs
@@ -8,21 +8,21 @@
 /// A query that waits for its outcome.
 #[derive(Clone, Debug)]
 pub struct PendingQuery {
-    question: CoreQuery,
-    limit: Instant,
-    asked: Instant,
+    query: CoreQuery,
+    deadline: Instant,
+    sent_at: Instant,
 }
 
 impl Coordinator {
-    pub(crate) fn start_query(&mut self, ticket: u64, question: CoreQuery, limit: Instant, now: Instant) {
-        let pending = PendingQuery { question, limit, asked: now };
+    pub(crate) fn start_query(&mut self, ticket: u64, query: CoreQuery, deadline: Instant, now: Instant) {
+        let pending = PendingQuery { query, deadline, sent_at: now };
         self.send_query(ticket, &pending);
         self.pending_queries.insert(ticket, pending);
     }
 
     fn send_query(&mut self, ticket: u64, pending: &PendingQuery) {
         let (Some(head), Some(tail)) = (self.view.head(), self.view.tail()) else { return };
-        let tail_question = match &pending.question {
+        let tail_query = match &pending.query {
             CoreQuery::Submit(submission) => {
                 self.send(head, CoreMessage::Submit(submission.clone()));
                 CoreQuery::Settled {
@@ -32,17 +32,17 @@
             }
             other => other.clone(),
         };
-        self.send(tail, CoreMessage::Query { ticket, question: tail_question });
+        self.send(tail, CoreMessage::Query { ticket, query: tail_query });
     }
 
     pub(crate) fn retry_queries(&mut self, now: Instant) {
         let mut to_retry = Vec::new();
         let mut timed_out = Vec::new();
         for (ticket, pending) in self.pending_queries.iter_mut() {
-            if now >= pending.limit {
+            if now >= pending.deadline {
                 timed_out.push(*ticket);
-            } else if now.since(pending.asked) >= QUERY_RETRY_INTERVAL {
-                pending.asked = now;
+            } else if now.since(pending.sent_at) >= QUERY_RETRY_INTERVAL {
+                pending.sent_at = now;
                 to_retry.push((*ticket, pending.clone()));
             }
         }
@@ -61,12 +61,12 @@
     }
 
     /// Answers a keeper's query, as the tail.
-    pub(crate) fn handle_query(&mut self, from: KeeperIncarnation, ticket: u64, question: CoreQuery, now: Instant) {
+    pub(crate) fn handle_query(&mut self, from: KeeperIncarnation, ticket: u64, query: CoreQuery, now: Instant) {
         if !self.tail_is_active(now) {
             return;
         }
         let read_until = self.read_until();
-        let outcome = match question {
+        let outcome = match query {
             CoreQuery::Submit(_) => return,
             CoreQuery::Settled { request, fingerprint } => {
                 if let Some(tail) = self.tail.as_mut() {
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -121,15 +121,16 @@
         }
     }
 
-    /// Adopts the commit times of the member that served the catch-up. CommitAges count from when the request was sent, so
-    /// no time is later than the actual commit: the head numbered each record before it could be committed, or was in
+    /// Adopts the commit times of the member that served the catch-up. Ages count from when the request was sent, so no
+    /// time is later than the actual commit: the head numbered each record before it could be committed, or was in
     /// every chain since, and each member takes its times from its predecessor.
     fn take_ages(&mut self, ages: &CommitAges, nonce: u64) {
         self.clear_commit_times();
-        let Some(asked) = self.catch_up_request.filter(|(catch_up_nonce, _)| *catch_up_nonce == nonce) else {
+        let Some((_, requested_at)) = self.catch_up_request.filter(|(catch_up_nonce, _)| *catch_up_nonce == nonce)
+        else {
             return;
         };
-        let instant_at_age = |age: Span| Instant(asked.1.0.saturating_sub(age.0));
+        let instant_at_age = |age: Span| Instant(requested_at.0.saturating_sub(age.0));
         let last = self.log.last().edition;
         let records = ages.records.iter().filter(|(edition, _)| *edition <= last);
         self.committed_at = records.map(|(edition, age)| (*edition, instant_at_age(*age))).collect();
--- a/crates/coordinator/src/tail/listing_check.rs
+++ b/crates/coordinator/src/tail/listing_check.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ListingCheck {
     /// When the latest successful read began.
-    asked: Instant,
+    requested_at: Instant,
     newest: Option<(String, ListingNumber)>,
     /// When the latest failed read began.
     failed_at: Instant,
@@ -26,12 +26,12 @@
 }
 
 impl ListingCheck {
-    /// Records a read that began at `asked`; `read` is empty if the platform was unreachable.
-    pub(crate) fn record_reading(&mut self, read: Option<(String, ListingNumber)>, asked: Instant) {
+    /// Records a read that began at `requested_at`; `read` is empty if the platform was unreachable.
+    pub(crate) fn record_reading(&mut self, read: Option<(String, ListingNumber)>, requested_at: Instant) {
         match read {
-            None => self.failed_at = self.failed_at.max(asked),
-            Some((boot, number)) if asked >= self.asked => {
-                self.asked = asked;
+            None => self.failed_at = self.failed_at.max(requested_at),
+            Some((boot, number)) if requested_at >= self.requested_at => {
+                self.requested_at = requested_at;
                 self.newest = Some((boot, number));
             }
             Some(_) => {}
@@ -47,7 +47,7 @@
         let agrees =
             self.newest.as_ref().is_some_and(|(boot, number)| *boot == in_state.boot && *number <= in_state.number);
         if agrees && let Some((_, agreed)) = self.agreed.front_mut() {
-            *agreed = (*agreed).max(self.asked);
+            *agreed = (*agreed).max(self.requested_at);
         }
     }
 
@@ -55,7 +55,7 @@
     fn is_fresh(&self, applied: Edition, now: Instant) -> bool {
         let own_agreed = self.agreed.iter().find(|(edition, _)| applied >= *edition);
         let has_latest = self.agreed.front().is_some_and(|(edition, _)| applied >= *edition);
-        let platform_away = self.failed_at >= self.asked && now.since(self.failed_at) < MAX_FAILURE_AGE;
+        let platform_away = self.failed_at >= self.requested_at && now.since(self.failed_at) < MAX_FAILURE_AGE;
         own_agreed.is_some_and(|(_, agreed)| now.since(*agreed) < MAX_LISTING_AGE) || (has_latest && platform_away)
     }
 }
--- a/crates/coordinator/src/tail/settlements.rs
+++ b/crates/coordinator/src/tail/settlements.rs
@@ -30,11 +30,12 @@
 
 impl TailRole {
     /// Registers a keeper's query about a request, or refreshes the one registered.
-    pub(crate) fn await_settlement(&mut self, asked: PendingRequest) {
-        let is_same = |pending: &&mut PendingRequest| pending.from == asked.from && pending.ticket == asked.ticket;
+    pub(crate) fn await_settlement(&mut self, request: PendingRequest) {
+        let is_same =
+            |pending: &&mut PendingRequest| pending.from == request.from && pending.ticket == request.ticket;
         match self.pending.iter_mut().find(is_same) {
-            Some(pending) => pending.since = asked.since,
-            None => self.pending.push(asked),
+            Some(pending) => pending.since = request.since,
+            None => self.pending.push(request),
         }
     }
 
--- a/crates/coordinator/tests/addressing.rs
+++ b/crates/coordinator/tests/addressing.rs
@@ -79,9 +79,9 @@
 #[test]
 fn an_answer_to_an_earlier_incarnation_is_dropped() {
     let mut keeper = tail_with_incarnation(INCARNATION);
-    let question = CoreQuery::Configuration;
-    let (ticket, limit) = (5, START + Span::seconds(3));
-    keeper.step(Input::Query { ticket, question, limit }, START);
+    let query = CoreQuery::Configuration;
+    let (ticket, deadline) = (5, START + Span::seconds(3));
+    keeper.step(Input::Query { ticket, query, deadline }, START);
     let outcome = QueryOutcome::Configuration { revision: Revision(1), source: "old".into() };
     let answer = CoreMessage::Outcome { ticket, outcome };
     let earlier = KeeperIncarnation { id: ME, incarnation: INCARNATION - 1 };
@@ -133,7 +133,7 @@
         tail.step(input, START);
     }
     let requester = KeeperIncarnation { id: OTHER, incarnation: PEER_INCARNATION + 8 };
-    let message = CoreMessage::Query { ticket: 4, question: CoreQuery::Configuration };
+    let message = CoreMessage::Query { ticket: 4, query: CoreQuery::Configuration };
     let to = Some(tail.own_incarnation());
     let effects = tail.step(Input::Peer(Envelope { fleet: FleetId(1), from: requester, to, message }), START);
     let answered: Vec<Option<KeeperIncarnation>> = effects
--- a/crates/coordinator/tests/exhaustive.rs
+++ b/crates/coordinator/tests/exhaustive.rs
@@ -221,9 +221,9 @@
                 self.budget.changes -= 1;
                 let patch = format!(r#"{{"kinds":["k{number}"]}}"#);
                 let command = Command::Merge { base: None, patch };
-                let question = CoreQuery::Submit(Submission { request: RequestId(u64::from(number)), command });
-                let limit = self.now + Span::seconds(3);
-                self.feed(place, Input::Query { ticket: u64::from(number), question, limit })?;
+                let query = CoreQuery::Submit(Submission { request: RequestId(u64::from(number)), command });
+                let deadline = self.now + Span::seconds(3);
+                self.feed(place, Input::Query { ticket: u64::from(number), query, deadline })?;
             }
         }
         Ok(())
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -93,9 +93,9 @@
 
     fn submit(&mut self, number: u64) {
         let command = Command::Merge { base: None, patch: r#"{"kinds":["k"]}"#.into() };
-        let question = CoreQuery::Submit(Submission { request: RequestId(number), command });
-        let limit = self.now + Span::seconds(6);
-        self.feed(0, Input::Query { ticket: number, question, limit });
+        let query = CoreQuery::Submit(Submission { request: RequestId(number), command });
+        let deadline = self.now + Span::seconds(6);
+        self.feed(0, Input::Query { ticket: number, query, deadline });
     }
 
     fn view(&self) -> &View {
--- a/crates/coordinator/tests/levelling.rs
+++ b/crates/coordinator/tests/levelling.rs
@@ -44,11 +44,11 @@
 fn catch_up_nonce(keeper: &mut Coordinator) -> u64 {
     deliver_status(keeper, TAIL, START);
     let effects = keeper.step(Input::Tick, START);
-    let asked = sent_to(&effects, TAIL).into_iter().find_map(|message| match message {
+    let nonce = sent_to(&effects, TAIL).into_iter().find_map(|message| match message {
         CoreMessage::Chain(ChainMessage::Have { nonce, .. }) => Some(nonce),
         _ => None,
     });
-    asked.expect("it sends the request to the tail")
+    nonce.expect("it sends the request to the tail")
 }
 
 fn snapshot_of(keeper: &Coordinator, nonce: u64, edition: u64) -> Input {
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -74,8 +74,8 @@
     grant_read_lease(tail, now);
 }
 
-fn is_answered(tail: &mut Coordinator, question: CoreQuery, now: Instant) -> bool {
-    let message = CoreMessage::Query { ticket: 9, question };
+fn is_answered(tail: &mut Coordinator, query: CoreQuery, now: Instant) -> bool {
+    let message = CoreMessage::Query { ticket: 9, query };
     let input = from_keeper(tail, THIRD, message);
     let effects = tail.step(input, now);
     sent_to(&effects, THIRD).iter().any(|message| matches!(message, CoreMessage::Outcome { .. }))
@@ -126,8 +126,8 @@
         now = now + Span::millis(50);
         deliver_status(&mut tail, THIRD, now);
         let effects = tail.step(Input::Tick, now);
-        let asked = sent_to(&effects, THIRD);
-        proposes |= asked.iter().any(|message| matches!(message, CoreMessage::View(ViewMessage::Prepare { .. })));
+        let messages = sent_to(&effects, THIRD);
+        proposes |= messages.iter().any(|message| matches!(message, CoreMessage::View(ViewMessage::Prepare { .. })));
     }
     assert!(!tail.tail_is_active(now));
     assert!(proposes, "nobody proposes a view with the third keeper");
--- a/crates/keeper/src/executor.rs
+++ b/crates/keeper/src/executor.rs
@@ -16,10 +16,10 @@
         reply: oneshot::Sender<QueryOutcome>,
     },
     Seeds(Vec<String>),
-    /// The boot identity and number of the listing read, or `None` after a failed read that began at `asked`.
+    /// The boot identity and number of the listing read, or `None` after a failed read that began at `requested_at`.
     ListingRead {
         read: Option<(String, ListingNumber)>,
-        asked: Instant,
+        requested_at: Instant,
     },
     /// Hands a duty over to another keeper.
     HandOver(DutyKind),
@@ -144,15 +144,14 @@
                         self.replies.insert(ticket, reply);
                         let now = boot_now();
                         effects.extend(
-                            self.coordinator
-                                .step(Input::Query { ticket, question: query, limit: now + timeout }, now),
+                            self.coordinator.step(Input::Query { ticket, query, deadline: now + timeout }, now),
                         );
                     }
                     ExecutorCommand::Seeds(seeds) => {
                         effects.extend(self.coordinator.step(Input::Seeds(seeds), boot_now()))
                     }
-                    ExecutorCommand::ListingRead { read, asked } => {
-                        effects.extend(self.coordinator.step(Input::ListingRead { read, asked }, boot_now()));
+                    ExecutorCommand::ListingRead { read, requested_at } => {
+                        effects.extend(self.coordinator.step(Input::ListingRead { read, requested_at }, boot_now()));
                     }
                     ExecutorCommand::HandOver(kind) => {
                         effects.extend(self.coordinator.step(Input::HandOver(kind), boot_now()));
--- a/crates/keeper/src/listing_poller.rs
+++ b/crates/keeper/src/listing_poller.rs
@@ -35,7 +35,7 @@
     let mut was_reachable = true;
     loop {
         interval.tick().await;
-        let asked = boot_now();
+        let requested_at = boot_now();
         match read_listing(&platform, &known_tag).await {
             Ok(read) => {
                 health.last_read.store(boot_now().0 / 1_000_000, Ordering::Relaxed);
@@ -45,14 +45,14 @@
                     newest = Some(listing);
                 }
                 let read = newest.as_ref().map(|listing| (listing.boot.clone(), listing.number));
-                let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read, asked });
+                let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read, requested_at });
             }
             Err(reason) => {
                 if was_reachable {
                     event!(warn, "listing_unreachable", reason = reason);
                 }
                 was_reachable = false;
-                let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read: None, asked });
+                let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read: None, requested_at });
             }
         }
         let snapshot = latest_snapshot(&publisher);
--- a/crates/simulator/src/adapted.rs
+++ b/crates/simulator/src/adapted.rs
@@ -287,7 +287,7 @@
         self.next_ticket += 1;
         let (ticket, life) = (self.next_ticket, self.keepers[number].life);
         self.demand_asks.insert(ticket, (number, life));
-        let input = Input::Query { ticket, question: CoreQuery::Demand, limit: local_now + Span::seconds(2) };
+        let input = Input::Query { ticket, query: CoreQuery::Demand, deadline: local_now + Span::seconds(2) };
         self.later(Span::millis(1), SimEvent::KeeperInput { keeper: number, life: Some(life), input });
     }
 
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -260,7 +260,7 @@
     /// Asks under the ticket drawn last.
     fn ask(&mut self, number: usize, question: CoreQuery) {
         let limit = self.now + Span::seconds(3);
-        self.feed(number, Input::Query { ticket: self.next_ticket, question, limit }, false);
+        self.feed(number, Input::Query { ticket: self.next_ticket, query: question, deadline: limit }, false);
     }
 
     fn submit(&mut self) {
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -185,8 +185,10 @@
         if !coordinator.has_view() {
             return;
         }
-        let reading =
-            Input::ListingRead { read: Some(("p".into(), ListingNumber(self.listing_number))), asked: local_now };
+        let reading = Input::ListingRead {
+            read: Some(("p".into(), ListingNumber(self.listing_number))),
+            requested_at: local_now,
+        };
         let life = keeper.life;
         let reads_now = now.since(keeper.census_read) >= Span::millis(250);
         if reads_now {
@@ -346,7 +348,7 @@
         let ticket = self.next_ticket;
         self.asked.insert(ticket, AskedChange { request: submission.request, means });
         let limit = self.keepers[keeper].clock.read(self.now) + Span::seconds(8);
-        let input = Input::Query { ticket, question: CoreQuery::Submit(submission), limit };
+        let input = Input::Query { ticket, query: CoreQuery::Submit(submission), deadline: limit };
         let life = self.keepers[keeper].life;
         self.later(Span::millis(1), SimEvent::KeeperInput { keeper, life: Some(life), input });
     }
