--- a/crates/adapters/src/old_weights.rs
+++ b/crates/adapters/src/old_weights.rs
@@ -45,8 +45,8 @@
         model: &ModelName,
         moment: Instant,
     ) -> bool {
-        let standing = state.engine_statuses.get(engine);
-        let Some((weights, _)) = standing.and_then(|standing| standing.confirmed.as_ref()) else { return false };
+        let status = state.engine_statuses.get(engine);
+        let Some((weights, _)) = status.and_then(|status| status.confirmed.as_ref()) else { return false };
         let is_wanted = state.desired.models.get(model).is_some_and(|wish| wish.weights == *weights);
         let since = self.superseded_at(model, *weights).or(self.first_seen).unwrap_or(moment);
         is_wanted || moment.since(since) < OLD_WEIGHTS_SPAN
--- a/crates/adapters/src/pool.rs
+++ b/crates/adapters/src/pool.rs
@@ -64,13 +64,13 @@
 
 /// Whether an engine is listed as open, confirmed, and neither drained nor closed for new weights.
 pub(crate) fn serves(state: &FleetState, name: &EngineName, listed: &ListedEngine) -> bool {
-    let standing = state.engine_statuses.get(name);
-    let is_confirmed = standing.is_some_and(|standing| standing.confirmed.is_some() && !standing.closed);
+    let status = state.engine_statuses.get(name);
+    let is_confirmed = status.is_some_and(|status| status.confirmed.is_some() && !status.closed);
     listed.listed == Listed::Open && is_confirmed && !state.drained.contains(name)
 }
 
 fn is_outdated(state: &FleetState, name: &EngineName, wanted: WeightsEdition) -> bool {
-    let confirmed = state.engine_statuses.get(name).and_then(|standing| standing.confirmed.as_ref());
+    let confirmed = state.engine_statuses.get(name).and_then(|status| status.confirmed.as_ref());
     confirmed.is_some_and(|(weights, _)| *weights != wanted)
 }
 
--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -59,12 +59,12 @@
         let listing = names.iter().enumerate().map(|(number, name)| (name.clone(), listed(number))).collect();
         submit(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines: listing }));
         for name in &names {
-            let standing = EngineStatus {
+            let status = EngineStatus {
                 confirmed: Some((WeightsEdition(1), "x".into())),
                 closed: false,
                 ..EngineStatus::default()
             };
-            state.engine_statuses.insert(name.clone(), standing);
+            state.engine_statuses.insert(name.clone(), status);
         }
         let empty = || SimEngine { up: true, boot: 1, resident: BTreeSet::new(), loading: BTreeMap::new() };
         Fleet {
@@ -389,14 +389,14 @@
     for _ in 0..300 {
         let seen = fleet.seen();
         for name in &names {
-            let standing = fleet.state.engine_statuses[name].clone();
-            let is_done = standing.confirmed == Some((WeightsEdition(2), "x".into()));
-            if is_done || standing.closed {
+            let status = fleet.state.engine_statuses[name].clone();
+            let is_done = status.confirmed == Some((WeightsEdition(2), "x".into()));
+            if is_done || status.closed {
                 continue;
             }
-            let closed = fleet.state.engine_statuses.values().filter(|standing| standing.closed).count();
+            let closed = fleet.state.engine_statuses.values().filter(|status| status.closed).count();
             if closed < 4 && fleet.planner.closings.may_close(&fleet.state, &seen, name, fleet.now) {
-                fleet.state.engine_statuses.insert(name.clone(), EngineStatus { closed: true, ..standing });
+                fleet.state.engine_statuses.insert(name.clone(), EngineStatus { closed: true, ..status });
                 loads_until.insert(name.clone(), fleet.steps + 3);
             }
         }
@@ -417,10 +417,10 @@
             assert!(serving.count() > 0, "{adapter} is served nowhere");
         }
     }
-    assert!(fleet.state.engine_statuses.values().all(|standing| !standing.closed));
+    assert!(fleet.state.engine_statuses.values().all(|status| !status.closed));
     let confirmed = Some((WeightsEdition(2), "x".to_owned()));
     assert!(
-        fleet.state.engine_statuses.values().all(|standing| standing.confirmed == confirmed),
+        fleet.state.engine_statuses.values().all(|status| status.confirmed == confirmed),
         "all engines hold the new weights"
     );
 }
--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -146,12 +146,12 @@
         let engines = [("e".into(), listed)].into();
         let listing = Listing { boot: "b".into(), number: ListingNumber(1), engines };
         state.apply(&Submission { request: RequestId(2), command: Command::List(listing) });
-        let standing = EngineStatus {
+        let status = EngineStatus {
             confirmed: Some((WeightsEdition(1), "b".into())),
             closed: false,
             ..EngineStatus::default()
         };
-        state.engine_statuses.insert("e".into(), standing);
+        state.engine_statuses.insert("e".into(), status);
         let copy = AdapterCopy { adapter: AdapterId::new("x", 1), stage: CopyStage::Warm { boot: "b".into() } };
         state.adapters.copies.insert("e".into(), vec![copy]);
         state
--- a/crates/conductor/src/actions.rs
+++ b/crates/conductor/src/actions.rs
@@ -23,8 +23,8 @@
 /// An action that the conductor requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConductorAction {
-    /// Put the engine's standing into the fleet state.
-    SetStanding { engine: EngineName, standing: EngineStatus },
+    /// Put the engine's status into the fleet state.
+    SetEngineStatus { engine: EngineName, status: EngineStatus },
     /// Order the engine to load weights.
     Load { engine: EngineName, address: String, weights: WeightsEdition },
     /// Order the engine to accept requests.
@@ -56,8 +56,7 @@
         observed: &BTreeMap<EngineName, EngineObservation>,
         now: Instant,
     ) -> Vec<ConductorAction> {
-        self.closed_since
-            .retain(|engine, _| state.engine_statuses.get(engine).is_some_and(|standing| standing.closed));
+        self.closed_since.retain(|engine, _| state.engine_statuses.get(engine).is_some_and(|status| status.closed));
         let mut slots = close_slots(state, observed, now);
         let mut actions = Vec::new();
         for (engine, listed) in &state.listing.engines {
@@ -116,7 +115,7 @@
         slots: &mut CloseSlots,
         now: Instant,
     ) -> Option<ConductorAction> {
-        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
+        let status = state.engine_statuses.get(engine).cloned().unwrap_or_default();
         let address = listed.address.clone();
         if seen.weights == wanted {
             if !seen.accepting {
@@ -127,17 +126,17 @@
                 closed: false,
                 ..EngineStatus::default()
             };
-            return (standing != confirmed)
-                .then(|| ConductorAction::SetStanding { engine: engine.clone(), standing: confirmed });
+            return (status != confirmed)
+                .then(|| ConductorAction::SetEngineStatus { engine: engine.clone(), status: confirmed });
         }
-        let is_in_use = standing.confirmed.is_some() && !standing.closed;
+        let is_in_use = status.confirmed.is_some() && !status.closed;
         if is_in_use {
             if !state.drained.contains(engine) {
                 let slots_left = slots.get_mut(&(listed.model.clone(), listed.role))?;
                 *slots_left = slots_left.checked_sub(1)?;
             }
-            let closed = EngineStatus { closed: true, ..standing };
-            return Some(ConductorAction::SetStanding { engine: engine.clone(), standing: closed });
+            let closed = EngineStatus { closed: true, ..status };
+            return Some(ConductorAction::SetEngineStatus { engine: engine.clone(), status: closed });
         }
         let since = *self.closed_since.entry(engine.clone()).or_insert(now);
         let may_load = seen.running == 0 || now.since(since) >= DRAIN_LIMIT;
@@ -155,11 +154,11 @@
     for (engine, listed) in &state.listing.engines {
         let is_seen = observed.get(engine).is_some_and(|seen| now.since(seen.at) < OBSERVATION_LIFETIME);
         let is_open = listed.listed == Listed::Open && !state.drained.contains(engine);
-        let standing = state.engine_statuses.get(engine).filter(|standing| standing.confirmed.is_some());
-        let Some(standing) = standing.filter(|_| is_seen && is_open) else { continue };
+        let status = state.engine_statuses.get(engine).filter(|status| status.confirmed.is_some());
+        let Some(status) = status.filter(|_| is_seen && is_open) else { continue };
         let (serving, closed) = counts.entry((listed.model.clone(), listed.role)).or_default();
         *serving += 1;
-        *closed += usize::from(standing.closed);
+        *closed += usize::from(status.closed);
     }
     let slots = counts.into_iter().map(|(key, (serving, closed))| {
         let max_closed = usize::max(serving / 2, 1);
@@ -183,10 +182,10 @@
             .iter()
             .filter(|(_, listed)| listed.model == *model && listed.listed == Listed::Open)
             .all(|(engine, _)| {
-                let standing = state.engine_statuses.get(engine);
-                let confirmed = standing.and_then(|standing| standing.confirmed.as_ref());
+                let status = state.engine_statuses.get(engine);
+                let confirmed = status.and_then(|status| status.confirmed.as_ref());
                 confirmed.is_some_and(|(edition, _)| edition >= weights)
-                    && standing.is_some_and(|standing| !standing.closed)
+                    && status.is_some_and(|status| !status.closed)
             }),
         Step::WaitIdle { engine } => {
             let is_gone = !state.listing.engines.contains_key(engine);
@@ -214,18 +213,18 @@
     ) -> usize {
         for round in 1..100 {
             let actions = conductor.next_actions(state, engines, Instant(0));
-            let closed_count = state.engine_statuses.values().filter(|standing| standing.closed).count();
+            let closed_count = state.engine_statuses.values().filter(|status| status.closed).count();
             assert!(closed_count <= engines.len() / 2, "no more than half closed at a time");
             if actions.is_empty() {
                 return round;
             }
             for action in actions {
                 match action {
-                    ConductorAction::SetStanding { engine, standing } => {
-                        state.engine_statuses.insert(engine, standing);
+                    ConductorAction::SetEngineStatus { engine, status } => {
+                        state.engine_statuses.insert(engine, status);
                     }
                     ConductorAction::Load { engine, weights, .. } => {
-                        let confirmed = state.engine_statuses.get(&engine).is_some_and(|standing| !standing.closed);
+                        let confirmed = state.engine_statuses.get(&engine).is_some_and(|status| !status.closed);
                         assert!(!confirmed, "only a closed engine is loaded");
                         engines.get_mut(&engine).unwrap().weights = weights;
                     }
@@ -253,7 +252,7 @@
         let closed: Vec<&str> = actions
             .iter()
             .filter_map(|action| match action {
-                ConductorAction::SetStanding { engine, standing } if standing.closed => Some(engine.as_str()),
+                ConductorAction::SetEngineStatus { engine, status } if status.closed => Some(engine.as_str()),
                 _ => None,
             })
             .collect();
@@ -266,9 +265,9 @@
         let mut conductor = Conductor::default();
         apply(&mut state, Command::Merge { base: None, patch: r#"{"models":{"m":{"weights":2}}}"#.into() });
         play(&mut state, &mut observations, &mut conductor);
-        for standing in state.engine_statuses.values() {
-            assert_eq!(standing.confirmed, Some((WeightsEdition(2), "x".to_owned())));
-            assert!(!standing.closed);
+        for status in state.engine_statuses.values() {
+            assert_eq!(status.confirmed, Some((WeightsEdition(2), "x".to_owned())));
+            assert!(!status.closed);
         }
     }
 
@@ -298,7 +297,7 @@
             engine_names.iter().map(|name| (name.clone(), observed.clone())).collect();
         let mut conductor = Conductor::default();
         play(&mut state, &mut observations, &mut conductor);
-        assert!(state.engine_statuses.values().all(|standing| standing.confirmed.is_some()));
+        assert!(state.engine_statuses.values().all(|status| status.confirmed.is_some()));
         (state, observations)
     }
 }
--- a/crates/conductor/src/rollout.rs
+++ b/crates/conductor/src/rollout.rs
@@ -50,8 +50,8 @@
 /// A step of the rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutStep {
-    /// Put the engine's standing into the fleet state.
-    SetStanding { engine: EngineName, standing: EngineStatus },
+    /// Put the engine's status into the fleet state.
+    SetEngineStatus { engine: EngineName, status: EngineStatus },
     /// Order the engine to load weights.
     Order { engine: EngineName, address: String, model: ModelName, weights: WeightsEdition },
     /// Order the engine out of turn, only if requests wait there.
@@ -179,19 +179,19 @@
         slots: &mut Slots,
         now: Instant,
     ) -> Option<RolloutStep> {
-        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
-        let Some(load) = self.next_load(state, engine, listed, &standing) else {
-            if !standing.closed {
+        let status = state.engine_statuses.get(engine).cloned().unwrap_or_default();
+        let Some(load) = self.next_load(state, engine, listed, &status) else {
+            if !status.closed {
                 self.progress.remove(engine);
                 return None;
             }
-            let opened = self.opened(engine, listed, &standing);
-            return Some(RolloutStep::SetStanding { engine: engine.clone(), standing: opened });
+            let opened = self.opened(engine, listed, &status);
+            return Some(RolloutStep::SetEngineStatus { engine: engine.clone(), status: opened });
         };
-        let held = self.held(engine, listed, &standing, &load.model);
+        let held = self.held(engine, listed, &status, &load.model);
         let expedite_from = self.expedite_from(&load.model, held);
         let is_expedited = expedite_from.is_some_and(|from| now >= from);
-        if !standing.closed {
+        if !status.closed {
             if let Some(from) = expedite_from.filter(|_| !is_expedited) {
                 self.note_due(from);
             }
@@ -203,8 +203,8 @@
             if !has_slot && !is_expedited {
                 return None;
             }
-            let closed = EngineStatus { closed: true, ..standing };
-            return Some(RolloutStep::SetStanding { engine: engine.clone(), standing: closed });
+            let closed = EngineStatus { closed: true, ..status };
+            return Some(RolloutStep::SetEngineStatus { engine: engine.clone(), status: closed });
         }
         let fresh_progress = Progress { not_before: now + CLOSE_PAUSE, ..Progress::default() };
         let progress = self.progress.entry(engine.clone()).or_insert(fresh_progress);
@@ -250,9 +250,9 @@
         listed: &ListedEngine,
         now: Instant,
     ) -> Option<RolloutStep> {
-        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
-        let load = self.next_load(state, engine, listed, &standing)?;
-        let held = self.held(engine, listed, &standing, &load.model);
+        let status = state.engine_statuses.get(engine).cloned().unwrap_or_default();
+        let load = self.next_load(state, engine, listed, &status)?;
+        let held = self.held(engine, listed, &status, &load.model);
         let from = self.expedite_from(&load.model, held)?;
         let progress = self.progress.entry(engine.clone()).or_default();
         if progress.ordered.as_ref() == Some(&load) {
@@ -281,11 +281,11 @@
         state: &FleetState,
         engine: &EngineName,
         listed: &ListedEngine,
-        standing: &EngineStatus,
+        status: &EngineStatus,
     ) -> Option<Load> {
         listed.models().find_map(|model| {
             let wanted = state.desired.models.get(model)?.weights;
-            let is_behind = self.held(engine, listed, standing, model) < wanted;
+            let is_behind = self.held(engine, listed, status, model) < wanted;
             is_behind.then(|| Load { model: model.clone(), weights: wanted })
         })
     }
@@ -296,16 +296,16 @@
         &self,
         engine: &EngineName,
         listed: &ListedEngine,
-        standing: &EngineStatus,
+        status: &EngineStatus,
         model: &ModelName,
     ) -> WeightsEdition {
         let reported = self.progress.get(engine).and_then(|progress| progress.reported.get(model)).copied();
-        standing.held_weights(listed, model).max(reported).unwrap_or_default()
+        status.held_weights(listed, model).max(reported).unwrap_or_default()
     }
 
-    /// The standing of an engine that holds the wanted weights of all its models.
-    fn opened(&self, engine: &EngineName, listed: &ListedEngine, standing: &EngineStatus) -> EngineStatus {
-        let held = |model| self.held(engine, listed, standing, model);
+    /// The status of an engine that holds the wanted weights of all its models.
+    fn opened(&self, engine: &EngineName, listed: &ListedEngine, status: &EngineStatus) -> EngineStatus {
+        let held = |model| self.held(engine, listed, status, model);
         let further = listed.further_models.keys().map(|model| (model.clone(), held(model)));
         EngineStatus {
             confirmed: Some((held(&listed.model), engine.0.clone())),
@@ -370,7 +370,7 @@
             let is_unresponsive = progress.is_some_and(|progress| progress.faults > MAX_FAULTS);
             *all += 1;
             if !is_unresponsive {
-                *closed += usize::from(state.engine_statuses.get(engine).is_some_and(|standing| standing.closed));
+                *closed += usize::from(state.engine_statuses.get(engine).is_some_and(|status| status.closed));
                 *loading += usize::from(progress.is_some_and(|progress| progress.ordered.is_some()));
             }
         }
--- a/crates/conductor/tests/bringing.rs
+++ b/crates/conductor/tests/bringing.rs
@@ -54,8 +54,8 @@
     for now in (0..60_000).step_by(10) {
         for step in rollout.next_steps(&state, true, at(now)) {
             match step {
-                RolloutStep::SetStanding { engine, standing } => {
-                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
+                RolloutStep::SetEngineStatus { engine, status } => {
+                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status });
                 }
                 RolloutStep::Order { engine, weights, .. } => {
                     assert_eq!(weights, WeightsEdition(2));
@@ -83,13 +83,13 @@
         }
         let loading = ready_at.iter().flatten().filter(|ready| **ready > now).count();
         assert!(loading <= ENGINES / 6, "{loading} load at once");
-        let serving = state.engine_statuses.values().filter(|standing| standing.closed).count();
+        let serving = state.engine_statuses.values().filter(|status| status.closed).count();
         assert!(serving <= ENGINES / 6 + 1 + dead.len(), "{serving} are closed at once");
         let done = (0..ENGINES).filter(|number| !dead.contains(number)).all(|number| {
             state
                 .engine_statuses
                 .get(&name(number))
-                .is_some_and(|standing| !standing.closed && standing.confirmed.is_some())
+                .is_some_and(|status| !status.closed && status.confirmed.is_some())
         });
         if done {
             return (state, now, queries);
@@ -116,15 +116,15 @@
 fn weights_shown_in_the_listing_open_an_engine_without_a_query() {
     let mut state = fleet();
     name_new_weights(&mut state);
-    let standing = EngineStatus { confirmed: None, closed: true, ..EngineStatus::default() };
-    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine: name(0), status: standing });
+    let status = EngineStatus { confirmed: None, closed: true, ..EngineStatus::default() };
+    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine: name(0), status });
     let mut engines = state.listing.engines.clone();
     engines.insert(name(0), listed(2));
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
     let steps = WeightsRollout::default().next_steps(&state, true, at(0));
     let opened =
         EngineStatus { confirmed: Some((WeightsEdition(2), "e00".into())), closed: false, ..EngineStatus::default() };
-    assert!(steps.contains(&RolloutStep::SetStanding { engine: name(0), standing: opened }), "{steps:?}");
+    assert!(steps.contains(&RolloutStep::SetEngineStatus { engine: name(0), status: opened }), "{steps:?}");
 }
 
 #[test]
@@ -138,7 +138,7 @@
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
     let steps = WeightsRollout::default().next_steps(&state, true, at(0));
     assert_eq!(steps.len(), 1, "one of the two left at a time: {steps:?}");
-    assert!(matches!(&steps[0], RolloutStep::SetStanding { engine, .. } if *engine == name(16)));
+    assert!(matches!(&steps[0], RolloutStep::SetEngineStatus { engine, .. } if *engine == name(16)));
 }
 
 #[test]
@@ -146,15 +146,17 @@
     let mut state = fleet();
     name_new_weights(&mut state);
     for number in [0, 1] {
-        let standing = EngineStatus { confirmed: None, closed: true, ..EngineStatus::default() };
-        apply(&mut state, Command::SetEngineStatus { term: Term(1), engine: name(number), status: standing });
+        let status = EngineStatus { confirmed: None, closed: true, ..EngineStatus::default() };
+        apply(&mut state, Command::SetEngineStatus { term: Term(1), engine: name(number), status });
     }
     let mut engines = state.listing.engines.clone();
     engines.insert(name(0), listed(2));
     apply(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(2), engines }));
     let mut rollout = WeightsRollout::default();
     let steps = [rollout.next_steps(&state, false, at(0)), rollout.next_steps(&state, false, at(1000))].concat();
-    assert!(steps.iter().any(|step| matches!(step, RolloutStep::SetStanding { engine, .. } if *engine == name(0))));
+    assert!(
+        steps.iter().any(|step| matches!(step, RolloutStep::SetEngineStatus { engine, .. } if *engine == name(0)))
+    );
     assert!(!steps.iter().any(|step| matches!(step, RolloutStep::Order { .. })), "{steps:?}");
     let steps = rollout.next_steps(&state, true, at(1001));
     assert!(steps.iter().any(|step| matches!(step, RolloutStep::Order { engine, .. } if *engine == name(1))));
@@ -173,9 +175,9 @@
     assert_eq!(rollout.next_due(), Some(at(14_500)));
 
     for step in rollout.next_steps(&state, true, at(14_500)) {
-        let RolloutStep::SetStanding { engine, standing } = step else { panic!("{step:?}") };
-        assert!(standing.closed);
-        apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
+        let RolloutStep::SetEngineStatus { engine, status } = step else { panic!("{step:?}") };
+        assert!(status.closed);
+        apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status });
     }
     assert!((0..ENGINES).all(|number| state.engine_statuses[&name(number)].closed));
     assert!(rollout.next_steps(&state, true, at(14_500)).is_empty(), "routers must learn of the closing first");
@@ -219,8 +221,8 @@
         }
         for step in rollout.next_steps(&state, true, at(now)) {
             match step {
-                RolloutStep::SetStanding { engine, standing } => {
-                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
+                RolloutStep::SetEngineStatus { engine, status } => {
+                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status });
                 }
                 RolloutStep::Order { engine, weights, .. } => {
                     let number: usize = engine.as_str()[1..].parse().unwrap();
@@ -238,8 +240,8 @@
                 }
             }
         }
-        let confirmed = |standing: &EngineStatus| standing.confirmed.as_ref().map(|(weights, _)| weights.0);
-        let is_done = |standing: &EngineStatus| !standing.closed && confirmed(standing) == Some(3);
+        let confirmed = |status: &EngineStatus| status.confirmed.as_ref().map(|(weights, _)| weights.0);
+        let is_done = |status: &EngineStatus| !status.closed && confirmed(status) == Some(3);
         if state.engine_statuses.len() == ENGINES && state.engine_statuses.values().all(is_done) {
             assert!(now < 18_000, "took {now} ms");
             return;
@@ -300,7 +302,7 @@
     assert!(!closings.is_empty());
     for step in closings {
         assert!(
-            matches!(step, RolloutStep::SetStanding { standing: EngineStatus { closed: true, .. }, .. }),
+            matches!(step, RolloutStep::SetEngineStatus { status: EngineStatus { closed: true, .. }, .. }),
             "{step:?}"
         );
     }
@@ -312,7 +314,7 @@
     name_new_weights(&mut state);
     let closed_count = |rollout: &mut WeightsRollout, state: &FleetState, now: u64| {
         let steps = rollout.next_steps(state, true, at(now));
-        steps.iter().filter(|step| matches!(step, RolloutStep::SetStanding { .. })).count()
+        steps.iter().filter(|step| matches!(step, RolloutStep::SetEngineStatus { .. })).count()
     };
     let mut rollout = WeightsRollout::expediting_after(Span::millis(10_000));
     let in_turn = closed_count(&mut rollout, &state, 0);
--- a/crates/conductor/tests/several_models.rs
+++ b/crates/conductor/tests/several_models.rs
@@ -54,8 +54,8 @@
     for now in (0..60_000).step_by(10) {
         for step in rollout.next_steps(state, true, at(now)) {
             match step {
-                RolloutStep::SetStanding { engine, standing } => {
-                    apply(state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
+                RolloutStep::SetEngineStatus { engine, status } => {
+                    apply(state, Command::SetEngineStatus { term: Term(1), engine, status });
                 }
                 RolloutStep::Order { engine, model, weights, .. } => {
                     assert!(state.engine_statuses[&engine].closed, "only a closed engine is ordered");
@@ -77,7 +77,7 @@
         }
         let under_way = ordered.iter().flatten().filter(|loading| loading.ready_at > now).count();
         assert!(under_way <= ENGINES / 6, "{under_way} load at once");
-        let closed = state.engine_statuses.values().filter(|standing| standing.closed).count();
+        let closed = state.engine_statuses.values().filter(|status| status.closed).count();
         if closed == 0 && rollout.next_steps(state, true, at(now)).is_empty() {
             return (ordered, now);
         }
@@ -93,9 +93,9 @@
     for (number, orders) in ordered.iter().enumerate() {
         let [only] = &orders[..] else { panic!("{orders:?}") };
         assert_eq!((only.model.as_str(), only.weights), ("m1", WeightsEdition(2)));
-        let (standing, listed) = (&state.engine_statuses[&name(number)], &state.listing.engines[&name(number)]);
-        assert_eq!(standing.held_weights(listed, &"m1".into()), Some(WeightsEdition(2)));
-        assert_eq!(standing.held_weights(listed, &"m0".into()), Some(WeightsEdition(1)));
+        let (status, listed) = (&state.engine_statuses[&name(number)], &state.listing.engines[&name(number)]);
+        assert_eq!(status.held_weights(listed, &"m1".into()), Some(WeightsEdition(2)));
+        assert_eq!(status.held_weights(listed, &"m0".into()), Some(WeightsEdition(1)));
     }
 }
 
--- a/crates/conductor/tests/without_models.rs
+++ b/crates/conductor/tests/without_models.rs
@@ -41,9 +41,9 @@
         let now = Instant(0) + Span::millis(millis);
         for step in rollout.next_steps(&state, true, now) {
             match step {
-                RolloutStep::SetStanding { engine, standing } => {
-                    assert!(engine.as_str().starts_with("pool"), "{engine} {standing:?}");
-                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status: standing });
+                RolloutStep::SetEngineStatus { engine, status } => {
+                    assert!(engine.as_str().starts_with("pool"), "{engine} {status:?}");
+                    apply(&mut state, Command::SetEngineStatus { term: Term(1), engine, status });
                 }
                 RolloutStep::Order { engine, .. } | RolloutStep::OrderIfWaiting { engine, .. } => {
                     assert!(engine.as_str().starts_with("pool"), "{engine} is ordered");
@@ -56,8 +56,8 @@
             }
         }
     }
-    let is_closed = |engine: &EngineName| state.engine_statuses.get(engine).is_some_and(|standing| standing.closed);
-    let confirmed = state.engine_statuses.values().filter(|standing| standing.confirmed.is_some()).count();
+    let is_closed = |engine: &EngineName| state.engine_statuses.get(engine).is_some_and(|status| status.closed);
+    let confirmed = state.engine_statuses.values().filter(|status| status.confirmed.is_some()).count();
     assert_eq!(confirmed, ENGINES_OF_EACH, "all engines of the pool hold confirmed weights");
     assert!(!state.listing.engines.keys().any(is_closed));
 }
--- a/crates/keeper/src/conductor_duty.rs
+++ b/crates/keeper/src/conductor_duty.rs
@@ -60,7 +60,7 @@
         }
         for action in conductor.next_actions(&snapshot.state, &observations.conductor, boot_now()) {
             match action {
-                ConductorAction::SetStanding { engine, standing: status }
+                ConductorAction::SetEngineStatus { engine, status }
                     if status.closed
                         && !planner.closings.may_close(
                             &snapshot.state,
@@ -71,7 +71,7 @@
                 {
                     event!(debug, "engine_waits", engine = engine, reason = "it holds the last copy of an adapter");
                 }
-                ConductorAction::SetStanding { engine, standing: status } => {
+                ConductorAction::SetEngineStatus { engine, status } => {
                     event!(info, "engine_stands", engine = engine, closed = status.closed, term = term);
                     let key = engine.clone();
                     submit_once(&executor, &mut in_flight, key, Command::SetEngineStatus { term, engine, status });
--- a/crates/keeper/src/weights_orders.rs
+++ b/crates/keeper/src/weights_orders.rs
@@ -48,7 +48,7 @@
                 for step in rollout.next_steps(&snapshot.state, may_order, now) {
                     let engine = engine_of(&step).clone();
                     match step {
-                        RolloutStep::SetStanding { engine, standing: status } => {
+                        RolloutStep::SetEngineStatus { engine, status } => {
                             if status_updates.insert(engine.clone()) {
                                 event!(info, "engine_stands", engine = engine, closed = status.closed, term = term);
                                 let command = Command::SetEngineStatus { term, engine: engine.clone(), status };
@@ -116,7 +116,7 @@
 
 fn engine_of(step: &RolloutStep) -> &EngineName {
     match step {
-        RolloutStep::SetStanding { engine, .. }
+        RolloutStep::SetEngineStatus { engine, .. }
         | RolloutStep::Order { engine, .. }
         | RolloutStep::OrderIfWaiting { engine, .. }
         | RolloutStep::QueryWeights { engine, .. } => engine,
--- a/crates/placement/src/fetch.rs
+++ b/crates/placement/src/fetch.rs
@@ -78,7 +78,7 @@
             .filter(|(engine, listed)| **engine != chosen.engine && listed.listed == Listed::Open)
             .filter(|(engine, _)| {
                 let confirmed =
-                    snapshot.state.engine_statuses.get(*engine).and_then(|standing| standing.confirmed.as_ref());
+                    snapshot.state.engine_statuses.get(*engine).and_then(|status| status.confirmed.as_ref());
                 confirmed.is_some_and(|(weights, _)| *weights == chosen.weights)
             })
             .filter_map(|(engine, listed)| {
--- a/crates/placement/src/fleet_snapshot.rs
+++ b/crates/placement/src/fleet_snapshot.rs
@@ -157,7 +157,7 @@
         let listed = self.state.listing.engines.get(engine).filter(|listed| listed.listed == Listed::Open)?;
         let service = self.state.desired.services.get(&listed.service)?;
         let has_no_models = service.is_without_models() && !listed.has_model();
-        let is_closed = self.state.engine_statuses.get(engine).is_some_and(|standing| standing.closed);
+        let is_closed = self.state.engine_statuses.get(engine).is_some_and(|status| status.closed);
         let may_serve = has_no_models && !is_closed && !self.state.drained.contains(engine);
         may_serve.then_some(NO_WEIGHTS)
     }
@@ -200,11 +200,11 @@
         now: Instant,
     ) -> Option<WeightsEdition> {
         let unknown = EngineStatus::default();
-        let standing = self.state.engine_statuses.get(engine).unwrap_or(&unknown);
-        if self.state.drained.contains(engine) || standing.closed || !listed.serves(model) {
+        let status = self.state.engine_statuses.get(engine).unwrap_or(&unknown);
+        if self.state.drained.contains(engine) || status.closed || !listed.serves(model) {
             return None;
         }
-        let held = standing.held_weights(listed, model)?;
+        let held = status.held_weights(listed, model)?;
         let wanted = self.state.desired.models.get(model)?.weights;
         let may_use = held == wanted || now < self.old_weights_until(model, held);
         may_use.then_some(held)
--- a/crates/placement/tests/picker.rs
+++ b/crates/placement/tests/picker.rs
@@ -29,12 +29,12 @@
     let engines = engine_names.iter().map(|name| ((*name).into(), listed.clone())).collect();
     submit(Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines }));
     for name in engine_names {
-        let standing = EngineStatus {
+        let status = EngineStatus {
             confirmed: Some((WeightsEdition(1), "x".into())),
             closed: false,
             ..EngineStatus::default()
         };
-        state.engine_statuses.insert((*name).into(), standing);
+        state.engine_statuses.insert((*name).into(), status);
     }
     FleetSnapshot::default().after_change(state, None, NOW)
 }
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -267,9 +267,9 @@
         let acts = self.keepers[number].conductor.next_actions(state, &observed, local_now);
         for act in acts {
             match act {
-                ConductorAction::SetStanding { engine, standing }
+                ConductorAction::SetEngineStatus { engine, status: standing }
                     if standing.closed && !self.may_close(number, state, &engine) => {}
-                ConductorAction::SetStanding { engine, standing } => {
+                ConductorAction::SetEngineStatus { engine, status: standing } => {
                     let now = self.now;
                     let waits = self.keepers[number].submitted.get(&engine).is_some_and(|until| now < *until);
                     if waits {
