--- a/crates/adapters/src/demand.rs
+++ b/crates/adapters/src/demand.rs
@@ -37,8 +37,8 @@
 
 impl DemandTracker {
     /// Records reports; only the latest of each router is kept.
-    pub fn record(&mut self, heard: Vec<HeardDemand>, now: Instant) {
-        for HeardDemand { report, age } in heard {
+    pub fn record(&mut self, reports: Vec<HeardDemand>, now: Instant) {
+        for HeardDemand { report, age } in reports {
             let sent = Instant(now.0.saturating_sub(age.0));
             let is_newer = self.reports.get(&report.router).is_none_or(|(_, known)| *known < sent);
             if is_newer {
@@ -87,19 +87,19 @@
     }
 
     /// How many copies a region needs for its load.
-    pub(crate) fn copies_for(&mut self, adapter: &AdapterName, wish: &AdapterSpec, region: &Region) -> u64 {
-        if wish.copy_requests == 0 {
-            return wish.warm_in_region;
+    pub(crate) fn copies_for(&mut self, adapter: &AdapterName, spec: &AdapterSpec, region: &Region) -> u64 {
+        if spec.copy_requests == 0 {
+            return spec.warm_in_region;
         }
         let key = (adapter.clone(), region.clone());
-        let Some(known) = self.regions.get_mut(&key) else { return wish.warm_in_region };
-        let load = known.rate / wish.copy_requests as f64;
+        let Some(known) = self.regions.get_mut(&key) else { return spec.warm_in_region };
+        let load = known.rate / spec.copy_requests as f64;
         let needed = load.ceil() as u64;
         let is_clearly_lower = load < known.load_copies.saturating_sub(1) as f64 * SCALE_DOWN_SHARE;
         if needed > known.load_copies || is_clearly_lower {
             known.load_copies = needed;
         }
-        known.load_copies.max(wish.warm_in_region)
+        known.load_copies.max(spec.warm_in_region)
     }
 
     /// When a region was last active for an adapter.
--- a/crates/adapters/src/old_weights.rs
+++ b/crates/adapters/src/old_weights.rs
@@ -28,10 +28,10 @@
     /// Records which weights were superseded since the state was last seen.
     pub fn follow(&mut self, state: &FleetState, now: Instant) {
         self.first_seen.get_or_insert(now);
-        for (model, wish) in &state.desired.models {
-            let known = self.wanted.insert(model.clone(), wish.weights);
-            if let Some(weights) = known.filter(|known| *known < wish.weights) {
-                self.superseded.insert((model.clone(), weights), Superseded { to: wish.weights, since: now });
+        for (model, spec) in &state.desired.models {
+            let known = self.wanted.insert(model.clone(), spec.weights);
+            if let Some(weights) = known.filter(|known| *known < spec.weights) {
+                self.superseded.insert((model.clone(), weights), Superseded { to: spec.weights, since: now });
             }
         }
         self.superseded.retain(|_, superseded| now.since(superseded.since) < OLD_WEIGHTS_SPAN);
@@ -47,7 +47,7 @@
     ) -> bool {
         let status = state.engine_statuses.get(engine);
         let Some((weights, _)) = status.and_then(|status| status.confirmed.as_ref()) else { return false };
-        let is_wanted = state.desired.models.get(model).is_some_and(|wish| wish.weights == *weights);
+        let is_wanted = state.desired.models.get(model).is_some_and(|spec| spec.weights == *weights);
         let since = self.superseded_at(model, *weights).or(self.first_seen).unwrap_or(moment);
         is_wanted || moment.since(since) < OLD_WEIGHTS_SPAN
     }
--- a/crates/adapters/src/planner.rs
+++ b/crates/adapters/src/planner.rs
@@ -198,19 +198,19 @@
     fn needs(&mut self, state: &FleetState, pool: &PoolKey, engines: &[PoolEngine], now: Instant) -> Vec<CopyNeed> {
         let warming = state.desired.warming;
         let mut needs = Vec::new();
-        for (name, wish) in state.desired.adapters.iter().filter(|(_, wish)| wish.model == pool.0) {
+        for (name, spec) in state.desired.adapters.iter().filter(|(_, spec)| spec.model == pool.0) {
             let regions = self.demand.regions_of(name, warming, now);
             let idle = regions.is_empty();
             let mut places: Vec<(u64, Option<Region>)> = Vec::new();
             for region in regions {
                 let engine_count = engines.iter().filter(|engine| engine.region == region).count() as u64;
-                let copies = self.demand.copies_for(name, wish, &region).min(engine_count);
+                let copies = self.demand.copies_for(name, spec, &region).min(engine_count);
                 places.extend((1..=copies).map(|round| (round, Some(region.clone()))));
             }
             let placed = places.len() as u64;
-            places.extend((placed + 1..=wish.warm).map(|round| (round, None)));
-            let present = state.adapters.active_revisions.get(name).copied().unwrap_or(wish.revision);
-            for revision in BTreeSet::from([present, wish.revision]) {
+            places.extend((placed + 1..=spec.warm).map(|round| (round, None)));
+            let present = state.adapters.active_revisions.get(name).copied().unwrap_or(spec.revision);
+            for revision in BTreeSet::from([present, spec.revision]) {
                 let adapter = AdapterId { name: name.clone(), revision };
                 let is_next = revision != present;
                 needs.extend(places.iter().map(|(round, region)| {
@@ -367,12 +367,12 @@
 
     /// Puts a newer revision in force once all its copies are warm.
     fn put_revisions_in_force(&self, round: &mut PlanningRound<'_>, assignments: &BTreeMap<PoolKey, Assignment>) {
-        for (name, wish) in &round.state.desired.adapters {
-            let next = AdapterId { name: name.clone(), revision: wish.revision };
+        for (name, spec) in &round.state.desired.adapters {
+            let next = AdapterId { name: name.clone(), revision: spec.revision };
             if round.state.is_active_revision(&next) {
                 continue;
             }
-            let own = assignments.iter().filter(|((model, _), _)| *model == wish.model);
+            let own = assignments.iter().filter(|((model, _), _)| *model == spec.model);
             let holders: Vec<&EngineName> = own.flat_map(|(_, assignment)| assignment.engines_of(&next)).collect();
             let is_warm = !holders.is_empty() && holders.iter().all(|holder| round.is_warm(holder, &next));
             if is_warm {
--- a/crates/adapters/src/pool.rs
+++ b/crates/adapters/src/pool.rs
@@ -8,7 +8,7 @@
 /// An engine's report of the adapters it holds, and when it was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdapterReport {
-    /// Identifies the life of the engine's process.
+    /// Identifies the running process of the engine; a restart changes it.
     pub boot: String,
     pub resident: Vec<AdapterId>,
     pub places: u64,
--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -39,13 +39,13 @@
     fn new(engines: usize, places: usize, adapters: usize, warming: &str) -> Fleet {
         let mut state = FleetState::default();
         let tenants: Vec<String> = (0..adapters).map(|n| format!(r#""t{n}":{{"adapters":["x{n}"]}}"#)).collect();
-        let wishes: Vec<String> =
+        let specs: Vec<String> =
             (0..adapters).map(|n| format!(r#""x{n}":{{"model":"m","owners":["t{n}"],"revision":1}}"#)).collect();
         let document = format!(
             r#"{{"models":{{"m":{{"adapter_places":{places}}}}},"tenants":{{{}}},"adapters":{{{}}},"warming":{warming},
             "zones":{{"a":"north","b":"north","c":"south","d":"south"}}}}"#,
             tenants.join(","),
-            wishes.join(",")
+            specs.join(",")
         );
         let taken = submit(&mut state, Command::Merge { base: None, patch: document });
         assert!(matches!(taken, CommandOutcome::Applied(_)), "{taken:?}");
@@ -119,10 +119,10 @@
         match action {
             WarmingAction::Place { engine, adapter, stage } => {
                 self.moves += usize::from(!matches!(stage, None | Some(CopyStage::Warm { .. })));
-                let settled = submit(&mut self.state, Command::PlaceCopy { term: Term(1), engine, adapter, stage });
+                let outcome = submit(&mut self.state, Command::PlaceCopy { term: Term(1), engine, adapter, stage });
                 assert!(
-                    matches!(settled, CommandOutcome::Applied(_)),
-                    "the planner must keep to the bounds: {settled:?}"
+                    matches!(outcome, CommandOutcome::Applied(_)),
+                    "the planner must keep to the bounds: {outcome:?}"
                 );
             }
             WarmingAction::UseRevision { adapter } => {
@@ -357,13 +357,13 @@
 #[test]
 fn noisy_demand_changes_almost_nothing() {
     for seed in 0..40u64 {
-        let mut draw = SeededRng::new(seed);
+        let mut rng = SeededRng::new(seed);
         let mut fleet = Fleet::new(8, 2, 4, r#"{"loads_at_once":3,"demand_ms":6000,"hold_ms":20000}"#);
         let mut noisy = |fleet: &mut Fleet, steps: u64| {
             for _ in 0..steps {
                 for number in 0..4 {
-                    let home = if draw.chance(97) { number } else { (number + 2) % 4 };
-                    if draw.chance(50) {
+                    let home = if rng.chance(97) { number } else { (number + 2) % 4 };
+                    if rng.chance(50) {
                         fleet.request(ZONES[home as usize], &format!("x{number}"));
                     }
                 }
--- a/crates/attempts/src/gate.rs
+++ b/crates/attempts/src/gate.rs
@@ -61,7 +61,7 @@
 
 /// Checks that an attempt may start; called together with the write of its first byte.
 pub fn may_start(
-    sight: &FleetSnapshot,
+    snapshot: &FleetSnapshot,
     lease_until: Instant,
     basis: &AttemptBasis,
     now: Instant,
@@ -72,17 +72,17 @@
     if now >= basis.limit {
         return Err(StartRefusal::LimitPassed);
     }
-    if may_continue(sight, lease_until, &basis.key_hash, &basis.tenant, now).is_err() {
+    if may_continue(snapshot, lease_until, &basis.key_hash, &basis.tenant, now).is_err() {
         return Err(StartRefusal::KeyWithdrawn);
     }
-    let usable = sight.usable_weights_for(&basis.engine, &basis.model, basis.adapter.as_ref(), now);
+    let usable = snapshot.usable_weights_for(&basis.engine, &basis.model, basis.adapter.as_ref(), now);
     if usable != Some(basis.weights) {
         return Err(StartRefusal::EngineMoved);
     }
-    if !is_adapter_current(sight, basis) {
+    if !is_adapter_current(snapshot, basis) {
         return Err(StartRefusal::AdapterMoved);
     }
-    let wall = sight.state.wall_of(&basis.tenant);
+    let wall = snapshot.state.wall_of(&basis.tenant);
     let salt = Salt::for_model(&basis.model, basis.weights, wall.id, wall.edition);
     if salt.with_adapter(basis.adapter.as_ref()) != basis.salt {
         return Err(StartRefusal::WallMoved);
@@ -92,12 +92,12 @@
 
 /// Whether the attempt is for the adapter, or for none, that its tenant's requests run on now, and its engine
 /// holds exactly that adapter warm.
-fn is_adapter_current(sight: &FleetSnapshot, basis: &AttemptBasis) -> bool {
-    if sight.state.adapter_for(&basis.tenant, &basis.model) != basis.adapter {
+fn is_adapter_current(snapshot: &FleetSnapshot, basis: &AttemptBasis) -> bool {
+    if snapshot.state.adapter_for(&basis.tenant, &basis.model) != basis.adapter {
         return false;
     }
     let Some(adapter) = &basis.adapter else { return true };
-    sight.state.adapters.is_warm(&basis.engine, adapter)
+    snapshot.state.adapters.is_warm(&basis.engine, adapter)
 }
 
 /// Whether an answer, or a piece of one, names the adapter that its attempt was meant to run on.
@@ -111,13 +111,13 @@
 
 /// Checks that running work for a key may continue. A router without a lease does not hear of withdrawn keys.
 pub fn may_continue(
-    sight: &FleetSnapshot,
+    snapshot: &FleetSnapshot,
     lease_until: Instant,
     key_hash: &str,
     tenant: &TenantName,
     now: Instant,
 ) -> Result<(), StopReason> {
-    if sight.tenants_by_key.get(key_hash) != Some(tenant) {
+    if snapshot.tenants_by_key.get(key_hash) != Some(tenant) {
         return Err(StopReason::KeyWithdrawn);
     }
     if now >= lease_until + LEASE_GRACE {
@@ -173,8 +173,8 @@
     }
 
     fn starts(state: FleetState, basis: &AttemptBasis) -> Result<(), StartRefusal> {
-        let sight = FleetSnapshot::default().after_change(state, None, NOW);
-        may_start(&sight, NOW + Span::seconds(1), basis, NOW)
+        let snapshot = FleetSnapshot::default().after_change(state, None, NOW);
+        may_start(&snapshot, NOW + Span::seconds(1), basis, NOW)
     }
 
     #[test]
@@ -247,9 +247,9 @@
         let before = FleetSnapshot::default().after_change(fleet(), None, NOW);
         let mut leaving = fleet();
         leaving.listing.engines.get_mut(&"e".into()).unwrap().listed = Listed::Leaving;
-        let sight =
+        let snapshot =
             before.after_change(leaving, None, NOW).with_leaving_deadline(&before.state, NOW + Span::millis(900));
-        let start = |basis: &AttemptBasis, now: Instant| may_start(&sight, NOW + Span::seconds(2), basis, now);
+        let start = |basis: &AttemptBasis, now: Instant| may_start(&snapshot, NOW + Span::seconds(2), basis, now);
         let own = basis(Some(AdapterId::new("x", 1)));
         assert_eq!(start(&own, NOW), Ok(()));
         assert_eq!(start(&own, NOW + Span::millis(900)), Err(StartRefusal::EngineMoved));
--- a/crates/attempts/src/messages.rs
+++ b/crates/attempts/src/messages.rs
@@ -32,16 +32,16 @@
 
 impl ClaimOutcome {
     /// Interprets the coordinator's settlement; `None` means that none came in time.
-    pub fn of(settled: Option<CommandOutcome>) -> ClaimOutcome {
-        let complaint = match settled {
+    pub fn of(outcome: Option<CommandOutcome>) -> ClaimOutcome {
+        let error = match outcome {
             Some(CommandOutcome::Applied(_)) => return ClaimOutcome::Taken,
-            Some(CommandOutcome::Refused(complaints)) => complaints.into_iter().next(),
+            Some(CommandOutcome::Refused(errors)) => errors.into_iter().next(),
             Some(CommandOutcome::Stale { .. }) | None => None,
         };
-        match complaint {
+        match error {
             None => ClaimOutcome::Unknown,
-            Some(complaint) if complaint.reason == CLAIMS_FULL => ClaimOutcome::Full,
-            Some(complaint) => ClaimOutcome::Held(complaint.path),
+            Some(error) if error.reason == CLAIMS_FULL => ClaimOutcome::Full,
+            Some(error) => ClaimOutcome::Held(error.path),
         }
     }
 }
--- a/crates/attempts/tests/machine.rs
+++ b/crates/attempts/tests/machine.rs
@@ -142,21 +142,21 @@
 fn random_input_sequences_keep_the_invariants() {
     let ended = std::cell::Cell::new(0);
     for seed in 0..2000u64 {
-        arbtest::arbtest(|draw| play(draw, &ended)).seed(seed << 32 | 1024);
+        arbtest::arbtest(|unstructured| play(unstructured, &ended)).seed(seed << 32 | 1024);
     }
     assert!(ended.get() > 700, "few runs came to an end: {}", ended.get());
 }
 
 fn play(
-    draw: &mut arbtest::arbitrary::Unstructured<'_>,
+    unstructured: &mut arbtest::arbitrary::Unstructured<'_>,
     ended: &std::cell::Cell<u32>,
 ) -> arbtest::arbitrary::Result<()> {
     let terms = RequestTerms {
         run: "r.1".into(),
-        repeatable: draw.arbitrary()?,
-        streams: draw.arbitrary()?,
-        claims: draw.arbitrary()?,
-        resumes: draw.arbitrary()?,
+        repeatable: unstructured.arbitrary()?,
+        streams: unstructured.arbitrary()?,
+        claims: unstructured.arbitrary()?,
+        resumes: unstructured.arbitrary()?,
     };
     let mut machine = AttemptMachine::new(terms.clone());
     let (mut writes, mut finals, mut pieces) = (0, 0, 0);
@@ -179,16 +179,16 @@
             }
         }
         let attempt = machine.attempt();
-        let input = match draw.int_in_range(0..=15)? {
+        let input = match unstructured.int_in_range(0..=15)? {
             0 => Input::ClaimSettled(ClaimOutcome::Taken),
             1 => Input::ClaimSettled(ClaimOutcome::Unknown),
             2 | 3 => placed("a"),
             4 => Input::Picked(PickOutcome::NoEngine),
             5 | 6 => Input::Connected,
             7 => Input::StartRefused(StartRefusal::EngineMoved),
-            8 => Input::SendFault { byte_left: draw.arbitrary()?, reason: "x".into() },
+            8 => Input::SendFault { byte_left: unstructured.arbitrary()?, reason: "x".into() },
             9 | 10 => good_head(),
-            11 | 12 => Input::Piece { attempt, finished: draw.arbitrary()?, piece: 1 },
+            11 | 12 => Input::Piece { attempt, finished: unstructured.arbitrary()?, piece: 1 },
             13 => Input::EndMark,
             14 => Input::Closed,
             _ => Input::CallerGone,
--- a/crates/conductor/src/actions.rs
+++ b/crates/conductor/src/actions.rs
@@ -11,7 +11,7 @@
 /// An engine's report of its state, and when it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineObservation {
-    /// Identifies the life of the engine's process.
+    /// Identifies the running process of the engine; a restart changes it.
     pub boot: String,
     pub weights: WeightsEdition,
     /// Requests under way.
@@ -63,9 +63,9 @@
             let Some(seen) = observed.get(engine).filter(|seen| now.since(seen.at) < OBSERVATION_LIFETIME) else {
                 continue;
             };
-            let Some(wish) = state.desired.models.get(&listed.model) else { continue };
+            let Some(spec) = state.desired.models.get(&listed.model) else { continue };
             if listed.listed == Listed::Open {
-                actions.extend(self.advance_engine(state, engine, listed, seen, wish.weights, &mut slots, now));
+                actions.extend(self.advance_engine(state, engine, listed, seen, spec.weights, &mut slots, now));
             }
         }
         actions.extend(self.advance_plans(state, observed, now));
--- a/crates/conductor/src/rollout.rs
+++ b/crates/conductor/src/rollout.rs
@@ -122,9 +122,9 @@
     /// holder of the duty knows.
     pub fn note_wanted(&mut self, state: &FleetState, now: Instant) {
         self.wanted_since.retain(|model, _| state.desired.models.contains_key(model));
-        for (model, wish) in &state.desired.models {
+        for (model, spec) in &state.desired.models {
             let editions = self.wanted_since.entry(model.clone()).or_default();
-            editions.entry(wish.weights).or_insert(now);
+            editions.entry(spec.weights).or_insert(now);
             while editions.len() > EDITIONS_KEPT {
                 editions.pop_first();
             }
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -93,12 +93,12 @@
     /// Restores a keeper from persisted state; `incarnation` differs for each start of the process.
     pub fn restore(
         me: Member,
-        kept: PersistedState,
+        persisted: PersistedState,
         settings: CoordinatorSettings,
         incarnation: u64,
         now: Instant,
     ) -> Coordinator {
-        let view = kept.view.unwrap_or_default();
+        let view = persisted.view.unwrap_or_default();
         let known_members = view.members.iter().map(|member| (member.id, member.clone())).collect();
         let mut restored = Coordinator {
             me,
@@ -107,11 +107,11 @@
             misdirected: Misdirected::default(),
             settings,
             view,
-            vote: kept.vote,
+            vote: persisted.vote,
             sealed_since: now,
-            synced_view: kept.synced_view,
-            complete_view: kept.complete_view,
-            log: Log::restore(kept.mark, kept.state, kept.records),
+            synced_view: persisted.synced_view,
+            complete_view: persisted.complete_view,
+            log: Log::restore(persisted.position, persisted.state, persisted.records),
             committed: Edition(0),
             committed_at: BTreeMap::new(),
             wanted_weights: BTreeMap::new(),
@@ -138,7 +138,7 @@
         };
         restored.clear_commit_times();
         if restored.view.tail() == Some(restored.me.id) {
-            let has_begun = kept.begun == restored.view.number;
+            let has_begun = persisted.begun == restored.view.number;
             let wait = if has_begun { Span(0) } else { READ_LEASE + LEASE_MARGIN };
             restored.tail = Some(TailRole::new(now + wait));
         }
@@ -167,9 +167,9 @@
             holders: vec![me.id],
             tolerance,
         };
-        let mark = LogPosition { edition: founding_state.edition, view: FOUNDING_VIEW };
+        let position = LogPosition { edition: founding_state.edition, view: FOUNDING_VIEW };
         vec![
-            Stored::Snapshot { mark, state: Box::new(founding_state) },
+            Stored::Snapshot { position, state: Box::new(founding_state) },
             Stored::Vote(VoterState::default()),
             Stored::View(first_view),
             Stored::SyncedView(FOUNDING_VIEW),
@@ -208,7 +208,7 @@
         while self.committed_at.len() > MAX_COMMIT_TIMES {
             self.committed_at.pop_first();
         }
-        let wanted = self.log.state().desired.models.iter().map(|(model, wish)| (model.clone(), wish.weights));
+        let wanted = self.log.state().desired.models.iter().map(|(model, spec)| (model.clone(), spec.weights));
         let wanted: BTreeMap<ModelName, WeightsEdition> = wanted.collect();
         if wanted == self.wanted_weights {
             return;
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -259,7 +259,7 @@
 pub enum Stored {
     Record(Record),
     Snapshot {
-        mark: LogPosition,
+        position: LogPosition,
         state: Box<FleetState>,
     },
     View(View),
@@ -288,7 +288,7 @@
     pub synced_view: ViewNumber,
     pub complete_view: ViewNumber,
     pub begun: ViewNumber,
-    pub mark: LogPosition,
+    pub position: LogPosition,
     pub state: FleetState,
     pub records: Vec<Record>,
 }
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -51,12 +51,12 @@
                     self.mark_synced();
                 }
             }
-            ChainMessage::Snapshot { view, nonce, mark, state, ages } => {
+            ChainMessage::Snapshot { view, nonce, mark: position, state, ages } => {
                 // A sealed keeper has reported where its log ends, so the log must not become shorter.
-                let is_shorter = mark.edition < self.log.last().edition;
+                let is_shorter = position.edition < self.log.last().edition;
                 if self.accepts_catch_up(from, view, nonce) && !(self.sealed() && is_shorter) {
-                    self.log = Log::restore(mark, (*state).clone(), Vec::new());
-                    self.store(Stored::Snapshot { mark, state });
+                    self.log = Log::restore(position, (*state).clone(), Vec::new());
+                    self.store(Stored::Snapshot { position, state });
                     self.take_ages(&ages, nonce);
                     self.mark_synced();
                 }
@@ -145,7 +145,7 @@
         self.restored_at = self.log.last().edition;
         self.committed_at.clear();
         let models = &self.log.state().desired.models;
-        self.wanted_weights = models.iter().map(|(model, wish)| (model.clone(), wish.weights)).collect();
+        self.wanted_weights = models.iter().map(|(model, spec)| (model.clone(), spec.weights)).collect();
         self.superseded_at.clear();
     }
 
--- a/crates/coordinator/tests/addressing.rs
+++ b/crates/coordinator/tests/addressing.rs
@@ -28,14 +28,14 @@
         ..View::default()
     };
     let number = view.number;
-    let kept = PersistedState {
+    let persisted = PersistedState {
         view: Some(view),
         synced_view: number,
         complete_view: number,
         begun: number,
         ..PersistedState::default()
     };
-    Coordinator::restore(member(ME), kept, CoordinatorSettings::default(), incarnation, START)
+    Coordinator::restore(member(ME), persisted, CoordinatorSettings::default(), incarnation, START)
 }
 
 fn envelope(to: Option<KeeperIncarnation>, fleet: FleetId, message: CoreMessage) -> Input {
--- a/crates/coordinator/tests/ages.rs
+++ b/crates/coordinator/tests/ages.rs
@@ -28,8 +28,8 @@
         members: vec![member(HEAD), member(MIDDLE), member(TAIL)],
         ..View::default()
     };
-    let kept = PersistedState { view: Some(view), ..PersistedState::default() };
-    let mut coordinator = Coordinator::restore(member(MIDDLE), kept, CoordinatorSettings::default(), 1, START);
+    let persisted = PersistedState { view: Some(view), ..PersistedState::default() };
+    let mut coordinator = Coordinator::restore(member(MIDDLE), persisted, CoordinatorSettings::default(), 1, START);
     // The head is known, but cannot serve catch-up requests yet.
     let status = KeeperStatus { synced_view: ViewNumber(1), tail_active: false, ..status_of(&coordinator, HEAD) };
     let input = from_keeper(&coordinator, HEAD, CoreMessage::Heartbeat(status));
@@ -62,9 +62,9 @@
 }
 
 fn snapshot(coordinator: &Coordinator, nonce: u64) -> Input {
-    let mark = LogPosition { edition: Edition(7), view: ViewNumber(1) };
+    let position = LogPosition { edition: Edition(7), view: ViewNumber(1) };
     let state = Box::new(FleetState { edition: Edition(7), ..FleetState::default() });
-    let message = ChainMessage::Snapshot { view: VIEW, nonce, mark, state, ages: sample_ages() };
+    let message = ChainMessage::Snapshot { view: VIEW, nonce, mark: position, state, ages: sample_ages() };
     from_keeper(coordinator, HEAD, CoreMessage::Chain(message))
 }
 
@@ -104,16 +104,16 @@
         ..View::default()
     };
     let state = FleetState { edition: Edition(7), ..FleetState::default() };
-    let mark = LogPosition { edition: Edition(7), view: ViewNumber(1) };
-    let kept = PersistedState {
+    let position = LogPosition { edition: Edition(7), view: ViewNumber(1) };
+    let persisted = PersistedState {
         view: Some(view),
         synced_view: VIEW,
         complete_view: VIEW,
-        mark,
+        position,
         state,
         ..PersistedState::default()
     };
-    let mut coordinator = Coordinator::restore(member(MIDDLE), kept, CoordinatorSettings::default(), 1, START);
+    let mut coordinator = Coordinator::restore(member(MIDDLE), persisted, CoordinatorSettings::default(), 1, START);
     coordinator.step(Input::Tick, START);
     assert_eq!(ages_sent_to_successor(&mut coordinator, START), Some(CommitAges::default()));
 }
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -47,7 +47,9 @@
 /// The messages that the effects send to any incarnation of a keeper.
 pub fn sent_to(effects: &[Effect], to: NodeId) -> Vec<CoreMessage> {
     let sent = effects.iter().filter_map(|effect| match effect {
-        Effect::Send { envelope, .. } if envelope.to.is_some_and(|told| told.id == to) => Some(&envelope.message),
+        Effect::Send { envelope, .. } if envelope.to.is_some_and(|addressee| addressee.id == to) => {
+            Some(&envelope.message)
+        }
         _ => None,
     });
     sent.cloned().collect()
@@ -60,18 +62,18 @@
 pub fn acting_tail() -> (Coordinator, Instant) {
     let address = "k".to_owned();
     let me = Member { id: NodeId(1), door: address.clone(), address, zone: Zone("z".into()) };
-    let mut kept = PersistedState::default();
+    let mut persisted = PersistedState::default();
     for stored in Coordinator::bootstrap(&me, FleetId(7), FleetState::default()) {
         match stored {
-            Stored::Snapshot { mark, state } => (kept.mark, kept.state) = (mark, *state),
-            Stored::View(view) => kept.view = Some(view),
-            Stored::SyncedView(view) => kept.synced_view = view,
-            Stored::CompleteView(view) => kept.complete_view = view,
+            Stored::Snapshot { position, state } => (persisted.position, persisted.state) = (position, *state),
+            Stored::View(view) => persisted.view = Some(view),
+            Stored::SyncedView(view) => persisted.synced_view = view,
+            Stored::CompleteView(view) => persisted.complete_view = view,
             _ => {}
         }
     }
     let settings = CoordinatorSettings { core_size: 1, ..CoordinatorSettings::default() };
-    let mut coordinator = Coordinator::restore(me, kept, settings, 1, START);
+    let mut coordinator = Coordinator::restore(me, persisted, settings, 1, START);
     let mut now = START;
     while !coordinator.tail_is_active(now) {
         now = now + HEARTBEAT_INTERVAL;
--- a/crates/coordinator/tests/duties.rs
+++ b/crates/coordinator/tests/duties.rs
@@ -27,8 +27,8 @@
         members: vec![member(HOLDER), member(TAIL)],
         ..View::default()
     };
-    let kept = PersistedState { view: Some(view), ..PersistedState::default() };
-    Coordinator::restore(member(id), kept, CoordinatorSettings::default(), 1, START)
+    let persisted = PersistedState { view: Some(view), ..PersistedState::default() };
+    Coordinator::restore(member(id), persisted, CoordinatorSettings::default(), 1, START)
 }
 
 /// Whether a keeper holds the conductor duty after receiving a lease grant for a request sent at `sent`.
--- a/crates/coordinator/tests/exhaustive.rs
+++ b/crates/coordinator/tests/exhaustive.rs
@@ -73,8 +73,8 @@
 fn keep(disk: &mut PersistedState, stored: Stored) {
     match stored {
         Stored::Record(record) => disk.records.push(record),
-        Stored::Snapshot { mark, state } => {
-            disk.mark = mark;
+        Stored::Snapshot { position, state } => {
+            disk.position = position;
             disk.state = *state;
             disk.records.clear();
         }
@@ -314,7 +314,7 @@
     let taken: BTreeMap<Edition, RequestId> = state
         .operator_submissions
         .iter()
-        .filter_map(|(request, settled)| match settled {
+        .filter_map(|(request, outcome)| match outcome {
             CommandOutcome::Applied(edition) => Some((*edition, request)),
             _ => None,
         })
--- a/crates/coordinator/tests/leaving.rs
+++ b/crates/coordinator/tests/leaving.rs
@@ -34,10 +34,10 @@
             ..View::default()
         };
         let (synced_view, complete_view) = (view.number, view.number);
-        let kept = PersistedState { view: Some(view), synced_view, complete_view, ..PersistedState::default() };
+        let persisted = PersistedState { view: Some(view), synced_view, complete_view, ..PersistedState::default() };
         let settings = CoordinatorSettings { core_size: size as usize, ..CoordinatorSettings::default() };
         let keepers =
-            (1..=size).map(|id| Coordinator::restore(member(id), kept.clone(), settings.clone(), id, START));
+            (1..=size).map(|id| Coordinator::restore(member(id), persisted.clone(), settings.clone(), id, START));
         let mut core = Core { now: START, keepers: keepers.collect(), outcomes: Vec::new() };
         core.run(Span::seconds(6));
         core
--- a/crates/coordinator/tests/levelling.rs
+++ b/crates/coordinator/tests/levelling.rs
@@ -18,7 +18,7 @@
     Member { id, address: format!("{id}:1"), door: format!("{id}:2"), zone: "a".into() }
 }
 
-fn mark(edition: u64) -> LogPosition {
+fn position(edition: u64) -> LogPosition {
     LogPosition { edition: Edition(edition), view: ViewNumber(3) }
 }
 
@@ -36,8 +36,9 @@
         members: vec![member(HEAD), member(TAIL), member(OUTSIDE)],
         ..View::default()
     };
-    let kept = PersistedState { view: Some(view), mark: mark(5), state: state(5), ..PersistedState::default() };
-    Coordinator::restore(member(OUTSIDE), kept, CoordinatorSettings::default(), 1, START)
+    let persisted =
+        PersistedState { view: Some(view), position: position(5), state: state(5), ..PersistedState::default() };
+    Coordinator::restore(member(OUTSIDE), persisted, CoordinatorSettings::default(), 1, START)
 }
 
 /// Makes the keeper request catch-up and returns the request's nonce.
@@ -52,8 +53,8 @@
 }
 
 fn snapshot_of(keeper: &Coordinator, nonce: u64, edition: u64) -> Input {
-    let (mark, state) = (mark(edition), Box::new(state(edition)));
-    let snapshot = ChainMessage::Snapshot { view: VIEW, nonce, mark, state, ages: CommitAges::default() };
+    let (position, state) = (position(edition), Box::new(state(edition)));
+    let snapshot = ChainMessage::Snapshot { view: VIEW, nonce, mark: position, state, ages: CommitAges::default() };
     from_keeper(keeper, TAIL, CoreMessage::Chain(snapshot))
 }
 
@@ -73,13 +74,13 @@
 fn a_promised_log_end_is_not_cut_by_catch_up() {
     let mut keeper = outsider();
     let nonce = catch_up_nonce(&mut keeper);
-    assert_eq!(promise(&mut keeper), mark(5));
+    assert_eq!(promise(&mut keeper), position(5));
     let late = snapshot_of(&keeper, nonce, 3);
     keeper.step(late, START);
-    assert_eq!(keeper.last(), mark(5), "a delayed snapshot has truncated the log");
+    assert_eq!(keeper.last(), position(5), "a delayed snapshot has truncated the log");
     let longer = snapshot_of(&keeper, nonce, 8);
     keeper.step(longer, START);
-    assert_eq!(keeper.last(), mark(8), "it never catches up");
+    assert_eq!(keeper.last(), position(8), "it never catches up");
 }
 
 #[test]
@@ -88,5 +89,5 @@
     let nonce = catch_up_nonce(&mut keeper);
     let shorter = snapshot_of(&keeper, nonce, 3);
     keeper.step(shorter, START);
-    assert_eq!(keeper.last(), mark(3));
+    assert_eq!(keeper.last(), position(3));
 }
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -33,14 +33,14 @@
 fn acting_tail() -> Coordinator {
     let view = view_of(2, &[HEAD, TAIL]);
     let number = view.number;
-    let kept = PersistedState {
+    let persisted = PersistedState {
         view: Some(view),
         synced_view: number,
         complete_view: number,
         begun: number,
         ..PersistedState::default()
     };
-    let mut tail = Coordinator::restore(member(TAIL), kept, CoordinatorSettings::default(), 1, START);
+    let mut tail = Coordinator::restore(member(TAIL), persisted, CoordinatorSettings::default(), 1, START);
     grant_read_lease(&mut tail, START);
     assert!(tail.tail_is_active(START));
     tail
@@ -57,11 +57,14 @@
 /// Appends a change received from the head; without a read lease the tail does not commit it.
 fn append(tail: &mut Coordinator, number: u64, now: Instant) -> Vec<Effect> {
     let previous = tail.last();
-    let mark = LogPosition { edition: previous.edition.next(), view: tail.view().number };
+    let position = LogPosition { edition: previous.edition.next(), view: tail.view().number };
     let patch = format!(r#"{{"kinds":["k{number}"]}}"#);
     let submission = Submission { request: RequestId(number), command: Command::Merge { base: None, patch } };
-    let append =
-        ChainMessage::Append { view: tail.view().number, previous, records: vec![Record { mark, submission }] };
+    let append = ChainMessage::Append {
+        view: tail.view().number,
+        previous,
+        records: vec![Record { mark: position, submission }],
+    };
     let input = from_keeper(tail, HEAD, CoreMessage::Chain(append));
     tail.step(input, now)
 }
--- a/crates/gateway/src/caller_handler.rs
+++ b/crates/gateway/src/caller_handler.rs
@@ -31,7 +31,7 @@
     pub table: TableHandle,
     pub pool: Arc<ConnectionPool>,
     pub protocol: Arc<dyn Protocol>,
-    pub draws: AtomicU64,
+    pub samples: AtomicU64,
 }
 
 /// Counts a request as running until dropped.
@@ -114,8 +114,8 @@
             .read_head(&request.headers)
             .map_err(|reason| Refusal::new(StatusCode::BAD_REQUEST, reason))?;
         let tenant = find_tenant(&snapshot, &route, &head)?;
-        let draw = self.draws.fetch_add(1, Ordering::Relaxed);
-        let Some(service) = route.service(draw.wrapping_mul(DRAW_STEP)).cloned() else {
+        let sample = self.samples.fetch_add(1, Ordering::Relaxed);
+        let Some(service) = route.service(sample.wrapping_mul(SAMPLE_MULTIPLIER)).cloned() else {
             return Err(Refusal::retry_later("no service of the route has a share", NOT_READY_RETRY_AFTER));
         };
         let limit = head.deadline.map_or(route.spec.limit, |deadline| deadline.min(route.spec.limit));
@@ -145,8 +145,8 @@
     }
 }
 
-/// The multiplier that spreads the draws of consecutive requests over a route's branches.
-const DRAW_STEP: u64 = 0x9e37_79b9;
+/// The multiplier that spreads the samples of consecutive requests over a route's branches.
+const SAMPLE_MULTIPLIER: u64 = 0x9e37_79b9;
 
 fn find_tenant(
     snapshot: &FleetSnapshot,
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -90,7 +90,7 @@
             table: table.clone(),
             pool: Arc::clone(&pool),
             protocol: Arc::clone(&plan.protocol),
-            draws: AtomicU64::new(node.0),
+            samples: AtomicU64::new(node.0),
         });
         let connections = Arc::new(OpenConnections::default());
         let serving = tokio::spawn(serve_with_timeouts(callers, caller_handler, bounds, Arc::clone(&connections)));
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -45,14 +45,14 @@
 #[test]
 fn no_order_of_failures_breaks_the_guarantees() {
     for seed in 0..500u64 {
-        arbtest::arbtest(|draw| {
-            let attempts = draw.int_in_range(1..=4)?;
-            let (repeatable, resumable) = (draw.arbitrary()?, draw.arbitrary()?);
+        arbtest::arbtest(|unstructured| {
+            let attempts = unstructured.int_in_range(1..=4)?;
+            let (repeatable, resumable) = (unstructured.arbitrary()?, unstructured.arbitrary()?);
             let mut retry_state = RetryState::new(RetryRules { attempts, repeatable, resumable });
             let (mut sent, mut ran) = (0, false);
             loop {
-                let begins: bool = draw.ratio(1, 5)?;
-                let failure = *draw.choose(&[Failure::NotSent, Failure::NotRun, Failure::Uncertain])?;
+                let begins: bool = unstructured.ratio(1, 5)?;
+                let failure = *unstructured.choose(&[Failure::NotSent, Failure::NotRun, Failure::Uncertain])?;
                 let failure = if begins { Failure::Uncertain } else { failure };
                 if failure != Failure::NotSent {
                     sent += 1;
--- a/crates/keeper/src/run.rs
+++ b/crates/keeper/src/run.rs
@@ -207,11 +207,11 @@
         zone: config.zone.clone(),
     };
     let initial = bootstrap_state(config, &me, &persisted).map_err(|reason| miette!("found: {reason}"))?;
-    let Some((stored, mark, state)) = initial else {
+    let Some((stored, position, state)) = initial else {
         return Ok(Some(Prepared { me, persisted, remembered_addresses }));
     };
     let storing = || {
-        state_store.store(&stored, mark, &state)?;
+        state_store.store(&stored, position, &state)?;
         state_store.load()
     };
     let persisted = retry_queue.run_with_retry(storing, |_| reject_connections(config)).map_err(describe)?;
@@ -251,9 +251,9 @@
     let command = Command::Replace { base: None, text: document.clone() };
     let outcome = state.apply(&Submission { request: RequestId::random(), command });
     let CommandOutcome::Applied(_) = outcome else { return Err("the founding document was refused".into()) };
-    let mark = LogPosition { edition: state.edition, view: ViewNumber(1) };
+    let position = LogPosition { edition: state.edition, view: ViewNumber(1) };
     let stored = Coordinator::bootstrap_with_tolerance(me, FleetId::random(), state.clone(), *tolerance);
-    Ok(Some((stored, mark, state)))
+    Ok(Some((stored, position, state)))
 }
 
 fn existing_fleet(seed: &str, me: NodeId) -> Option<FleetId> {
--- a/crates/keeper/src/state_store.rs
+++ b/crates/keeper/src/state_store.rs
@@ -34,9 +34,9 @@
 
     /// Reads everything that was stored.
     pub fn load(&mut self) -> Result<PersistedState, DiskFault> {
-        let (mark, state): (LogPosition, FleetState) = self.folder.read_value("snapshot")?.unwrap_or_default();
-        let records: Vec<Record> = self.folder.records_after(mark.edition.0)?;
-        self.snapshot_edition = mark.edition;
+        let (position, state): (LogPosition, FleetState) = self.folder.read_value("snapshot")?.unwrap_or_default();
+        let records: Vec<Record> = self.folder.records_after(position.edition.0)?;
+        self.snapshot_edition = position.edition;
         self.record_bytes = self.folder.records_size()?;
         Ok(PersistedState {
             view: self.folder.read_value("view")?,
@@ -44,7 +44,7 @@
             synced_view: self.folder.read_value("aligned")?.unwrap_or_default(),
             complete_view: self.folder.read_value("whole")?.unwrap_or_default(),
             begun: self.folder.read_value("begun")?.unwrap_or_default(),
-            mark,
+            position,
             state,
             records,
         })
@@ -64,9 +64,9 @@
         self.folder.remember_addresses(addresses)
     }
 
-    /// Stores a batch and syncs it; `mark` and `state` are the log's last position and state after it. A batch that
-    /// failed can be stored again.
-    pub fn store(&mut self, batch: &[Stored], mark: LogPosition, state: &FleetState) -> Result<(), DiskFault> {
+    /// Stores a batch and syncs it; `position` and `state` are the log's last position and state after it. A batch
+    /// that failed can be stored again.
+    pub fn store(&mut self, batch: &[Stored], position: LogPosition, state: &FleetState) -> Result<(), DiskFault> {
         self.folder.ensure_open()?;
         let mut rows = Vec::new();
         let mut snapshot_edition = self.snapshot_edition;
@@ -78,10 +78,10 @@
                     record_bytes += row.size() as u64;
                     rows.push(row);
                 }
-                Stored::Snapshot { mark, state } => {
-                    rows.push(Row::key_value("snapshot", &(mark, state))?);
+                Stored::Snapshot { position, state } => {
+                    rows.push(Row::key_value("snapshot", &(position, state))?);
                     rows.push(Row::DeleteThrough(u64::MAX));
-                    snapshot_edition = mark.edition;
+                    snapshot_edition = position.edition;
                     record_bytes = 0;
                 }
                 Stored::View(view) => rows.push(Row::key_value("view", view)?),
@@ -92,13 +92,13 @@
             }
         }
         let is_due =
-            mark.edition.0 >= snapshot_edition.0 + SNAPSHOT_INTERVAL_RECORDS || record_bytes >= MAX_RECORD_BYTES;
+            position.edition.0 >= snapshot_edition.0 + SNAPSHOT_INTERVAL_RECORDS || record_bytes >= MAX_RECORD_BYTES;
         if is_due {
             // The snapshot contains the batch's records.
             rows.retain(|row| !matches!(row, Row::Record { .. }));
-            rows.push(Row::key_value("snapshot", &(mark, state))?);
-            rows.push(Row::DeleteThrough(mark.edition.0));
-            snapshot_edition = mark.edition;
+            rows.push(Row::key_value("snapshot", &(position, state))?);
+            rows.push(Row::DeleteThrough(position.edition.0));
+            snapshot_edition = position.edition;
             record_bytes = 0;
         }
         self.folder.store(&rows)?;
--- a/crates/keeper/tests/filing.rs
+++ b/crates/keeper/tests/filing.rs
@@ -35,9 +35,9 @@
     let (mut state_store, same_identity) = StateStore::open(&path).unwrap();
     assert_eq!(same_identity, identity);
     let persisted = state_store.load().unwrap();
-    assert_eq!((persisted.mark.edition, persisted.synced_view), (Edition(512), ViewNumber(4)));
+    assert_eq!((persisted.position.edition, persisted.synced_view), (Edition(512), ViewNumber(4)));
     assert_eq!(persisted.records.last().map(|record| record.mark.edition), Some(Edition(700)));
-    let restored_log = Log::restore(persisted.mark, persisted.state, persisted.records);
+    let restored_log = Log::restore(persisted.position, persisted.state, persisted.records);
     assert_eq!(restored_log.state().edition, Edition(700));
     drop(state_store);
     DataFolder::open(&path).unwrap().store(&[Row::record(702, &restored_log.last()).unwrap()]).unwrap();
@@ -80,7 +80,7 @@
             drop(state_store);
             state_store = StateStore::open(&path).unwrap().0;
             let persisted = state_store.load().unwrap();
-            log = Log::restore(persisted.mark, persisted.state, persisted.records);
+            log = Log::restore(persisted.position, persisted.state, persisted.records);
         }
     }
     assert_eq!(log.state().configuration.revision, Revision(changes));
@@ -117,7 +117,7 @@
         assert!(folder_bytes(&path) < MAX_LEDGER_BYTES, "{}", folder_bytes(&path));
     }
     let persisted = state_store.load().unwrap();
-    assert_eq!((persisted.mark, persisted.records.len()), (log.last(), 0));
+    assert_eq!((persisted.position, persisted.records.len()), (log.last(), 0));
     assert_eq!(persisted.state, *log.state());
     drop(state_store);
     std::fs::remove_dir_all(&path).unwrap();
--- a/crates/keeper/tests/rebuilt.rs
+++ b/crates/keeper/tests/rebuilt.rs
@@ -104,10 +104,10 @@
 }
 
 /// A pseudorandom generator: the same seed gives the same numbers.
-struct Draw(u64);
+struct TestRng(u64);
 
-impl Draw {
-    fn number(&mut self) -> u64 {
+impl TestRng {
+    fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         self.0 >> 33
     }
@@ -115,12 +115,12 @@
 
 /// The log of a seed's commands, some of them submitted twice.
 fn history(seed: u64) -> Log {
-    let mut draw = Draw(seed);
+    let mut rng = TestRng(seed);
     let mut log = Log::default();
     for number in 0..COMMANDS_PER_SEED {
-        let place = if number < KINDS { number } else { draw.number() % KINDS };
-        let command = command(place, draw.number(), log.state());
-        let request = RequestId(1 + number - u64::from(draw.number().is_multiple_of(11)).min(number));
+        let place = if number < KINDS { number } else { rng.next() % KINDS };
+        let command = command(place, rng.next(), log.state());
+        let request = RequestId(1 + number - u64::from(rng.next().is_multiple_of(11)).min(number));
         log.append_submission(VIEW, Submission { request, command });
     }
     log
@@ -131,7 +131,7 @@
     let path = std::env::temp_dir().join(format!("rebuilt-{}", NodeId::random()));
     let (mut state_store, _) = StateStore::open(&path).expect("a new folder opens");
     let before = Log::restore(LogPosition::default(), FleetState::default(), records[..snapshot_after].to_vec());
-    let snapshot = Stored::Snapshot { mark: before.last(), state: Box::new(before.state().clone()) };
+    let snapshot = Stored::Snapshot { position: before.last(), state: Box::new(before.state().clone()) };
     state_store.store(&[snapshot], before.last(), before.state()).expect("the folder takes a snapshot");
     let rest: Vec<Stored> = records[snapshot_after..].iter().cloned().map(Stored::Record).collect();
     state_store.store(&rest, before.last(), before.state()).expect("the folder takes records");
@@ -140,7 +140,7 @@
     let persisted = state_store.load().expect("the folder is whole");
     drop(state_store);
     std::fs::remove_dir_all(&path).expect("the folder can be removed");
-    Log::restore(persisted.mark, persisted.state, persisted.records).state().clone()
+    Log::restore(persisted.position, persisted.state, persisted.records).state().clone()
 }
 
 #[test]
--- a/crates/ledger/tests/disks.rs
+++ b/crates/ledger/tests/disks.rs
@@ -202,15 +202,15 @@
 fn independently_lost_file_names_lose_no_batch() {
     let (mut losses, mut names) = (0, std::collections::BTreeMap::new());
     for seed in 1..=400 {
-        let mut draw = SeededRng::new(seed);
+        let mut rng = SeededRng::new(seed);
         let disk = SimulatedDisk::default();
         let mut identity = None;
         let mut stored = 0;
         for restart in 0..6 {
-            let window = FaultWindow { successes: draw.below(40), failures: 1 + draw.below(12) };
+            let window = FaultWindow { successes: rng.below(40), failures: 1 + rng.below(12) };
             *disk.fault_window.lock().unwrap() = Some(window);
             let mut folder = DataFolder::on_simulated_disk(&disk);
-            for _ in 0..1 + draw.below(6) {
+            for _ in 0..1 + rng.below(6) {
                 match store(&mut folder, stored + 1) {
                     Ok(()) => stored += 1,
                     Err(fault) => assert!(fault.is_transient, "seed {seed} restart {restart}: {fault}"),
@@ -224,7 +224,7 @@
             std::mem::forget(folder);
             disk.lose_power_keeping(|name| {
                 *names.entry(format!("{name:?}")).or_insert(0) += 1;
-                draw.below(2) == 0
+                rng.below(2) == 0
             });
             losses += 1;
             *disk.fault_window.lock().unwrap() = None;
--- a/crates/placement/src/fleet_snapshot.rs
+++ b/crates/placement/src/fleet_snapshot.rs
@@ -212,9 +212,9 @@
 
     /// Whether the adapter is warm on any engine that is usable with the weights of the adapter's model.
     pub fn is_warm_anywhere(&self, adapter: &AdapterId, now: Instant) -> bool {
-        let Some(wish) = self.state.desired.adapters.get(&adapter.name) else { return false };
+        let Some(spec) = self.state.desired.adapters.get(&adapter.name) else { return false };
         let is_usable =
-            |engine: &EngineName| self.usable_weights_for(engine, &wish.model, Some(adapter), now).is_some();
+            |engine: &EngineName| self.usable_weights_for(engine, &spec.model, Some(adapter), now).is_some();
         self.state.adapters.warm_engines(adapter).any(is_usable)
     }
 
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -171,11 +171,10 @@
         let shown_path = path.display();
         let bytes = std::fs::read(path).map_err(|fault| miette!("{shown_path}: {fault}"))?;
         let text = String::from_utf8(bytes).map_err(|_| miette!("{shown_path}: not UTF-8"))?;
-        let document =
-            parse_bounded(&text, SETTINGS_BOUNDS).map_err(|complaint| miette!("{shown_path}: {complaint}"))?;
-        let mut complaints = Vec::new();
+        let document = parse_bounded(&text, SETTINGS_BOUNDS).map_err(|error| miette!("{shown_path}: {error}"))?;
+        let mut errors = Vec::new();
         let mut values = BTreeMap::new();
-        if let Some(mut reader) = ObjectReader::open("", &document, &mut complaints) {
+        if let Some(mut reader) = ObjectReader::open("", &document, &mut errors) {
             for setting in self.settings {
                 let value = match setting.kind {
                     SettingKind::Integer(lowest, highest) => {
@@ -191,7 +190,7 @@
             }
             reader.finish();
         }
-        faults.extend(complaints.into_iter().map(|complaint| format!("{shown_path}: {complaint}")));
+        faults.extend(errors.into_iter().map(|error| format!("{shown_path}: {error}")));
         Ok(values)
     }
 
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -40,13 +40,13 @@
                 self.send(&RouterToAgent::Submit { ticket, submission: submission.clone() });
             }
         };
-        let settled = tokio::select! {
-            settled = settlement => settled.ok(),
+        let outcome = tokio::select! {
+            outcome = settlement => outcome.ok(),
             () = sending => None,
             () = tokio::time::sleep(CLAIM_TIMEOUT) => None,
         };
         self.pending.lock().expect("no holder of this lock panics").remove(&ticket);
-        settled
+        outcome
     }
 
     fn settle(&self, ticket: u64, outcome: CommandOutcome) {
--- a/crates/router/src/forward/mod.rs
+++ b/crates/router/src/forward/mod.rs
@@ -185,8 +185,8 @@
     async fn claim(&mut self) -> Input {
         let (router, run) = (self.run.router, self.run.plan.run_number);
         let Some(claim) = self.run.plan.claim else { return Input::ClaimSettled(ClaimOutcome::Unknown) };
-        let settled = self.run.coordinator.submit(Command::Claim { claim, router, run }).await;
-        Input::ClaimSettled(ClaimOutcome::of(settled))
+        let outcome = self.run.coordinator.submit(Command::Claim { claim, router, run }).await;
+        Input::ClaimSettled(ClaimOutcome::of(outcome))
     }
 
     /// Releases the claim, as the request certainly did not run.
--- a/crates/router/src/plan.rs
+++ b/crates/router/src/plan.rs
@@ -138,7 +138,7 @@
             .as_ref()
             .filter(|_| !repeatable)
             .map(|key| BlockHash::of_parts(&[b"claim", tenant.as_str().as_bytes(), key.as_bytes()]));
-        let share = snapshot.state.desired.tenants.get(&tenant).map_or(0, |wish| wish.share);
+        let share = snapshot.state.desired.tenants.get(&tenant).map_or(0, |spec| spec.share);
         Ok(RequestPlan {
             run: run.0,
             run_number: run.1,
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -10,15 +10,15 @@
 }
 
 impl NamedRoute {
-    /// The service for a draw: each branch gets its share of all draws; `None` if no branch has a share.
-    pub fn service(&self, draw: u64) -> Option<&ServiceName> {
+    /// The service for a sample: each branch gets its share of all samples; `None` if no branch has a share.
+    pub fn service(&self, sample: u64) -> Option<&ServiceName> {
         let total: u64 = self.spec.branches.iter().map(|branch| branch.share).sum();
-        let mut place = draw.checked_rem(total)?;
+        let mut offset = sample.checked_rem(total)?;
         for branch in &self.spec.branches {
-            if place < branch.share {
+            if offset < branch.share {
                 return Some(&branch.service);
             }
-            place -= branch.share;
+            offset -= branch.share;
         }
         None
     }
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,4 +1,4 @@
-//! The host's route with the longest matching prefix is found, and draws follow the branches' shares.
+//! The host's route with the longest matching prefix is found, and samples follow the branches' shares.
 
 use routes::prelude::*;
 use units::prelude::{RouteName, ServiceName};
@@ -42,7 +42,7 @@
 fn every_branch_gets_its_share_of_draws() {
     let table = RouteTable::of(&desired(&[("r", "a", "/")]));
     let route = table.find("a", "/").unwrap();
-    let to_s = (0..400).filter(|draw| route.service(*draw) == Some(&ServiceName::from("s"))).count();
+    let to_s = (0..400).filter(|sample| route.service(*sample) == Some(&ServiceName::from("s"))).count();
     assert_eq!(to_s, 300);
     assert!(route.allows(&ServiceName::from("t")) && !route.allows(&ServiceName::from("u")));
 }
--- a/crates/selection/tests/peers.rs
+++ b/crates/selection/tests/peers.rs
@@ -122,10 +122,10 @@
     const ENGINES: u64 = 60;
     let mut errors = [0.0_f64; 3];
     for seed in 0..SEEDS {
-        let mut draw = seed;
+        let mut random = seed;
         let mut next = |bound: u64| {
-            draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            (draw >> 33) % bound
+            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            (random >> 33) % bound
         };
         let mut selector = selector(NODES);
         let mut truth = vec![0_u64; ENGINES as usize];
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -373,8 +373,8 @@
 pub fn keep(disk: &mut PersistedState, stored: Stored) {
     match stored {
         Stored::Record(record) => disk.records.push(record),
-        Stored::Snapshot { mark, state } => {
-            disk.mark = mark;
+        Stored::Snapshot { position, state } => {
+            disk.position = position;
             disk.state = *state;
             disk.records.clear();
         }
--- a/crates/subscription/tests/leaving.rs
+++ b/crates/subscription/tests/leaving.rs
@@ -108,8 +108,8 @@
     for spread in 0..12 {
         let mut subscription = connected_to_tail(spread);
         let replaced = view_after(&[0, 1, 2], &[4, 5, 6]);
-        let heard = SubscriptionInput::Core(KeeperToAgent::Membership(replaced.clone()));
-        assert_eq!(dialled(subscription.step(heard, at(500))), None, "its tail is the same");
+        let input = SubscriptionInput::Core(KeeperToAgent::Membership(replaced.clone()));
+        assert_eq!(dialled(subscription.step(input, at(500))), None, "its tail is the same");
         subscription.step(SubscriptionInput::CoreDisconnected, at(600));
         let mut dialled_addresses = BTreeSet::new();
         for now in (600..6000).step_by(10) {
