--- a/crates/gateway/src/caller_handler.rs
+++ b/crates/gateway/src/caller_handler.rs
@@ -28,7 +28,7 @@
 /// Serves callers.
 pub struct CallerHandler {
     pub shared: Arc<SharedState>,
-    pub table: TableHandle,
+    pub scheduler: SchedulerHandle,
     pub pool: Arc<ConnectionPool>,
     pub protocol: Arc<dyn Protocol>,
     pub samples: AtomicU64,
--- a/crates/gateway/src/followers.rs
+++ b/crates/gateway/src/followers.rs
@@ -19,7 +19,7 @@
 struct SourceFollower {
     source: EngineName,
     address: String,
-    table: TableHandle,
+    scheduler: SchedulerHandle,
     protocol: Arc<dyn Protocol>,
 }
 
@@ -29,11 +29,11 @@
 const RELAY_INTERVAL: Duration = Duration::from_millis(200);
 const RELAY_ERROR_PAUSE: Duration = Duration::from_millis(300);
 
-/// Keeps the selection table's knowledge of cached parts up to date.
+/// Keeps the scheduler's knowledge of cached parts up to date.
 pub struct PartFollowers {
     pub node: NodeId,
     pub shared: Arc<SharedState>,
-    pub table: TableHandle,
+    pub scheduler: SchedulerHandle,
     pub pool: Arc<ConnectionPool>,
     pub protocol: Arc<dyn Protocol>,
 }
@@ -59,7 +59,7 @@
             abort_unwanted(&mut followers, &assignment.direct);
             abort_unwanted(&mut relays, &assignment.relays);
             let direct_sources = assignment.direct.iter().map(|(source, _)| source.clone()).collect();
-            self.table.tell(TableCommand::DirectSources(direct_sources));
+            self.scheduler.tell(SchedulerCommand::DirectSources(direct_sources));
             for key in &assignment.direct {
                 followers.entry(key.clone()).or_insert_with(|| tokio::spawn(self.source_follower(key).follow()));
             }
@@ -67,7 +67,7 @@
                 let relay = RelayFollower {
                     router: key.0,
                     address: key.1.clone(),
-                    table: self.table.clone(),
+                    scheduler: self.scheduler.clone(),
                     unresponsive: Arc::clone(&unresponsive),
                 };
                 relays.entry(key.clone()).or_insert_with(|| tokio::spawn(relay.follow()));
@@ -95,7 +95,7 @@
 
     fn source_follower(&self, key: &(EngineName, String)) -> SourceFollower {
         let (source, address) = key.clone();
-        SourceFollower { source, address, table: self.table.clone(), protocol: Arc::clone(&self.protocol) }
+        SourceFollower { source, address, scheduler: self.scheduler.clone(), protocol: Arc::clone(&self.protocol) }
     }
 }
 
@@ -123,7 +123,7 @@
 struct RelayFollower {
     router: NodeId,
     address: String,
-    table: TableHandle,
+    scheduler: SchedulerHandle,
     unresponsive: UnresponsiveRouters,
 }
 
@@ -138,7 +138,11 @@
                 while let Ok(update) = self.ask(&mut connection, query).await {
                     errors = 0;
                     query = RelayQuery { incarnation: update.incarnation, since: update.next };
-                    self.table.tell(TableCommand::RelayUpdate { router: self.router, update, arrived: boot_now() });
+                    self.scheduler.tell(SchedulerCommand::RelayUpdate {
+                        router: self.router,
+                        update,
+                        arrived: boot_now(),
+                    });
                     tokio::time::sleep(RELAY_INTERVAL).await;
                 }
             }
@@ -182,7 +186,7 @@
                 Ok(mut connection) => self.follow_connection(&mut connection).await,
                 Err(_) => ERROR_PAUSE,
             };
-            self.table.tell(TableCommand::Unreachable { source: self.source.clone() });
+            self.scheduler.tell(SchedulerCommand::Unreachable { source: self.source.clone() });
             tokio::time::sleep(pause).await;
         }
     }
@@ -191,7 +195,8 @@
     async fn follow_connection(&self, connection: &mut PersistentConnection) -> Duration {
         loop {
             let source = self.source.clone();
-            let Some(position) = self.table.ask(|reply| TableCommand::Position { source, reply }).await else {
+            let Some(position) = self.scheduler.ask(|reply| SchedulerCommand::EventPosition { source, reply }).await
+            else {
                 return ERROR_PAUSE;
             };
             let outcome = match position {
@@ -219,7 +224,11 @@
             lost: part_events.is_lost,
             events: part_events.events,
         };
-        self.table.tell(TableCommand::Events { source: self.source.clone(), batch, received: boot_now() });
+        self.scheduler.tell(SchedulerCommand::ApplyEvents {
+            source: self.source.clone(),
+            batch,
+            received: boot_now(),
+        });
         Ok(())
     }
 
@@ -227,7 +236,7 @@
         let received = boot_now();
         let body = self.ask(connection, self.protocol.parts_request()).await?;
         let list = self.protocol.read_parts_list(&body).map_err(|reason| self.log_unreadable(&reason))?;
-        self.table.tell(TableCommand::List { source: self.source.clone(), list, received });
+        self.scheduler.tell(SchedulerCommand::ApplyList { source: self.source.clone(), list, received });
         Ok(())
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -21,4 +21,4 @@
 mod relay_log;
 mod request;
 mod retry_state;
-mod table;
+mod scheduler;
--- a/crates/gateway/src/prelude.rs
+++ b/crates/gateway/src/prelude.rs
@@ -17,7 +17,7 @@
 pub use crate::relay_log::*;
 pub use crate::request::*;
 pub use crate::retry_state::*;
-pub use crate::table::*;
+pub use crate::scheduler::*;
 pub(crate) use admission::prelude::RetryBudget;
 pub(crate) use attempts::prelude::is_leased;
 pub(crate) use blocks::prelude::Salt;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -43,8 +43,8 @@
         false => Arc::default(),
     };
     shared.publish(FleetSnapshot { old_weights_span, disturbed, ..FleetSnapshot::default() });
-    let (table, changes) =
-        start_table(node, plan.zone.clone(), Arc::clone(&shared), plan.retry_bounds, plan.disabled.clone());
+    let (scheduler, changes) =
+        start_scheduler(node, plan.zone.clone(), Arc::clone(&shared), plan.retry_bounds, plan.disabled.clone());
     let bounds = Arc::new(ConnectionTimeouts::default());
     spawn_feed(FeedConfig {
         agent_address: plan.agent_address.clone(),
@@ -56,7 +56,7 @@
             relay: plan.relay.map(|relay| relay.to_string()),
         },
         shared: Arc::clone(&shared),
-        on_change: follow_changes(&shared, &table, &bounds),
+        on_change: follow_changes(&shared, &scheduler, &bounds),
         coordinator: Arc::new(CoordinatorClient::default()),
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -82,20 +82,25 @@
             tokio::spawn(PeerGrantQuery { node, shared: Arc::clone(&shared) }.run());
             tokio::spawn(serve(
                 listener,
-                Arc::new(RelayHandler { table: table.clone(), changes, shared: Arc::clone(&shared) }),
+                Arc::new(RelayHandler { scheduler: scheduler.clone(), changes, shared: Arc::clone(&shared) }),
             ));
         }
         let caller_handler = Arc::new(CallerHandler {
             shared: Arc::clone(&shared),
-            table: table.clone(),
+            scheduler: scheduler.clone(),
             pool: Arc::clone(&pool),
             protocol: Arc::clone(&plan.protocol),
             samples: AtomicU64::new(node.0),
         });
         let connections = Arc::new(OpenConnections::default());
         let serving = tokio::spawn(serve_with_timeouts(callers, caller_handler, bounds, Arc::clone(&connections)));
-        let followers =
-            PartFollowers { node, shared: Arc::clone(&shared), table, pool, protocol: Arc::clone(&plan.protocol) };
+        let followers = PartFollowers {
+            node,
+            shared: Arc::clone(&shared),
+            scheduler,
+            pool,
+            protocol: Arc::clone(&plan.protocol),
+        };
         tokio::spawn(followers.run());
         stop.0.notified().await;
         drain(&shared, &plan, serving, &connections).await;
@@ -105,15 +110,15 @@
 
 fn follow_changes(
     shared: &Arc<SharedState>,
-    table: &TableHandle,
+    scheduler: &SchedulerHandle,
     bounds: &Arc<ConnectionTimeouts>,
 ) -> Box<dyn Fn() + Send + Sync> {
-    let (shared, table, bounds) = (Arc::clone(shared), table.clone(), Arc::clone(bounds));
+    let (shared, scheduler, bounds) = (Arc::clone(shared), scheduler.clone(), Arc::clone(bounds));
     Box::new(move || {
         let snapshot = shared.snapshot();
         bounds.set_idle_timeout(snapshot.state.desired.limits.idle_time);
         bounds.set_head_timeout(snapshot.state.desired.limits.header_time);
-        table.tell(TableCommand::FleetChanged);
+        scheduler.tell(SchedulerCommand::FleetChanged);
     })
 }
 
--- a/crates/gateway/src/relay/answer_head.rs
+++ b/crates/gateway/src/relay/answer_head.rs
@@ -33,7 +33,7 @@
         let head = self.protocol.read_answer(parts.status, &parts.headers);
         let engine = &chosen.engine;
         if let Some(load) = head.load {
-            self.table.tell(TableCommand::Load { engine: engine.clone(), load });
+            self.scheduler.tell(SchedulerCommand::RecordLoad { engine: engine.clone(), load });
         }
         let is_of_another = head.attempt.as_ref().is_some_and(|named| *named != self.planned.head.attempt);
         if is_of_another {
@@ -69,7 +69,7 @@
         if head.is_misdirected {
             self.record_fault(engine, FaultKind::Refused, "the request reached another engine or other weights");
         } else {
-            self.table.tell(TableCommand::Full { engine: engine.clone() });
+            self.scheduler.tell(SchedulerCommand::RecordFull { engine: engine.clone() });
             event!(debug, "attempt_turned_away", engine = engine, status = status.as_u16());
         }
     }
@@ -78,7 +78,7 @@
     async fn failed_response(&mut self, engine: EngineName, answer: OpenResponse) -> AttemptEnd {
         event!(debug, "attempt_failed", engine = engine, status = answer.status.as_u16());
         if answer.status.is_server_error() {
-            self.table.tell(TableCommand::Failed { engine: engine.clone(), kind: FaultKind::Failed });
+            self.scheduler.tell(SchedulerCommand::RecordFault { engine: engine.clone(), kind: FaultKind::Failed });
         }
         self.tried.push(engine);
         let answer = self.read_buffered_response(answer).await.ok();
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -29,11 +29,11 @@
     async fn choose(&mut self, is_retry: bool) -> Result<(Box<Chosen>, EngineReservation), AttemptEnd> {
         let planned = Arc::clone(&self.planned);
         let request = Box::new(SelectRequest { planned, tried: self.tried.clone(), is_retry });
-        match self.table.ask(|reply| TableCommand::Select { request, reply }).await {
+        match self.scheduler.ask(|reply| SchedulerCommand::Select { request, reply }).await {
             Some(Selected::Chosen(chosen)) => {
                 let tokens = self.planned.head.prompt_tokens + self.planned.head.output_tokens;
                 let reservation =
-                    EngineReservation::new(&self.table, chosen.engine.clone(), tokens, chosen.prefill_tokens);
+                    EngineReservation::new(&self.scheduler, chosen.engine.clone(), tokens, chosen.prefill_tokens);
                 Ok((chosen, reservation))
             }
             Some(Selected::Refused { retry_after }) => {
--- a/crates/gateway/src/relay/engine_reports.rs
+++ b/crates/gateway/src/relay/engine_reports.rs
@@ -1,4 +1,4 @@
-//! The relay's reports to the table about an engine: the end of a prefill, or a failure.
+//! The relay's reports to the scheduler about an engine: the end of a prefill, or a failure.
 
 use super::Relay;
 use crate::prelude::*;
@@ -8,7 +8,7 @@
     pub(super) fn record_prefill(&self, reservation: &mut EngineReservation, weights: WeightsEdition) {
         let parts = self.planned.named_parts(&self.shared.snapshot(), weights);
         let pending_prefill_tokens = reservation.begin_response();
-        self.table.tell(TableCommand::ResponseBegan {
+        self.scheduler.tell(SchedulerCommand::ResponseBegan {
             engine: reservation.engine.clone(),
             parts,
             pending_prefill_tokens,
@@ -21,7 +21,7 @@
     pub(super) fn record_fault(&mut self, engine: &EngineName, kind: FaultKind, reason: &str) {
         event!(debug, "attempt_fault", engine = engine, kind = format!("{kind:?}"), reason = reason);
         self.tried.push(engine.clone());
-        self.table.tell(TableCommand::Failed { engine: engine.clone(), kind });
+        self.scheduler.tell(SchedulerCommand::RecordFault { engine: engine.clone(), kind });
     }
 
     /// Reports that the connection to an engine timed out or was refused.
--- a/crates/gateway/src/relay/overdue.rs
+++ b/crates/gateway/src/relay/overdue.rs
@@ -9,7 +9,7 @@
 
 /// Reports a failure of the engine when dropped after the response is overdue, whoever gave the attempt up.
 pub(super) struct OverdueWatch {
-    table: TableHandle,
+    scheduler: SchedulerHandle,
     engine: EngineName,
     due: Instant,
     is_over: bool,
@@ -19,8 +19,8 @@
     /// Starts with an attempt; the route's target determines when the response is overdue.
     pub(super) fn begin(relay: &Relay, engine: &EngineName) -> OverdueWatch {
         let patience = relay.planned.route.spec.target.times(OVERDUE_FACTOR).max(MIN_OVERDUE_TIME);
-        let (table, engine) = (relay.table.clone(), engine.clone());
-        OverdueWatch { table, engine, due: boot_now() + patience, is_over: false }
+        let (scheduler, engine) = (relay.scheduler.clone(), engine.clone());
+        OverdueWatch { scheduler, engine, due: boot_now() + patience, is_over: false }
     }
 
     /// Ends the watch, as the engine has responded.
@@ -33,7 +33,7 @@
     fn drop(&mut self) {
         if !self.is_over && boot_now() >= self.due {
             let (engine, kind) = (self.engine.clone(), FaultKind::Failed);
-            self.table.tell(TableCommand::Failed { engine, kind });
+            self.scheduler.tell(SchedulerCommand::RecordFault { engine, kind });
         }
     }
 }
--- a/crates/gateway/src/relay_handler.rs
+++ b/crates/gateway/src/relay_handler.rs
@@ -10,7 +10,7 @@
 
 /// Serves other routers' queries.
 pub struct RelayHandler {
-    pub table: TableHandle,
+    pub scheduler: SchedulerHandle,
     /// Changes whenever the log does.
     pub changes: tokio::sync::watch::Receiver<u64>,
     pub shared: Arc<SharedState>,
@@ -45,11 +45,12 @@
     async fn answer(&self, query: RelayQuery) -> Option<RelayUpdate> {
         let mut changes = self.changes.clone();
         changes.borrow_and_update();
-        let update = self.table.ask(|reply| TableCommand::RelayQuery { query, is_final: false, reply }).await?;
+        let update =
+            self.scheduler.ask(|reply| SchedulerCommand::RelayQuery { query, is_final: false, reply }).await?;
         if update.is_some() {
             return update;
         }
         let _ = tokio::time::timeout(LONG_POLL_WAIT, changes.changed()).await;
-        self.table.ask(|reply| TableCommand::RelayQuery { query, is_final: true, reply }).await?
+        self.scheduler.ask(|reply| SchedulerCommand::RelayQuery { query, is_final: true, reply }).await?
     }
 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -1,9 +1,9 @@
-//! The table: the single owner of the selector and the retry budgets, which processes a queue of commands on its
-//! own thread.
+//! The scheduler owns the selector and the retry budgets, and handles a queue of commands on a thread of its own.
 
 use crate::prelude::*;
 
-const TABLE_QUEUE_CAPACITY: usize = 8192;
+/// How many commands may wait.
+const QUEUE_CAPACITY: usize = 8192;
 /// The overlap weight if the desired state has no default policy.
 const DEFAULT_OVERLAP_WEIGHT: f64 = 64.0;
 /// The cost of fetching cached tokens, as a share of the cost of their prefill.
@@ -40,14 +40,14 @@
     }
 }
 
-/// Commands to the table.
-pub enum TableCommand {
+/// Commands to the scheduler.
+pub enum SchedulerCommand {
     /// The fleet snapshot changed.
     FleetChanged,
     /// Selects an engine for an attempt.
     Select { request: Box<SelectRequest>, reply: oneshot::Sender<Selected> },
     /// A request ended; with `pending_prefill_tokens` if its response had not begun.
-    End { engine: EngineName, tokens: u64, pending_prefill_tokens: Option<u64> },
+    EndAttempt { engine: EngineName, tokens: u64, pending_prefill_tokens: Option<u64> },
     /// A response began, so the engine has finished the prefill and caches the prompt's parts.
     ResponseBegan {
         engine: EngineName,
@@ -58,17 +58,17 @@
         waited: Span,
     },
     /// An engine reported its load.
-    Load { engine: EngineName, load: EngineLoad },
+    RecordLoad { engine: EngineName, load: EngineLoad },
     /// An attempt failed at an engine.
-    Failed { engine: EngineName, kind: FaultKind },
+    RecordFault { engine: EngineName, kind: FaultKind },
     /// An engine rejected an attempt because it is full.
-    Full { engine: EngineName },
+    RecordFull { engine: EngineName },
     /// Asks for the position from which to request a source's events; the reply is `None` if its full list is needed.
-    Position { source: EngineName, reply: oneshot::Sender<Option<SourcePosition>> },
+    EventPosition { source: EngineName, reply: oneshot::Sender<Option<SourcePosition>> },
     /// A batch of events of a source.
-    Events { source: EngineName, batch: PartBatch, received: Instant },
+    ApplyEvents { source: EngineName, batch: PartBatch, received: Instant },
     /// The full list of a source.
-    List { source: EngineName, list: PartList, received: Instant },
+    ApplyList { source: EngineName, list: PartList, received: Instant },
     /// A source is unreachable.
     Unreachable { source: EngineName },
     /// The sources that this router reads directly now.
@@ -98,20 +98,20 @@
     NoBudget,
 }
 
-/// A handle to send commands to the table. If its queue is full, `ask` returns `None` and the request is refused.
+/// A handle to send commands to the scheduler. If its queue is full, `ask` returns `None` and the request is refused.
 #[derive(Clone)]
-pub struct TableHandle {
-    queue: Sender<TableCommand>,
+pub struct SchedulerHandle {
+    queue: Sender<SchedulerCommand>,
 }
 
-impl TableHandle {
+impl SchedulerHandle {
     /// Sends a command without a reply. Blocks the thread while the queue is full.
-    pub fn tell(&self, command: TableCommand) {
+    pub fn tell(&self, command: SchedulerCommand) {
         let _ = self.queue.send(command);
     }
 
     /// Sends a command and waits for its reply; `None` if the queue is full.
-    pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> TableCommand) -> Option<T> {
+    pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> SchedulerCommand) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.queue.try_send(command(reply)).ok()?;
         answer.await.ok()
@@ -120,7 +120,7 @@
 
 /// A request's load on an engine; released when dropped.
 pub struct EngineReservation {
-    table: TableHandle,
+    scheduler: SchedulerHandle,
     pub engine: EngineName,
     tokens: u64,
     /// The tokens of the prefill; `None` once the response has begun.
@@ -130,13 +130,13 @@
 
 impl EngineReservation {
     pub fn new(
-        table: &TableHandle,
+        scheduler: &SchedulerHandle,
         engine: EngineName,
         tokens: u64,
         pending_prefill_tokens: u64,
     ) -> EngineReservation {
         EngineReservation {
-            table: table.clone(),
+            scheduler: scheduler.clone(),
             engine,
             tokens,
             pending_prefill_tokens: Some(pending_prefill_tokens),
@@ -159,19 +159,19 @@
     fn drop(&mut self) {
         let (engine, tokens, pending_prefill_tokens) =
             (self.engine.clone(), self.tokens, self.pending_prefill_tokens);
-        self.table.tell(TableCommand::End { engine, tokens, pending_prefill_tokens });
+        self.scheduler.tell(SchedulerCommand::EndAttempt { engine, tokens, pending_prefill_tokens });
     }
 }
 
-/// Starts the table's thread; also returns a receiver of the relay log's next number.
-pub fn start_table(
+/// Starts the scheduler's thread; also returns a receiver of the relay log's next number.
+pub fn start_scheduler(
     node: NodeId,
     zone: Zone,
     shared: Arc<SharedState>,
     bounds: RetryBounds,
     disabled: DisabledMechanisms,
-) -> (TableHandle, tokio::sync::watch::Receiver<u64>) {
-    let (queue, commands) = bounded_queue::<TableCommand>(TABLE_QUEUE_CAPACITY);
+) -> (SchedulerHandle, tokio::sync::watch::Receiver<u64>) {
+    let (queue, commands) = bounded_queue::<SchedulerCommand>(QUEUE_CAPACITY);
     let (changes, changes_receiver) = tokio::sync::watch::channel(0);
     spawn_thread("table", move || {
         let settings = SelectionSettings {
@@ -188,7 +188,7 @@
             ..SelectionSettings::default()
         };
         let selector = Selector::with_settings(node, zone, disable_mechanisms(&disabled, settings));
-        let mut table = Table {
+        let mut scheduler = Scheduler {
             selector,
             budgets: HashMap::new(),
             bounds,
@@ -201,13 +201,13 @@
             changes,
         };
         while let Ok(command) = commands.recv() {
-            table.handle(command);
+            scheduler.handle(command);
         }
     });
-    (TableHandle { queue }, changes_receiver)
+    (SchedulerHandle { queue }, changes_receiver)
 }
 
-struct Table {
+struct Scheduler {
     selector: Selector,
     budgets: HashMap<ServiceName, RetryBudget>,
     bounds: RetryBounds,
@@ -222,22 +222,22 @@
     changes: tokio::sync::watch::Sender<u64>,
 }
 
-impl Table {
-    fn handle(&mut self, command: TableCommand) {
+impl Scheduler {
+    fn handle(&mut self, command: SchedulerCommand) {
         let now = boot_now();
         match command {
-            TableCommand::FleetChanged => self.update_fleet(),
-            TableCommand::Select { request, reply } => {
+            SchedulerCommand::FleetChanged => self.update_fleet(),
+            SchedulerCommand::Select { request, reply } => {
                 let tokens = request.planned.head.prompt_tokens + request.planned.head.output_tokens;
                 let selected = self.select(&request, now);
                 if let Err(Selected::Chosen(chosen)) = reply.send(selected) {
                     self.end(&chosen.engine, tokens, Some(chosen.prefill_tokens));
                 }
             }
-            TableCommand::End { engine, tokens, pending_prefill_tokens } => {
+            SchedulerCommand::EndAttempt { engine, tokens, pending_prefill_tokens } => {
                 self.end(&engine, tokens, pending_prefill_tokens)
             }
-            TableCommand::ResponseBegan { engine, parts, pending_prefill_tokens, service, waited } => {
+            SchedulerCommand::ResponseBegan { engine, parts, pending_prefill_tokens, service, waited } => {
                 if let Some(pending_prefill_tokens) = pending_prefill_tokens {
                     self.selector.end_prefill(&engine, pending_prefill_tokens);
                     self.selector.observe_prefill(&service, pending_prefill_tokens, waited);
@@ -245,39 +245,41 @@
                 self.selector.record_success(&engine, now);
                 self.selector.record_sent(&engine, &parts, now);
             }
-            TableCommand::Load { engine, load } => {
+            SchedulerCommand::RecordLoad { engine, load } => {
                 self.loads.insert(engine.clone(), (load, now));
                 let EngineLoad { running, waiting, slots } = load;
                 let load = selection::prelude::EngineLoad { running, waiting, slots };
                 self.selector.record_load(&engine, load, now);
             }
-            TableCommand::Failed { engine, kind } => self.selector.record_fault(&engine, kind, now),
-            TableCommand::Full { engine } => self.selector.record_full(&engine, now),
-            TableCommand::Position { source, reply } => {
+            SchedulerCommand::RecordFault { engine, kind } => self.selector.record_fault(&engine, kind, now),
+            SchedulerCommand::RecordFull { engine } => self.selector.record_full(&engine, now),
+            SchedulerCommand::EventPosition { source, reply } => {
                 let _ = reply.send(self.selector.position(&source));
             }
-            TableCommand::Events { source, batch, received } => {
+            SchedulerCommand::ApplyEvents { source, batch, received } => {
                 if self.selector.apply_events(&source, &batch, received) == FollowOutcome::Followed {
                     self.log.record_events(&source, &batch.events);
                     self.publish_changes();
                 }
             }
-            TableCommand::List { source, list, received } => {
+            SchedulerCommand::ApplyList { source, list, received } => {
                 let position = SourcePosition { epoch: list.epoch, next: list.next };
                 self.selector.replace_parts(&source, position, &list.kept, received);
                 self.log.record_list(&source);
                 self.publish_changes();
             }
-            TableCommand::Unreachable { source } => self.selector.mark_unreachable(&source),
-            TableCommand::DirectSources(sources) => {
+            SchedulerCommand::Unreachable { source } => self.selector.mark_unreachable(&source),
+            SchedulerCommand::DirectSources(sources) => {
                 self.direct_sources = sources;
                 self.publish_changes();
             }
-            TableCommand::RelayQuery { query, is_final, reply } => {
+            SchedulerCommand::RelayQuery { query, is_final, reply } => {
                 let has_changes = is_final || self.log.has_changes(&query);
                 let _ = reply.send(has_changes.then(|| self.relay(&query, now)));
             }
-            TableCommand::RelayUpdate { router, update, arrived } => self.apply_relay_update(router, update, arrived),
+            SchedulerCommand::RelayUpdate { router, update, arrived } => {
+                self.apply_relay_update(router, update, arrived)
+            }
         }
     }
 
