--- a/crates/adapters/src/demand.rs
+++ b/crates/adapters/src/demand.rs
@@ -13,7 +13,7 @@
 
 /// A router's report as received by the chain's tail, with its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardDemand {
+pub struct AgedDemandReport {
     pub report: DemandReport,
     pub age: Span,
 }
@@ -37,8 +37,8 @@
 
 impl DemandTracker {
     /// Records reports; only the latest of each router is kept.
-    pub fn record(&mut self, reports: Vec<HeardDemand>, now: Instant) {
-        for HeardDemand { report, age } in reports {
+    pub fn record(&mut self, reports: Vec<AgedDemandReport>, now: Instant) {
+        for AgedDemandReport { report, age } in reports {
             let sent = Instant(now.0.saturating_sub(age.0));
             let is_newer = self.reports.get(&report.router).is_none_or(|(_, known)| *known < sent);
             if is_newer {
--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -105,7 +105,7 @@
         for (number, zone) in ZONES.into_iter().enumerate() {
             let rates = self.meters.get_mut(zone).unwrap().rates(span, self.now);
             let report = DemandReport { router: NodeId(number as u64 + 1), zone: zone.into(), rates };
-            self.planner.demand.record(vec![HeardDemand { report, age: Span(0) }], self.now);
+            self.planner.demand.record(vec![AgedDemandReport { report, age: Span(0) }], self.now);
         }
         let seen = self.seen();
         for action in self.planner.next_actions(&self.state, &seen, self.now) {
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -127,7 +127,7 @@
     Settled(CommandOutcome),
     State(Box<FleetState>),
     Nodes(Vec<NodeReport>),
-    Demand(Vec<HeardDemand>),
+    Demand(Vec<AgedDemandReport>),
     Configuration {
         revision: Revision,
         source: String,
--- a/crates/coordinator/src/prelude.rs
+++ b/crates/coordinator/src/prelude.rs
@@ -10,7 +10,7 @@
 pub(crate) use crate::tail::*;
 pub use crate::view_changes::join_ids;
 pub(crate) use crate::view_composition::*;
-pub use adapters::prelude::{DemandReport, HeardDemand};
+pub use adapters::prelude::{AgedDemandReport, DemandReport};
 pub use chain::prelude::{ChainMessage, CommitAges, Log, Record};
 pub use desired::prelude::{
     CLAIM_RETENTION, Command, CommandOutcome, Duty, DutyKind, EngineStatus, FleetState, Listing, Revision,
--- a/crates/coordinator/src/queries.rs
+++ b/crates/coordinator/src/queries.rs
@@ -80,7 +80,7 @@
                 QueryOutcome::Configuration { revision: configuration.revision, source: configuration.source.clone() }
             }
             CoreQuery::State => QueryOutcome::State(Box::new(self.log.state().without_claims())),
-            CoreQuery::Demand => QueryOutcome::Demand(self.heard_demand(now)),
+            CoreQuery::Demand => QueryOutcome::Demand(self.aged_demand_reports(now)),
             CoreQuery::Nodes => {
                 let Some(tail) = &self.tail else { return };
                 let reports = tail
--- a/crates/coordinator/src/tail/nodes.rs
+++ b/crates/coordinator/src/tail/nodes.rs
@@ -74,12 +74,12 @@
     }
 
     /// The demand reports of nodes that hold a lease.
-    pub(crate) fn heard_demand(&mut self, now: Instant) -> Vec<HeardDemand> {
+    pub(crate) fn aged_demand_reports(&mut self, now: Instant) -> Vec<AgedDemandReport> {
         let Some(tail) = self.tail.as_mut() else { return Vec::new() };
         let leased = tail.leased_nodes();
         tail.demand.retain(|node, _| leased.contains(node));
         let reports = tail.demand.values();
-        reports.map(|(report, at)| HeardDemand { report: report.clone(), age: now.since(*at) }).collect()
+        reports.map(|(report, at)| AgedDemandReport { report: report.clone(), age: now.since(*at) }).collect()
     }
 
     /// When a core machine was last seen to fail or return: this keeper's own start, the return of a peer, or the
--- a/crates/keeper/src/adapters_page.rs
+++ b/crates/keeper/src/adapters_page.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 
 /// Every adapter of the document with its copies and its request rates by region.
-pub(crate) fn show_adapters(state: &FleetState, demand: &[HeardDemand]) -> Value {
+pub(crate) fn show_adapters(state: &FleetState, demand: &[AgedDemandReport]) -> Value {
     let adapters: Vec<Value> = state
         .desired
         .adapters
@@ -35,9 +35,9 @@
     values
 }
 
-fn demand_json(state: &FleetState, name: &AdapterName, demand: &[HeardDemand]) -> Value {
+fn demand_json(state: &FleetState, name: &AdapterName, demand: &[AgedDemandReport]) -> Value {
     let mut rates: BTreeMap<String, f64> = BTreeMap::new();
-    for HeardDemand { report, .. } in demand {
+    for AgedDemandReport { report, .. } in demand {
         if let Some(rate) = report.rates.get(name) {
             let region = state.desired.region_of(&report.zone);
             *rates.entry(region.0).or_default() += *rate as f64 / RATE_UNIT;
