--- a/crates/gateway/src/caller_handler.rs
+++ b/crates/gateway/src/caller_handler.rs
@@ -206,13 +206,13 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut kept = HeaderMap::new();
+    let mut end_to_end = HeaderMap::new();
     for (name, value) in headers {
         let is_hop =
             HOP_BY_HOP_HEADERS.contains(&name.as_str()) || named_by_connection.iter().any(|hop| hop == name.as_str());
         if !is_hop && name != "content-length" && name != "expect" {
-            kept.append(name.clone(), value.clone());
+            end_to_end.append(name.clone(), value.clone());
         }
     }
-    kept
+    end_to_end
 }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -63,7 +63,7 @@
         let idle_time = answer.keep_alive.map_or(DEFAULT_IDLE_TIME, |span| Span(span.0 / 2)).min(MAX_IDLE_TIME);
         let mut idle = self.idle();
         let connections = idle.entry(address.to_owned()).or_default();
-        connections.retain(|kept| now < kept.until);
+        connections.retain(|idle| now < idle.until);
         if connections.len() < MAX_IDLE_PER_ADDRESS {
             connections.push(IdleConnection { connection, until: now + idle_time });
         }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -123,7 +123,7 @@
 }
 
 /// Withdraws readiness and still serves new requests for a while; then accepts no more and waits for those running.
-/// Kept-alive connections are closed gracefully when the intake ends: their callers would go on sending requests
+/// Persistent connections are closed gracefully when the intake ends: their callers would go on sending requests
 /// that cannot finish in the time left, and one that arrived while the process ends would be read but never
 /// answered.
 async fn drain(
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -86,7 +86,7 @@
 pub struct PartList {
     pub epoch: u64,
     pub next: u64,
-    pub kept: Vec<(PartName, u64)>,
+    pub cached: Vec<(PartName, u64)>,
 }
 
 /// Reads callers' requests and marks responses to them.
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -264,7 +264,7 @@
             }
             SchedulerCommand::ApplyList { source, list, received } => {
                 let position = SourcePosition { epoch: list.epoch, next: list.next };
-                self.selector.replace_parts(&source, position, &list.kept, received);
+                self.selector.replace_parts(&source, position, &list.cached, received);
                 self.log.record_list(&source);
                 self.publish_changes();
             }
@@ -295,7 +295,7 @@
     }
 
     fn relay(&self, query: &RelayQuery, now: Instant) -> RelayUpdate {
-        let list = |source: &EngineName| self.selector.kept_parts(source);
+        let list = |source: &EngineName| self.selector.cached_parts(source);
         let age = |source: &EngineName| now.since(self.selector.events_known_until(source));
         let mut update = self.log.answer(query, &self.direct_sources, list, age);
         let fresh_loads = self.loads.iter().filter(|(_, (_, received))| now.since(*received) < MAX_LOAD_AGE);
--- a/crates/placement/src/picker.rs
+++ b/crates/placement/src/picker.rs
@@ -147,7 +147,7 @@
 
     /// Records that the engine sent its first output. It caches the prompt's blocks now, and events for them are
     /// expected.
-    pub fn record_kept(&mut self, engine: &EngineName, names: &[BlockHash], now: Instant) {
+    pub fn record_cached(&mut self, engine: &EngineName, names: &[BlockHash], now: Instant) {
         let index = SourceIndex(self.engine_mut(engine).index);
         self.history.record(index, names);
         let Some(last_name) = names.last().copied().filter(|name| !self.tree.contains(index, *name)) else { return };
--- a/crates/placement/tests/picker.rs
+++ b/crates/placement/tests/picker.rs
@@ -68,8 +68,8 @@
         let names = asked_prompt.names[&WeightsEdition(1)].clone();
         assert_eq!(names.len(), 100);
         let mut picker = Picker::new(NodeId(1), "a".into());
-        for (engine, kept_count, busy_blocks) in [("busy", 90, 300), ("middle", 50, 170), ("idle", 0, 40)] {
-            picker.apply_snapshot(&engine.into(), "x", 1, names[..kept_count].to_vec(), NOW);
+        for (engine, cached_count, busy_blocks) in [("busy", 90, 300), ("middle", 50, 170), ("idle", 0, 40)] {
+            picker.apply_snapshot(&engine.into(), "x", 1, names[..cached_count].to_vec(), NOW);
             picker.begin_attempt(&engine.into(), BlockCount(busy_blocks));
         }
         let placement = picker.pick(&snapshot, &asked_prompt, NOW).unwrap();
@@ -87,7 +87,7 @@
     for engine in ["one", "two"] {
         picker.apply_snapshot(&engine.into(), "x", 1, Vec::new(), NOW);
     }
-    picker.record_kept(&"two".into(), &names, NOW);
+    picker.record_cached(&"two".into(), &names, NOW);
     let later = NOW + Span::millis(2100);
     for engine in ["one", "two"] {
         assert!(picker.apply_events(&engine.into(), "x", 1, &[], later));
@@ -127,8 +127,8 @@
     let snapshot = fleet(&["one", "two"], document);
     let mut picker = Picker::new(NodeId(1), "a".into());
     let mut on_trial = |tenant: &str, trial_bucket| {
-        let asked = Prompt { tenant: tenant.into(), trial_bucket, ..prompt("z") };
-        picker.pick(&snapshot, &asked, NOW).unwrap().policy == "p"
+        let prompt = Prompt { tenant: tenant.into(), trial_bucket, ..prompt("z") };
+        picker.pick(&snapshot, &prompt, NOW).unwrap().policy == "p"
     };
     assert_eq!((0..100).filter(|trial_bucket| on_trial("t", *trial_bucket)).count(), 30);
     assert_eq!((0..100).filter(|trial_bucket| on_trial("u", *trial_bucket)).count(), 0);
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -119,8 +119,8 @@
                 self.config.coordinator.settle(ticket, outcome);
             }
             LinkEvent::Message(_, AgentToRouter::Routers(routers)) => self.config.shared.update_routers(routers),
-            LinkEvent::Message(_, AgentToRouter::Lease { asked, until, disturbed }) => {
-                self.config.shared.renew_lease(asked, until);
+            LinkEvent::Message(_, AgentToRouter::Lease { requested_at, until, disturbed }) => {
+                self.config.shared.renew_lease(requested_at, until);
                 self.config.shared.record_disturbance(disturbed);
             }
             LinkEvent::Message(_, AgentToRouter::Snapshot { state, gave_way }) => {
--- a/crates/router/src/forward/answer.rs
+++ b/crates/router/src/forward/answer.rs
@@ -21,7 +21,7 @@
             let chosen = &attempt.placement.chosen;
             let salt = self.run.plan.salt(&attempt.snapshot, chosen.weights);
             let names = hash_blocks(&salt, self.run.plan.prompt_text.as_bytes());
-            self.run.scheduler.tell(SchedulerCommand::RecordKept { engine: chosen.engine.clone(), names });
+            self.run.scheduler.tell(SchedulerCommand::RecordCached { engine: chosen.engine.clone(), names });
             self.run.count_blocks(&attempt.placement);
             if attempt.adapter.is_some() {
                 self.run.shared.counts.count_adapter_request(chosen.distance_blocks, chosen.is_far);
--- a/crates/router/src/scheduler.rs
+++ b/crates/router/src/scheduler.rs
@@ -19,8 +19,8 @@
     Pick { prompt: Box<Prompt>, is_retry: bool, reply: oneshot::Sender<Picked> },
     /// End an attempt, which occupied this many blocks.
     EndAttempt { engine: EngineName, blocks: BlockCount },
-    /// An engine holds these blocks now.
-    RecordKept { engine: EngineName, names: Vec<BlockHash> },
+    /// An engine has cached these blocks.
+    RecordCached { engine: EngineName, names: Vec<BlockHash> },
     /// An attempt at an engine failed.
     RecordFault { engine: EngineName },
     /// An engine refused an attempt because it does not hold the adapter.
@@ -165,7 +165,7 @@
                 }
             }
             SchedulerCommand::EndAttempt { engine, blocks } => self.picker.end_attempt(&engine, blocks),
-            SchedulerCommand::RecordKept { engine, names } => self.picker.record_kept(&engine, &names, now),
+            SchedulerCommand::RecordCached { engine, names } => self.picker.record_cached(&engine, &names, now),
             SchedulerCommand::RecordFault { engine } => self.picker.record_fault(&engine, now),
             SchedulerCommand::RecordCold { engine, adapter } => self.picker.record_cold(&engine, &adapter, now),
             SchedulerCommand::EventPosition { engine, reply } => {
--- a/crates/selection/src/fetch.rs
+++ b/crates/selection/src/fetch.rs
@@ -115,7 +115,7 @@
         if now < state.backoff_until || state.events_are_late(self.settings.events_late, now) {
             return None;
         }
-        Some(self.index.kept_tokens(state.index, parts)).filter(|kept| *kept > 0)
+        Some(self.index.kept_tokens(state.index, parts)).filter(|tokens| *tokens > 0)
     }
 
     /// The cost of the tokens that the candidate lacks, expressed in tokens to prefill; fetching some of them
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -287,7 +287,7 @@
     }
 
     /// All parts that a source is known to cache; none if it is not followed.
-    pub fn kept_parts(&self, source: &EngineName) -> Option<Vec<(PartName, u64)>> {
+    pub fn cached_parts(&self, source: &EngineName) -> Option<Vec<(PartName, u64)>> {
         let state = self.sources.get(source).filter(|state| state.position.is_some())?;
         Some(self.index.list(state.index))
     }
--- a/crates/simulator/src/effects.rs
+++ b/crates/simulator/src/effects.rs
@@ -31,7 +31,7 @@
             AttemptEffect::Write => self.write(node, router_id, run, local_now, inputs),
             AttemptEffect::FirstPieceReceived => {
                 if let (Some(router), Some(attempt)) = (self.nodes[node].router.as_mut(), &run.attempt) {
-                    router.picker.record_kept(&attempt.ground.engine, &attempt.names, local_now);
+                    router.picker.record_cached(&attempt.ground.engine, &attempt.names, local_now);
                 }
                 if run.request.resumes && run.request.streams {
                     run.held = Some(HeldEvents::default());
--- a/crates/subscription/src/machine.rs
+++ b/crates/subscription/src/machine.rs
@@ -279,7 +279,7 @@
                 if asked_for_this_incarnation {
                     self.lease_until = self.lease_until.max(sent + span);
                     let disturbed = self.instant_at_age(undisturbed);
-                    let lease = AgentToRouter::Lease { asked: sent, until: sent + span, disturbed };
+                    let lease = AgentToRouter::Lease { requested_at: sent, until: sent + span, disturbed };
                     self.effects.push(SubscriptionEffect::SendToRouter(lease));
                 }
             }
--- a/crates/subscription/src/messages.rs
+++ b/crates/subscription/src/messages.rs
@@ -46,7 +46,8 @@
     /// A lease, and the time of the core's last disturbance, which is never later than the actual one.
     Lease {
         /// When the granted renewal was sent.
-        asked: Instant,
+        #[serde(rename = "asked")]
+        requested_at: Instant,
         /// The end of the period in which the router may start work.
         until: Instant,
         /// When a core machine last failed or returned.
