--- a/crates/conductor/src/rollout.rs
+++ b/crates/conductor/src/rollout.rs
@@ -139,9 +139,9 @@
         Some((*since).max(self.disturbed) + self.expedite_after?)
     }
 
-    /// The steps to take now. Their outcomes come back through `record_answer`, `record_report` and, for engine_statuses,
-    /// the fleet state. `may_order` is false while orders of the previous holder may still be in flight: then
-    /// no order is given.
+    /// The steps to take now. Their outcomes come back through `record_answer` and `record_report`, or through the
+    /// fleet state for a new engine status. `may_order` is false while orders of the previous holder may still be in
+    /// flight; no order is given then.
     pub fn next_steps(&mut self, state: &FleetState, may_order: bool, now: Instant) -> Vec<RolloutStep> {
         self.progress.retain(|engine, _| state.listing.engines.contains_key(engine));
         self.note_wanted(state, now);
--- a/crates/coordinator/src/addressing.rs
+++ b/crates/coordinator/src/addressing.rs
@@ -12,8 +12,8 @@
 pub(crate) struct Misdirected {
     pub(crate) count: u64,
     logged_at: Option<Instant>,
-    /// When a sender was last told who listens here. Replies are rate-limited because each may make the sender send
-    /// again.
+    /// When this keeper's status was last sent in reply. Replies are rate-limited because each may make the sender
+    /// send again.
     answered_at: Option<Instant>,
 }
 
@@ -113,7 +113,7 @@
         !is_other_fleet && is_addressed && envelope.from.id != self.me.id
     }
 
-    /// Counts a misdirected message and sends a sender of the same fleet this keeper's status, so that it learns the
+    /// Counts a misdirected message. A sender of the same fleet gets this keeper's status, from which it learns the
     /// current incarnation.
     fn drop_misdirected(&mut self, envelope: &Envelope, now: Instant) {
         self.misdirected.count += 1;
--- a/crates/coordinator/src/dispatch.rs
+++ b/crates/coordinator/src/dispatch.rs
@@ -1,5 +1,5 @@
 //! Decides which effects of a step are still carried out. A message with an expired validity is dropped, for example
-//! after a slow sync. The state machine assumes that it was sent, so it is told of each drop.
+//! after a slow sync. The state machine assumes that it was sent, so each drop is reported to it.
 
 use crate::prelude::*;
 
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -241,7 +241,8 @@
         query: CoreQuery,
         deadline: Instant,
     },
-    /// The platform's listing as read by this keeper, or nothing if the read failed; `requested_at` is when the read began.
+    /// The platform's listing as read by this keeper, or `None` if the read failed; `requested_at` is when the read
+    /// began.
     ListingRead {
         read: Option<(String, ListingNumber)>,
         requested_at: Instant,
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Adopts the commit times of the member that served the catch-up. Ages count from when the request was sent, so no
-    /// time is later than the actual commit: the head numbered each record before it could be committed, or was in
+    /// Adopts the commit times of the member that served the catch-up. Ages count from when the request was sent, so
+    /// no time is later than the actual commit: the head numbered each record before it could be committed, or was in
     /// every chain since, and each member takes its times from its predecessor.
     fn take_ages(&mut self, ages: &CommitAges, nonce: u64) {
         self.clear_commit_times();
--- a/crates/coordinator/src/view_composition.rs
+++ b/crates/coordinator/src/view_composition.rs
@@ -67,9 +67,9 @@
         })
     }
 
-    /// The next chain without its new member, and the membership change. Takes the first candidate that keeps enough
-    /// copies of the committed records: without leaving and unhealthy members, without unhealthy ones, without failed
-    /// ones only.
+    /// The next chain without its new member, and the membership change. Failed members are always left out. The
+    /// first candidate also leaves out unhealthy and leaving members, the second unhealthy ones, the third no others.
+    /// The first one that keeps enough copies of the committed records is taken.
     fn next_chain(
         &self,
         promised: &BTreeMap<NodeId, LogPosition>,
@@ -149,8 +149,9 @@
         self.view.in_chain(member) && complete_view == Some(self.view.number)
     }
 
-    /// Whether a member's log is complete: it was in the chain all the time, or it has promised its vote and its log
-    /// ends where that of such a member does, which has promised as well and so no longer takes part in this view.
+    /// Whether a member's log is complete. That is so if the member was in the chain all the time, or if it has
+    /// promised its vote and its log ends at the same position as that of a member which was. The other member must
+    /// have promised its vote too, so that its log does not grow in this view any more.
     fn has_complete_log(&self, member: NodeId, promised: &BTreeMap<NodeId, LogPosition>) -> bool {
         let Some(own_end) = promised.get(&member) else { return self.holds_all_committed(member) };
         let same_log_end = |(other, end): (&NodeId, &LogPosition)| {
--- a/crates/gateway/src/peer_grants.rs
+++ b/crates/gateway/src/peer_grants.rs
@@ -1,6 +1,6 @@
-//! Queries peers for the latest lease grant while this router's own lease is not renewed. A router that is passed
-//! over must stop, as the configuration may change without it; in an outage of the core that affects all routers
-//! it must go on.
+//! Queries peers for the latest lease grant while this router's own lease is not renewed. If other routers still get
+//! leases, this one must stop, as the configuration may change without it. If an outage of the core affects all
+//! routers, it must go on.
 
 use crate::prelude::*;
 
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -122,9 +122,9 @@
     })
 }
 
-/// Withdraws readiness and still serves new requests for a while; then accepts no more and waits for those running.
-/// Persistent connections are closed gracefully when the intake ends: their callers would go on sending requests
-/// that cannot finish in the time left, and one that arrived while the process ends would be read but never
+/// Reports not ready but serves new requests for a while, then accepts no more and waits for the running ones.
+/// Persistent connections are closed gracefully at that point. Otherwise their callers would go on sending requests
+/// that cannot finish in the time left, and a request that arrives while the process exits would be read but never
 /// answered.
 async fn drain(
     shared: &SharedState,
--- a/crates/gateway/src/relay/attempt_end.rs
+++ b/crates/gateway/src/relay/attempt_end.rs
@@ -9,7 +9,7 @@
     Failed { failure: Failure, answer: Option<WebResponse> },
     /// No engine could be selected.
     NoEngine,
-    /// The attempt's basis no longer held when its first byte was to be written.
+    /// The facts on which the attempt was placed had changed when its first byte was to be written.
     Refused(StartRefusal),
     /// The request's time limit has passed.
     TimedOut { is_sent: bool },
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -20,7 +20,7 @@
 const MAX_LOAD_AGE: Span = Span::millis(1500);
 /// The cost that each recent failure adds to an engine: that of the prefill of 250 blocks, or 4000 tokens.
 const RECENT_FAILURE_COST: f64 = DEFAULT_OVERLAP_WEIGHT * 250.0;
-/// The share of the shared parts without a known cached copy that is expected at the prompt's home engine.
+/// Of the shared parts without a known cached copy, the share that is expected at the prompt's home engine.
 const HOME_AFFINITY_SHARE: f64 = 0.5;
 /// The share of the allowed retries that is used.
 const BUDGET_SHARE: f64 = 0.5;
@@ -40,7 +40,7 @@
     }
 }
 
-/// Commands to the scheduler.
+/// A command to the scheduler.
 pub enum SchedulerCommand {
     /// The fleet snapshot changed.
     FleetChanged,
@@ -98,7 +98,7 @@
     NoBudget,
 }
 
-/// A handle to send commands to the scheduler. If its queue is full, `ask` returns `None` and the request is refused.
+/// Sends commands to the scheduler. Requests are refused while its queue is full.
 #[derive(Clone)]
 pub struct SchedulerHandle {
     queue: Sender<SchedulerCommand>,
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -4,7 +4,7 @@
 
 use crate::prelude::*;
 
-/// Longer than callers wait, so that a repeated call finds the change further along.
+/// Longer than callers wait, so that the change is still in progress when the call is repeated.
 const CHANGE_TIMEOUT: Span = Span::millis(4000);
 const READ_TIMEOUT: Span = Span::millis(900);
 const BODY_BOUNDS: TextBounds = TextBounds { bytes: 8 << 20, depth: 32 };
@@ -105,8 +105,9 @@
         outcome_response(outcome)
     }
 
-    /// Applies a change of named items to its base, if that is in force. Otherwise the chain tells whether this
-    /// change was applied before; if not it is stale, unless its base has come into force meanwhile.
+    /// Applies a change of named items to its base revision, if that is in force. Otherwise queries the chain whether
+    /// this change was applied before. If it was not, the change is stale, unless its base has come into force
+    /// meanwhile; then it is tried again.
     async fn patch(&self, base: Revision, fingerprint: BlockHash, body: &JsonValue) -> WebResponse {
         for _ in 0..MAX_PATCH_ATTEMPTS {
             let Some((current_revision, source)) = self.configuration().await else { return outcome_unknown() };
--- a/crates/keeper/src/publisher.rs
+++ b/crates/keeper/src/publisher.rs
@@ -59,7 +59,8 @@
         std::mem::replace(&mut *current, snapshot)
     }
 
-    /// Publishes a snapshot without duties and live keepers, because the keeper cannot act while its disk refuses.
+    /// Publishes a snapshot without duties and live keepers, because the keeper cannot act while its disk refuses
+    /// writes.
     pub(crate) fn publish_disk_refusal(&self) {
         let earlier = Arc::clone(&self.current.read().expect("no holder of this lock panics"));
         if !earlier.disk_refuses {
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -69,7 +69,7 @@
     pub shared: Arc<SharedState>,
     /// Called after each published change.
     pub on_change: Box<dyn Fn() + Send + Sync>,
-    /// Gets the connection once it is up, and the settlements that come over it.
+    /// Receives the connection once it is up, and the outcomes of commands that arrive over it.
     pub coordinator: Arc<CoordinatorClient>,
 }
 
--- a/crates/router/src/followers.rs
+++ b/crates/router/src/followers.rs
@@ -21,7 +21,7 @@
 const LISTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The time limit for connecting to an engine or the store.
 const CONNECT_TIMEOUT: Span = Span::millis(500);
-/// How much longer than its waiting time a poll for events may take before its answer counts as late.
+/// A response to a poll for events counts as late if it takes this much longer than the poll may wait.
 const POLL_SLACK_MS: u64 = 500;
 
 /// Starts a follower for each newly listed engine or address, and stops those of delisted ones.
@@ -100,8 +100,8 @@
     let batch: EventBatch = serde_json::from_slice(&body).map_err(|fault| fault.to_string())?;
     let events: Option<Vec<CacheEvent>> = batch.events.iter().map(EngineEvent::read).collect();
     let events = events.ok_or("an event is malformed")?;
-    // An engine answers a long poll from its latest state, so all events until the answer are known. After a late
-    // answer, only those until the request are certain.
+    // An engine answers a long poll from its latest state, so all events up to the response are known. If the
+    // response is late, only those up to the request are certain.
     let known_until = if answered_at.since(requested_at) < Span::millis(POLL_WAIT_MS + POLL_SLACK_MS) {
         answered_at
     } else {
--- a/crates/router/src/forward/run.rs
+++ b/crates/router/src/forward/run.rs
@@ -1,11 +1,11 @@
-//! A request being forwarded: its plan, its handles to the router's parts, and what is recorded, logged and counted
-//! of it.
+//! A request being forwarded: its plan and its handles to the router's parts. Writes the request's recording and log
+//! lines, and updates the counters.
 
 use crate::prelude::*;
 
 /// A request being forwarded.
 pub struct Run {
-    /// What is to be done.
+    /// The checked request.
     pub plan: RequestPlan,
     /// Released when the run ends, however it ends.
     pub _held: (ConcurrencySlot, RunningGuard),
--- a/crates/router/src/plan.rs
+++ b/crates/router/src/plan.rs
@@ -40,7 +40,7 @@
     pub format: ApiFormat,
 }
 
-/// The API format of a request, in which it is also answered.
+/// The API format of a request and of its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiFormat {
     /// `/v1/completions`.
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -49,7 +49,7 @@
     pub cancelled: AtomicU64,
     /// Requests refused before any attempt.
     pub refused: AtomicU64,
-    /// Blocks of prompts whose first piece came.
+    /// Prompt blocks of requests whose first piece has arrived.
     pub prompt_blocks: AtomicU64,
     /// Those of `prompt_blocks` that the engine did not have to prefill.
     pub reused_blocks: AtomicU64,
