--- a/crates/adapters/tests/planner.rs
+++ b/crates/adapters/tests/planner.rs
@@ -39,13 +39,13 @@
     fn new(engines: usize, places: usize, adapters: usize, warming: &str) -> Fleet {
         let mut state = FleetState::default();
         let tenants: Vec<String> = (0..adapters).map(|n| format!(r#""t{n}":{{"adapters":["x{n}"]}}"#)).collect();
-        let wishes: Vec<String> =
+        let specs: Vec<String> =
             (0..adapters).map(|n| format!(r#""x{n}":{{"model":"m","owners":["t{n}"],"revision":1}}"#)).collect();
         let document = format!(
             r#"{{"models":{{"m":{{"adapter_places":{places}}}}},"tenants":{{{}}},"adapters":{{{}}},"warming":{warming},
             "zones":{{"a":"north","b":"north","c":"south","d":"south"}}}}"#,
             tenants.join(","),
-            wishes.join(",")
+            specs.join(",")
         );
         let taken = submit(&mut state, Command::Merge { base: None, patch: document });
         assert!(matches!(taken, CommandOutcome::Applied(_)), "{taken:?}");
@@ -59,12 +59,12 @@
         let listing = names.iter().enumerate().map(|(number, name)| (name.clone(), listed(number))).collect();
         submit(&mut state, Command::List(Listing { boot: "b".into(), number: ListingNumber(1), engines: listing }));
         for name in &names {
-            let standing = EngineStatus {
+            let status = EngineStatus {
                 confirmed: Some((WeightsEdition(1), "x".into())),
                 closed: false,
                 ..EngineStatus::default()
             };
-            state.engine_statuses.insert(name.clone(), standing);
+            state.engine_statuses.insert(name.clone(), status);
         }
         let empty = || SimEngine { up: true, boot: 1, resident: BTreeSet::new(), loading: BTreeMap::new() };
         Fleet {
@@ -105,7 +105,7 @@
         for (number, zone) in ZONES.into_iter().enumerate() {
             let rates = self.meters.get_mut(zone).unwrap().rates(span, self.now);
             let report = DemandReport { router: NodeId(number as u64 + 1), zone: zone.into(), rates };
-            self.planner.demand.record(vec![HeardDemand { report, age: Span(0) }], self.now);
+            self.planner.demand.record(vec![AgedDemandReport { report, age: Span(0) }], self.now);
         }
         let seen = self.seen();
         for action in self.planner.next_actions(&self.state, &seen, self.now) {
@@ -119,10 +119,10 @@
         match action {
             WarmingAction::Place { engine, adapter, stage } => {
                 self.moves += usize::from(!matches!(stage, None | Some(CopyStage::Warm { .. })));
-                let settled = submit(&mut self.state, Command::PlaceCopy { term: Term(1), engine, adapter, stage });
+                let outcome = submit(&mut self.state, Command::PlaceCopy { term: Term(1), engine, adapter, stage });
                 assert!(
-                    matches!(settled, CommandOutcome::Applied(_)),
-                    "the planner must keep to the bounds: {settled:?}"
+                    matches!(outcome, CommandOutcome::Applied(_)),
+                    "the planner must keep to the bounds: {outcome:?}"
                 );
             }
             WarmingAction::UseRevision { adapter } => {
@@ -357,13 +357,13 @@
 #[test]
 fn noisy_demand_changes_almost_nothing() {
     for seed in 0..40u64 {
-        let mut draw = SeededRng::new(seed);
+        let mut rng = SeededRng::new(seed);
         let mut fleet = Fleet::new(8, 2, 4, r#"{"loads_at_once":3,"demand_ms":6000,"hold_ms":20000}"#);
         let mut noisy = |fleet: &mut Fleet, steps: u64| {
             for _ in 0..steps {
                 for number in 0..4 {
-                    let home = if draw.chance(97) { number } else { (number + 2) % 4 };
-                    if draw.chance(50) {
+                    let home = if rng.chance(97) { number } else { (number + 2) % 4 };
+                    if rng.chance(50) {
                         fleet.request(ZONES[home as usize], &format!("x{number}"));
                     }
                 }
@@ -389,14 +389,14 @@
     for _ in 0..300 {
         let seen = fleet.seen();
         for name in &names {
-            let standing = fleet.state.engine_statuses[name].clone();
-            let is_done = standing.confirmed == Some((WeightsEdition(2), "x".into()));
-            if is_done || standing.closed {
+            let status = fleet.state.engine_statuses[name].clone();
+            let is_done = status.confirmed == Some((WeightsEdition(2), "x".into()));
+            if is_done || status.closed {
                 continue;
             }
-            let closed = fleet.state.engine_statuses.values().filter(|standing| standing.closed).count();
+            let closed = fleet.state.engine_statuses.values().filter(|status| status.closed).count();
             if closed < 4 && fleet.planner.closings.may_close(&fleet.state, &seen, name, fleet.now) {
-                fleet.state.engine_statuses.insert(name.clone(), EngineStatus { closed: true, ..standing });
+                fleet.state.engine_statuses.insert(name.clone(), EngineStatus { closed: true, ..status });
                 loads_until.insert(name.clone(), fleet.steps + 3);
             }
         }
@@ -417,10 +417,10 @@
             assert!(serving.count() > 0, "{adapter} is served nowhere");
         }
     }
-    assert!(fleet.state.engine_statuses.values().all(|standing| !standing.closed));
+    assert!(fleet.state.engine_statuses.values().all(|status| !status.closed));
     let confirmed = Some((WeightsEdition(2), "x".to_owned()));
     assert!(
-        fleet.state.engine_statuses.values().all(|standing| standing.confirmed == confirmed),
+        fleet.state.engine_statuses.values().all(|status| status.confirmed == confirmed),
         "all engines hold the new weights"
     );
 }
--- a/crates/conductor/src/rollout.rs
+++ b/crates/conductor/src/rollout.rs
@@ -50,8 +50,8 @@
 /// A step of the rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutStep {
-    /// Put the engine's standing into the fleet state.
-    SetStanding { engine: EngineName, standing: EngineStatus },
+    /// Put the engine's status into the fleet state.
+    SetEngineStatus { engine: EngineName, status: EngineStatus },
     /// Order the engine to load weights.
     Order { engine: EngineName, address: String, model: ModelName, weights: WeightsEdition },
     /// Order the engine out of turn, only if requests wait there.
@@ -122,9 +122,9 @@
     /// holder of the duty knows.
     pub fn note_wanted(&mut self, state: &FleetState, now: Instant) {
         self.wanted_since.retain(|model, _| state.desired.models.contains_key(model));
-        for (model, wish) in &state.desired.models {
+        for (model, spec) in &state.desired.models {
             let editions = self.wanted_since.entry(model.clone()).or_default();
-            editions.entry(wish.weights).or_insert(now);
+            editions.entry(spec.weights).or_insert(now);
             while editions.len() > EDITIONS_KEPT {
                 editions.pop_first();
             }
@@ -139,9 +139,9 @@
         Some((*since).max(self.disturbed) + self.expedite_after?)
     }
 
-    /// The steps to take now. Their outcomes come back through `record_answer`, `record_report` and, for engine_statuses,
-    /// the fleet state. `may_order` is false while orders of the previous holder may still be in flight: then
-    /// no order is given.
+    /// The steps to take now. Their outcomes come back through `record_answer` and `record_report`, or through the
+    /// fleet state for a new engine status. `may_order` is false while orders of the previous holder may still be in
+    /// flight; no order is given then.
     pub fn next_steps(&mut self, state: &FleetState, may_order: bool, now: Instant) -> Vec<RolloutStep> {
         self.progress.retain(|engine, _| state.listing.engines.contains_key(engine));
         self.note_wanted(state, now);
@@ -179,19 +179,19 @@
         slots: &mut Slots,
         now: Instant,
     ) -> Option<RolloutStep> {
-        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
-        let Some(load) = self.next_load(state, engine, listed, &standing) else {
-            if !standing.closed {
+        let status = state.engine_statuses.get(engine).cloned().unwrap_or_default();
+        let Some(load) = self.next_load(state, engine, listed, &status) else {
+            if !status.closed {
                 self.progress.remove(engine);
                 return None;
             }
-            let opened = self.opened(engine, listed, &standing);
-            return Some(RolloutStep::SetStanding { engine: engine.clone(), standing: opened });
+            let opened = self.opened(engine, listed, &status);
+            return Some(RolloutStep::SetEngineStatus { engine: engine.clone(), status: opened });
         };
-        let held = self.held(engine, listed, &standing, &load.model);
+        let held = self.held(engine, listed, &status, &load.model);
         let expedite_from = self.expedite_from(&load.model, held);
         let is_expedited = expedite_from.is_some_and(|from| now >= from);
-        if !standing.closed {
+        if !status.closed {
             if let Some(from) = expedite_from.filter(|_| !is_expedited) {
                 self.note_due(from);
             }
@@ -203,8 +203,8 @@
             if !has_slot && !is_expedited {
                 return None;
             }
-            let closed = EngineStatus { closed: true, ..standing };
-            return Some(RolloutStep::SetStanding { engine: engine.clone(), standing: closed });
+            let closed = EngineStatus { closed: true, ..status };
+            return Some(RolloutStep::SetEngineStatus { engine: engine.clone(), status: closed });
         }
         let fresh_progress = Progress { not_before: now + CLOSE_PAUSE, ..Progress::default() };
         let progress = self.progress.entry(engine.clone()).or_insert(fresh_progress);
@@ -250,9 +250,9 @@
         listed: &ListedEngine,
         now: Instant,
     ) -> Option<RolloutStep> {
-        let standing = state.engine_statuses.get(engine).cloned().unwrap_or_default();
-        let load = self.next_load(state, engine, listed, &standing)?;
-        let held = self.held(engine, listed, &standing, &load.model);
+        let status = state.engine_statuses.get(engine).cloned().unwrap_or_default();
+        let load = self.next_load(state, engine, listed, &status)?;
+        let held = self.held(engine, listed, &status, &load.model);
         let from = self.expedite_from(&load.model, held)?;
         let progress = self.progress.entry(engine.clone()).or_default();
         if progress.ordered.as_ref() == Some(&load) {
@@ -281,11 +281,11 @@
         state: &FleetState,
         engine: &EngineName,
         listed: &ListedEngine,
-        standing: &EngineStatus,
+        status: &EngineStatus,
     ) -> Option<Load> {
         listed.models().find_map(|model| {
             let wanted = state.desired.models.get(model)?.weights;
-            let is_behind = self.held(engine, listed, standing, model) < wanted;
+            let is_behind = self.held(engine, listed, status, model) < wanted;
             is_behind.then(|| Load { model: model.clone(), weights: wanted })
         })
     }
@@ -296,16 +296,16 @@
         &self,
         engine: &EngineName,
         listed: &ListedEngine,
-        standing: &EngineStatus,
+        status: &EngineStatus,
         model: &ModelName,
     ) -> WeightsEdition {
         let reported = self.progress.get(engine).and_then(|progress| progress.reported.get(model)).copied();
-        standing.held_weights(listed, model).max(reported).unwrap_or_default()
+        status.held_weights(listed, model).max(reported).unwrap_or_default()
     }
 
-    /// The standing of an engine that holds the wanted weights of all its models.
-    fn opened(&self, engine: &EngineName, listed: &ListedEngine, standing: &EngineStatus) -> EngineStatus {
-        let held = |model| self.held(engine, listed, standing, model);
+    /// The status of an engine that holds the wanted weights of all its models.
+    fn opened(&self, engine: &EngineName, listed: &ListedEngine, status: &EngineStatus) -> EngineStatus {
+        let held = |model| self.held(engine, listed, status, model);
         let further = listed.further_models.keys().map(|model| (model.clone(), held(model)));
         EngineStatus {
             confirmed: Some((held(&listed.model), engine.0.clone())),
@@ -370,7 +370,7 @@
             let is_unresponsive = progress.is_some_and(|progress| progress.faults > MAX_FAULTS);
             *all += 1;
             if !is_unresponsive {
-                *closed += usize::from(state.engine_statuses.get(engine).is_some_and(|standing| standing.closed));
+                *closed += usize::from(state.engine_statuses.get(engine).is_some_and(|status| status.closed));
                 *loading += usize::from(progress.is_some_and(|progress| progress.ordered.is_some()));
             }
         }
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -86,7 +86,8 @@
     #[serde(rename = "Ask")]
     Query {
         ticket: u64,
-        question: CoreQuery,
+        #[serde(rename = "question")]
+        query: CoreQuery,
     },
     Outcome {
         ticket: u64,
@@ -126,7 +127,7 @@
     Settled(CommandOutcome),
     State(Box<FleetState>),
     Nodes(Vec<NodeReport>),
-    Demand(Vec<HeardDemand>),
+    Demand(Vec<AgedDemandReport>),
     Configuration {
         revision: Revision,
         source: String,
@@ -237,13 +238,14 @@
     },
     Query {
         ticket: u64,
-        question: CoreQuery,
-        limit: Instant,
+        query: CoreQuery,
+        deadline: Instant,
     },
-    /// The platform's listing as read by this keeper, or nothing if the read failed; `asked` is when the read began.
+    /// The platform's listing as read by this keeper, or `None` if the read failed; `requested_at` is when the read
+    /// began.
     ListingRead {
         read: Option<(String, ListingNumber)>,
-        asked: Instant,
+        requested_at: Instant,
     },
     /// This keeper is stopping and appoints a successor for each of its duties.
     Retire,
@@ -258,7 +260,7 @@
 pub enum Stored {
     Record(Record),
     Snapshot {
-        mark: LogPosition,
+        position: LogPosition,
         state: Box<FleetState>,
     },
     View(View),
@@ -287,7 +289,7 @@
     pub synced_view: ViewNumber,
     pub complete_view: ViewNumber,
     pub begun: ViewNumber,
-    pub mark: LogPosition,
+    pub position: LogPosition,
     pub state: FleetState,
     pub records: Vec<Record>,
 }
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -51,12 +51,12 @@
                     self.mark_synced();
                 }
             }
-            ChainMessage::Snapshot { view, nonce, mark, state, ages } => {
+            ChainMessage::Snapshot { view, nonce, mark: position, state, ages } => {
                 // A sealed keeper has reported where its log ends, so the log must not become shorter.
-                let is_shorter = mark.edition < self.log.last().edition;
+                let is_shorter = position.edition < self.log.last().edition;
                 if self.accepts_catch_up(from, view, nonce) && !(self.sealed() && is_shorter) {
-                    self.log = Log::restore(mark, (*state).clone(), Vec::new());
-                    self.store(Stored::Snapshot { mark, state });
+                    self.log = Log::restore(position, (*state).clone(), Vec::new());
+                    self.store(Stored::Snapshot { position, state });
                     self.take_ages(&ages, nonce);
                     self.mark_synced();
                 }
@@ -121,15 +121,16 @@
         }
     }
 
-    /// Adopts the commit times of the member that served the catch-up. CommitAges count from when the request was sent, so
+    /// Adopts the commit times of the member that served the catch-up. Ages count from when the request was sent, so
     /// no time is later than the actual commit: the head numbered each record before it could be committed, or was in
     /// every chain since, and each member takes its times from its predecessor.
     fn take_ages(&mut self, ages: &CommitAges, nonce: u64) {
         self.clear_commit_times();
-        let Some(asked) = self.catch_up_request.filter(|(catch_up_nonce, _)| *catch_up_nonce == nonce) else {
+        let Some((_, requested_at)) = self.catch_up_request.filter(|(catch_up_nonce, _)| *catch_up_nonce == nonce)
+        else {
             return;
         };
-        let instant_at_age = |age: Span| Instant(asked.1.0.saturating_sub(age.0));
+        let instant_at_age = |age: Span| Instant(requested_at.0.saturating_sub(age.0));
         let last = self.log.last().edition;
         let records = ages.records.iter().filter(|(edition, _)| *edition <= last);
         self.committed_at = records.map(|(edition, age)| (*edition, instant_at_age(*age))).collect();
@@ -144,7 +145,7 @@
         self.restored_at = self.log.last().edition;
         self.committed_at.clear();
         let models = &self.log.state().desired.models;
-        self.wanted_weights = models.iter().map(|(model, wish)| (model.clone(), wish.weights)).collect();
+        self.wanted_weights = models.iter().map(|(model, spec)| (model.clone(), spec.weights)).collect();
         self.superseded_at.clear();
     }
 
--- a/crates/coordinator/tests/exhaustive.rs
+++ b/crates/coordinator/tests/exhaustive.rs
@@ -73,8 +73,8 @@
 fn keep(disk: &mut PersistedState, stored: Stored) {
     match stored {
         Stored::Record(record) => disk.records.push(record),
-        Stored::Snapshot { mark, state } => {
-            disk.mark = mark;
+        Stored::Snapshot { position, state } => {
+            disk.position = position;
             disk.state = *state;
             disk.records.clear();
         }
@@ -221,9 +221,9 @@
                 self.budget.changes -= 1;
                 let patch = format!(r#"{{"kinds":["k{number}"]}}"#);
                 let command = Command::Merge { base: None, patch };
-                let question = CoreQuery::Submit(Submission { request: RequestId(u64::from(number)), command });
-                let limit = self.now + Span::seconds(3);
-                self.feed(place, Input::Query { ticket: u64::from(number), question, limit })?;
+                let query = CoreQuery::Submit(Submission { request: RequestId(u64::from(number)), command });
+                let deadline = self.now + Span::seconds(3);
+                self.feed(place, Input::Query { ticket: u64::from(number), query, deadline })?;
             }
         }
         Ok(())
@@ -314,7 +314,7 @@
     let taken: BTreeMap<Edition, RequestId> = state
         .operator_submissions
         .iter()
-        .filter_map(|(request, settled)| match settled {
+        .filter_map(|(request, outcome)| match outcome {
             CommandOutcome::Applied(edition) => Some((*edition, request)),
             _ => None,
         })
--- a/crates/coordinator/tests/short_chain.rs
+++ b/crates/coordinator/tests/short_chain.rs
@@ -33,14 +33,14 @@
 fn acting_tail() -> Coordinator {
     let view = view_of(2, &[HEAD, TAIL]);
     let number = view.number;
-    let kept = PersistedState {
+    let persisted = PersistedState {
         view: Some(view),
         synced_view: number,
         complete_view: number,
         begun: number,
         ..PersistedState::default()
     };
-    let mut tail = Coordinator::restore(member(TAIL), kept, CoordinatorSettings::default(), 1, START);
+    let mut tail = Coordinator::restore(member(TAIL), persisted, CoordinatorSettings::default(), 1, START);
     grant_read_lease(&mut tail, START);
     assert!(tail.tail_is_active(START));
     tail
@@ -57,11 +57,14 @@
 /// Appends a change received from the head; without a read lease the tail does not commit it.
 fn append(tail: &mut Coordinator, number: u64, now: Instant) -> Vec<Effect> {
     let previous = tail.last();
-    let mark = LogPosition { edition: previous.edition.next(), view: tail.view().number };
+    let position = LogPosition { edition: previous.edition.next(), view: tail.view().number };
     let patch = format!(r#"{{"kinds":["k{number}"]}}"#);
     let submission = Submission { request: RequestId(number), command: Command::Merge { base: None, patch } };
-    let append =
-        ChainMessage::Append { view: tail.view().number, previous, records: vec![Record { mark, submission }] };
+    let append = ChainMessage::Append {
+        view: tail.view().number,
+        previous,
+        records: vec![Record { mark: position, submission }],
+    };
     let input = from_keeper(tail, HEAD, CoreMessage::Chain(append));
     tail.step(input, now)
 }
@@ -74,8 +77,8 @@
     grant_read_lease(tail, now);
 }
 
-fn is_answered(tail: &mut Coordinator, question: CoreQuery, now: Instant) -> bool {
-    let message = CoreMessage::Query { ticket: 9, question };
+fn is_answered(tail: &mut Coordinator, query: CoreQuery, now: Instant) -> bool {
+    let message = CoreMessage::Query { ticket: 9, query };
     let input = from_keeper(tail, THIRD, message);
     let effects = tail.step(input, now);
     sent_to(&effects, THIRD).iter().any(|message| matches!(message, CoreMessage::Outcome { .. }))
@@ -126,8 +129,8 @@
         now = now + Span::millis(50);
         deliver_status(&mut tail, THIRD, now);
         let effects = tail.step(Input::Tick, now);
-        let asked = sent_to(&effects, THIRD);
-        proposes |= asked.iter().any(|message| matches!(message, CoreMessage::View(ViewMessage::Prepare { .. })));
+        let messages = sent_to(&effects, THIRD);
+        proposes |= messages.iter().any(|message| matches!(message, CoreMessage::View(ViewMessage::Prepare { .. })));
     }
     assert!(!tail.tail_is_active(now));
     assert!(proposes, "nobody proposes a view with the third keeper");
--- a/crates/gateway/src/relay_site.rs
+++ b/crates/gateway/src/relay_handler.rs
@@ -9,22 +9,22 @@
 const MAX_QUERY_BYTES: usize = 1024;
 
 /// Serves other routers' queries.
-pub struct RelaySite {
-    pub table: TableHandle,
+pub struct RelayHandler {
+    pub scheduler: SchedulerHandle,
     /// Changes whenever the log does.
     pub changes: tokio::sync::watch::Receiver<u64>,
     pub shared: Arc<SharedState>,
 }
 
-impl RequestHandler for RelaySite {
-    fn handle(self: Arc<Self>, mut asked: IncomingRequest) -> ResponseFuture {
+impl RequestHandler for RelayHandler {
+    fn handle(self: Arc<Self>, mut request: IncomingRequest) -> ResponseFuture {
         Box::pin(async move {
-            if asked.uri.path() == GRANTS_PATH {
+            if request.uri.path() == GRANTS_PATH {
                 return self.grant_report();
             }
-            let body = asked.read_body(MAX_QUERY_BYTES).await.unwrap_or_default();
+            let body = request.read_body(MAX_QUERY_BYTES).await.unwrap_or_default();
             let query = rmp_serde::from_slice::<RelayQuery>(&body);
-            let (RELAY_PATH, Ok(query)) = (asked.uri.path(), query) else {
+            let (RELAY_PATH, Ok(query)) = (request.uri.path(), query) else {
                 return bytes_response(StatusCode::BAD_REQUEST, "text/plain", "not a valid relay query\n");
             };
             match self.answer(query).await.and_then(|update| rmp_serde::to_vec(&update).ok()) {
@@ -35,7 +35,7 @@
     }
 }
 
-impl RelaySite {
+impl RelayHandler {
     fn grant_report(&self) -> WebResponse {
         let report = self.shared.with_grants(|grants| grants.report(boot_now()));
         let bytes = rmp_serde::to_vec(&report).unwrap_or_default();
@@ -45,11 +45,12 @@
     async fn answer(&self, query: RelayQuery) -> Option<RelayUpdate> {
         let mut changes = self.changes.clone();
         changes.borrow_and_update();
-        let update = self.table.ask(|reply| TableCommand::RelayQuery { query, is_final: false, reply }).await?;
+        let update =
+            self.scheduler.ask(|reply| SchedulerCommand::RelayQuery { query, is_final: false, reply }).await?;
         if update.is_some() {
             return update;
         }
         let _ = tokio::time::timeout(LONG_POLL_WAIT, changes.changed()).await;
-        self.table.ask(|reply| TableCommand::RelayQuery { query, is_final: true, reply }).await?
+        self.scheduler.ask(|reply| SchedulerCommand::RelayQuery { query, is_final: true, reply }).await?
     }
 }
--- a/crates/keeper/src/listing_poller.rs
+++ b/crates/keeper/src/listing_poller.rs
@@ -35,7 +35,7 @@
     let mut was_reachable = true;
     loop {
         interval.tick().await;
-        let asked = boot_now();
+        let requested_at = boot_now();
         match read_listing(&platform, &known_tag).await {
             Ok(read) => {
                 health.last_read.store(boot_now().0 / 1_000_000, Ordering::Relaxed);
@@ -45,14 +45,14 @@
                     newest = Some(listing);
                 }
                 let read = newest.as_ref().map(|listing| (listing.boot.clone(), listing.number));
-                let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read, asked });
+                let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read, requested_at });
             }
             Err(reason) => {
                 if was_reachable {
                     event!(warn, "listing_unreachable", reason = reason);
                 }
                 was_reachable = false;
-                let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read: None, asked });
+                let _ = executor.queue.try_send(ExecutorCommand::ListingRead { read: None, requested_at });
             }
         }
         let snapshot = latest_snapshot(&publisher);
@@ -68,8 +68,8 @@
         }
         event!(info, "listing_submitted", number = listing.number, engines = listing.engines.len());
         let parts = [listing.boot.as_bytes(), &listing.number.0.to_le_bytes()];
-        let request = RequestId(BlockHash::of_parts(&[b"listing", parts[0], parts[1]]).0);
-        let submission = executor.submit(request, Command::List(listing.clone()), SUBMIT_TIMEOUT);
+        let request_id = RequestId(BlockHash::of_parts(&[b"listing", parts[0], parts[1]]).0);
+        let submission = executor.submit(request_id, Command::List(listing.clone()), SUBMIT_TIMEOUT);
         let _ = tokio::time::timeout(SUBMIT_WAIT, submission).await;
     }
 }
@@ -79,8 +79,8 @@
 }
 
 async fn read_listing(platform: &str, known_tag: &str) -> Result<Option<(String, Listing)>, String> {
-    let question = web::prelude::OutgoingRequest::get("/v1/engines").header("if-none-match", known_tag);
-    let (status, headers, body) = fetch_response(platform, question, POLL_TIMEOUT, 4 << 20).await?;
+    let request = web::prelude::OutgoingRequest::get("/v1/engines").header("if-none-match", known_tag);
+    let (status, headers, body) = fetch_response(platform, request, POLL_TIMEOUT, 4 << 20).await?;
     if status == StatusCode::NOT_MODIFIED {
         return Ok(None);
     }
--- a/crates/keeper/src/protocol_interface.rs
+++ b/crates/keeper/src/protocol_interface.rs
@@ -4,7 +4,7 @@
 
 use crate::prelude::*;
 
-/// Longer than callers wait, so that a repeated call finds the change further along.
+/// Longer than callers wait, so that the change is still in progress when the call is repeated.
 const CHANGE_TIMEOUT: Span = Span::millis(4000);
 const READ_TIMEOUT: Span = Span::millis(900);
 const BODY_BOUNDS: TextBounds = TextBounds { bytes: 8 << 20, depth: 32 };
@@ -19,19 +19,19 @@
 }
 
 impl RequestHandler for ProtocolInterface {
-    fn handle(self: Arc<Self>, asked: IncomingRequest) -> ResponseFuture {
-        Box::pin(self.route(asked))
+    fn handle(self: Arc<Self>, request: IncomingRequest) -> ResponseFuture {
+        Box::pin(self.route(request))
     }
 }
 
 impl ProtocolInterface {
-    async fn route(self: Arc<Self>, mut asked: IncomingRequest) -> WebResponse {
-        let (_, segments) = asked.method_and_path();
-        let Some(call) = self.protocol.call(&asked.method, &segments) else { return not_found_response() };
+    async fn route(self: Arc<Self>, mut request: IncomingRequest) -> WebResponse {
+        let (_, segments) = request.method_and_path();
+        let Some(call) = self.protocol.call(&request.method, &segments) else { return not_found_response() };
         if call == OperatorCall::Read {
             return self.read_back().await;
         }
-        let body = match asked.read_body(BODY_BOUNDS.bytes).await {
+        let body = match request.read_body(BODY_BOUNDS.bytes).await {
             Ok(body) => body,
             Err(web::prelude::BodyFault::TooLarge) => {
                 return error_response(StatusCode::PAYLOAD_TOO_LARGE, "too_large", "the body is too large");
@@ -45,7 +45,7 @@
         };
         match call {
             OperatorCall::RaiseWeights => self.raise_weights(&body).await,
-            OperatorCall::Replace | OperatorCall::Patch => self.change(call, &asked.headers, &body).await,
+            OperatorCall::Replace | OperatorCall::Patch => self.change(call, &request.headers, &body).await,
             OperatorCall::Read => not_found_response(),
         }
     }
@@ -105,8 +105,9 @@
         outcome_response(outcome)
     }
 
-    /// Applies a change of named items to its base, if that is in force. Otherwise the chain tells whether this
-    /// change was applied before; if not it is stale, unless its base has come into force meanwhile.
+    /// Applies a change of named items to its base revision, if that is in force. Otherwise queries the chain whether
+    /// this change was applied before. If it was not, the change is stale, unless its base has come into force
+    /// meanwhile; then it is tried again.
     async fn patch(&self, base: Revision, fingerprint: BlockHash, body: &JsonValue) -> WebResponse {
         for _ in 0..MAX_PATCH_ATTEMPTS {
             let Some((current_revision, source)) = self.configuration().await else { return outcome_unknown() };
--- a/crates/placement/src/fleet_snapshot.rs
+++ b/crates/placement/src/fleet_snapshot.rs
@@ -157,7 +157,7 @@
         let listed = self.state.listing.engines.get(engine).filter(|listed| listed.listed == Listed::Open)?;
         let service = self.state.desired.services.get(&listed.service)?;
         let has_no_models = service.is_without_models() && !listed.has_model();
-        let is_closed = self.state.engine_statuses.get(engine).is_some_and(|standing| standing.closed);
+        let is_closed = self.state.engine_statuses.get(engine).is_some_and(|status| status.closed);
         let may_serve = has_no_models && !is_closed && !self.state.drained.contains(engine);
         may_serve.then_some(NO_WEIGHTS)
     }
@@ -200,11 +200,11 @@
         now: Instant,
     ) -> Option<WeightsEdition> {
         let unknown = EngineStatus::default();
-        let standing = self.state.engine_statuses.get(engine).unwrap_or(&unknown);
-        if self.state.drained.contains(engine) || standing.closed || !listed.serves(model) {
+        let status = self.state.engine_statuses.get(engine).unwrap_or(&unknown);
+        if self.state.drained.contains(engine) || status.closed || !listed.serves(model) {
             return None;
         }
-        let held = standing.held_weights(listed, model)?;
+        let held = status.held_weights(listed, model)?;
         let wanted = self.state.desired.models.get(model)?.weights;
         let may_use = held == wanted || now < self.old_weights_until(model, held);
         may_use.then_some(held)
@@ -212,9 +212,9 @@
 
     /// Whether the adapter is warm on any engine that is usable with the weights of the adapter's model.
     pub fn is_warm_anywhere(&self, adapter: &AdapterId, now: Instant) -> bool {
-        let Some(wish) = self.state.desired.adapters.get(&adapter.name) else { return false };
+        let Some(spec) = self.state.desired.adapters.get(&adapter.name) else { return false };
         let is_usable =
-            |engine: &EngineName| self.usable_weights_for(engine, &wish.model, Some(adapter), now).is_some();
+            |engine: &EngineName| self.usable_weights_for(engine, &spec.model, Some(adapter), now).is_some();
         self.state.adapters.warm_engines(adapter).any(is_usable)
     }
 
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -40,13 +40,13 @@
                 self.send(&RouterToAgent::Submit { ticket, submission: submission.clone() });
             }
         };
-        let settled = tokio::select! {
-            settled = settlement => settled.ok(),
+        let outcome = tokio::select! {
+            outcome = settlement => outcome.ok(),
             () = sending => None,
             () = tokio::time::sleep(CLAIM_TIMEOUT) => None,
         };
         self.pending.lock().expect("no holder of this lock panics").remove(&ticket);
-        settled
+        outcome
     }
 
     fn settle(&self, ticket: u64, outcome: CommandOutcome) {
@@ -69,7 +69,7 @@
     pub shared: Arc<SharedState>,
     /// Called after each published change.
     pub on_change: Box<dyn Fn() + Send + Sync>,
-    /// Gets the connection once it is up, and the settlements that come over it.
+    /// Receives the connection once it is up, and the outcomes of commands that arrive over it.
     pub coordinator: Arc<CoordinatorClient>,
 }
 
@@ -119,8 +119,8 @@
                 self.config.coordinator.settle(ticket, outcome);
             }
             LinkEvent::Message(_, AgentToRouter::Routers(routers)) => self.config.shared.update_routers(routers),
-            LinkEvent::Message(_, AgentToRouter::Lease { asked, until, disturbed }) => {
-                self.config.shared.renew_lease(asked, until);
+            LinkEvent::Message(_, AgentToRouter::Lease { requested_at, until, disturbed }) => {
+                self.config.shared.renew_lease(requested_at, until);
                 self.config.shared.record_disturbance(disturbed);
             }
             LinkEvent::Message(_, AgentToRouter::Snapshot { state, gave_way }) => {
--- a/crates/simulator/src/adapter_traffic.rs
+++ b/crates/simulator/src/adapter_traffic.rs
@@ -293,7 +293,7 @@
         self.next_ticket += 1;
         let (ticket, incarnation) = (self.next_ticket, self.keepers[number].incarnation);
         self.demand_queries.insert(ticket, (number, incarnation));
-        let input = Input::Query { ticket, question: CoreQuery::Demand, limit: local_now + Span::seconds(2) };
+        let input = Input::Query { ticket, query: CoreQuery::Demand, deadline: local_now + Span::seconds(2) };
         self.schedule_after(
             Span::millis(1),
             SimEvent::KeeperInput { keeper: number, incarnation: Some(incarnation), input },
--- a/crates/simulator/src/disorder.rs
+++ b/crates/simulator/src/disorder.rs
@@ -272,7 +272,7 @@
     /// Sends a query under the last ticket issued.
     fn query(&mut self, number: usize, question: CoreQuery) {
         let limit = self.now + Span::seconds(3);
-        self.step_keeper(number, Input::Query { ticket: self.next_ticket, question, limit }, false);
+        self.step_keeper(number, Input::Query { ticket: self.next_ticket, query: question, deadline: limit }, false);
     }
 
     fn submit(&mut self) {
--- a/crates/simulator/src/keepers.rs
+++ b/crates/simulator/src/keepers.rs
@@ -197,8 +197,10 @@
         if !coordinator.has_view() {
             return;
         }
-        let reading =
-            Input::ListingRead { read: Some(("p".into(), ListingNumber(self.listing_number))), asked: local_now };
+        let reading = Input::ListingRead {
+            read: Some(("p".into(), ListingNumber(self.listing_number))),
+            requested_at: local_now,
+        };
         let incarnation = keeper.incarnation;
         let reads_now = now.since(keeper.last_listing_read) >= Span::millis(250);
         if reads_now {
@@ -280,9 +282,9 @@
         let actions = self.keepers[number].conductor.next_actions(state, &observed, local_now);
         for action in actions {
             match action {
-                ConductorAction::SetStanding { engine, standing }
+                ConductorAction::SetEngineStatus { engine, status: standing }
                     if standing.closed && !self.may_close(number, state, &engine) => {}
-                ConductorAction::SetStanding { engine, standing } => {
+                ConductorAction::SetEngineStatus { engine, status: standing } => {
                     let now = self.now;
                     let waits = self.keepers[number].in_flight.get(&engine).is_some_and(|until| now < *until);
                     if waits {
@@ -369,7 +371,7 @@
         let ticket = self.next_ticket;
         self.pending_changes.insert(ticket, PendingChange { request: submission.request, kind });
         let limit = self.keepers[keeper].clock.read(self.now) + Span::seconds(8);
-        let input = Input::Query { ticket, question: CoreQuery::Submit(submission), limit };
+        let input = Input::Query { ticket, query: CoreQuery::Submit(submission), deadline: limit };
         let incarnation = self.keepers[keeper].incarnation;
         self.schedule_after(Span::millis(1), SimEvent::KeeperInput { keeper, incarnation: Some(incarnation), input });
     }
@@ -395,8 +397,8 @@
 pub fn persist(disk: &mut PersistedState, stored: Stored) {
     match stored {
         Stored::Record(record) => disk.records.push(record),
-        Stored::Snapshot { mark, state } => {
-            disk.mark = mark;
+        Stored::Snapshot { position, state } => {
+            disk.position = position;
             disk.state = *state;
             disk.records.clear();
         }
