--- a/crates/engine/src/completion.rs
+++ b/crates/engine/src/completion.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 
 const STREAM_BUFFER_PIECES: usize = 16;
-const MAX_BODY_BYTES: usize = MAX_REQUEST_BYTES * 2;
+const MAX_COMPLETION_BODY: usize = MAX_REQUEST_BYTES * 2;
 /// The attempt id in answers while the `wrong_attempt` fault is injected.
 const WRONG_ATTEMPT: &str = "00000000";
 
@@ -44,7 +44,7 @@
         let time_limit = time_limit_of(&request);
         let requested_weights = requested_weights_of(&request);
         let Ok(adapter) = requested_adapter_of(&request) else { return bad_adapter_response() };
-        let Ok(body) = request.read_body(MAX_BODY_BYTES).await else {
+        let Ok(body) = request.read_body(MAX_COMPLETION_BODY).await else {
             return error_response(StatusCode::BAD_REQUEST, "bad_request", "the body could not be read");
         };
         let Ok(completion_request) = serde_json::from_slice::<EngineRequest>(&body) else {
@@ -180,7 +180,7 @@
         let time_limit = time_limit_of(&request);
         let requested_weights = requested_weights_of(&request);
         let Ok(adapter) = requested_adapter_of(&request) else { return bad_adapter_response() };
-        let body = request.read_body(MAX_BODY_BYTES).await.unwrap_or_default();
+        let body = request.read_body(MAX_COMPLETION_BODY).await.unwrap_or_default();
         let Ok(prefill_request) = serde_json::from_slice::<PrefillRequest>(&body) else {
             return error_response(StatusCode::BAD_REQUEST, "bad_request", "the body is not a prefill request");
         };
